--- a/crates/dillspool_forward/src/broken_run.rs
+++ b/crates/dillspool_forward/src/backend_probe.rs
@@ -17,7 +17,7 @@
 use futures_util::future::Shared;
 use tokio::sync::oneshot;
 
-use crate::calls::BackendSign;
+use crate::calls::ProbeResult;
 use crate::context::ForwardContext;
 
 /// Time for which the directory is watched for a word on a backend server that does not answer: its row
@@ -26,47 +26,47 @@
 
 /// Why a run broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum BreakCause {
+pub(crate) enum FailureCause {
     /// Its backend server ended while it ran.
-    Ended,
+    Crashed,
     /// Its backend server lives on.
-    Lives,
+    Alive,
     /// Its backend server was known to leave before.
     Leaving,
     /// It cannot be told.
-    Unclear,
+    Unknown,
 }
 
-impl BreakCause {
+impl FailureCause {
     /// Name in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Self::Ended => "ended",
-            Self::Lives => "lives",
+            Self::Crashed => "ended",
+            Self::Alive => "lives",
             Self::Leaving => "leaving",
-            Self::Unclear => "unclear",
+            Self::Unknown => "unclear",
         }
     }
 }
 
-type SharedLook = Shared<BoxFuture<BackendSign>>;
+type SharedLook = Shared<BoxFuture<ProbeResult>>;
 
 /// Looks at backend servers, one at a time for each start, however many runs broke off there.
 #[derive(Clone, Default)]
-pub struct BreakLooks {
+pub struct BackendProbes {
     under_way: Arc<Mutex<HashMap<StartedBackend, SharedLook>>>,
 }
 
-impl fmt::Debug for BreakLooks {
+impl fmt::Debug for BackendProbes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("BreakLooks")
     }
 }
 
-impl BreakLooks {
-    async fn look(&self, context: &ForwardContext, entry: &Arc<BackendEntry>) -> BackendSign {
+impl BackendProbes {
+    async fn look(&self, context: &ForwardContext, entry: &Arc<BackendEntry>) -> ProbeResult {
         let look = self.with(|looks| {
-            let begin = || (context.calls.look)(Arc::clone(entry)).shared();
+            let begin = || (context.calls.probe)(Arc::clone(entry)).shared();
             looks.entry(entry.started()).or_insert_with(begin).clone()
         });
         let sign = look.await;
@@ -85,7 +85,7 @@
 
 /// A look at the backend server of a run that broke off.
 #[derive(Debug)]
-pub(crate) struct BreakLook {
+pub(crate) struct ProbeHandle {
     looked: oneshot::Receiver<()>,
 }
 
@@ -93,10 +93,10 @@
 ///
 /// Where one more end would have it refused, the look at the one before is waited for; without that a
 /// request that may go on elsewhere ends one backend server more.
-pub(crate) async fn may_run_again(
+pub(crate) async fn may_retry(
     context: &ForwardContext,
     request: &RoutedRequest,
-    look: &mut Option<BreakLook>,
+    look: &mut Option<ProbeHandle>,
 ) -> bool {
     if let Some(look) = look.take()
         && context.suspects.should_wait(request.print)
@@ -109,11 +109,11 @@
 
 /// Finds out why a run broke off, beside the request; an end of its backend server is held against the
 /// request.
-pub(crate) fn trace_break(
+pub(crate) fn spawn_failure_probe(
     context: &ForwardContext,
     request: &RoutedRequest,
     entry: &Arc<BackendEntry>,
-) -> BreakLook {
+) -> ProbeHandle {
     let (looking, looked) = oneshot::channel();
     let (context, entry) = (context.clone(), Arc::clone(entry));
     // Not the request itself: its body would be kept for as long as the row is watched.
@@ -129,7 +129,7 @@
                 watch_row(&context, &entry, sign).await
             }
         };
-        if cause == BreakCause::Ended {
+        if cause == FailureCause::Crashed {
             context.suspects.note_end(print, entry.started().label());
         }
         drop(looking);
@@ -141,27 +141,27 @@
             cause.name(),
         );
     });
-    BreakLook { looked }
+    ProbeHandle { looked }
 }
 
 /// What a first look says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FirstLook {
     /// All there is to know.
-    Cause(BreakCause),
+    Cause(FailureCause),
     /// What its row shows later decides.
-    Sign(BackendSign),
+    Sign(ProbeResult),
 }
 
 async fn look_at(context: &ForwardContext, entry: &Arc<BackendEntry>) -> FirstLook {
     match row_sign(&context.view(), entry) {
         RowSign::Ready => {}
-        RowSign::Restarted => return FirstLook::Cause(BreakCause::Ended),
-        RowSign::Leaving | RowSign::Gone => return FirstLook::Cause(BreakCause::Leaving),
+        RowSign::Restarted => return FirstLook::Cause(FailureCause::Crashed),
+        RowSign::Leaving | RowSign::Gone => return FirstLook::Cause(FailureCause::Leaving),
     }
-    match context.breaks.look(context, entry).await {
-        BackendSign::Ended => FirstLook::Cause(BreakCause::Ended),
-        sign @ (BackendSign::Lives | BackendSign::Unclear) => FirstLook::Sign(sign),
+    match context.probes.look(context, entry).await {
+        ProbeResult::Refused => FirstLook::Cause(FailureCause::Crashed),
+        sign @ (ProbeResult::Reachable | ProbeResult::NoResponse) => FirstLook::Sign(sign),
     }
 }
 
@@ -169,8 +169,8 @@
 async fn watch_row(
     context: &ForwardContext,
     entry: &Arc<BackendEntry>,
-    sign: BackendSign,
-) -> BreakCause {
+    sign: ProbeResult,
+) -> FailureCause {
     let mut directory = context.directory.clone();
     let told = directory.wait_for(|view| row_sign(view, entry) != RowSign::Ready);
     let row = match tokio::time::timeout(WATCHED_FOR, told).await {
@@ -179,10 +179,10 @@
         Err(_elapsed) => RowSign::Ready,
     };
     match (row, sign) {
-        (RowSign::Restarted, _) | (RowSign::Gone, BackendSign::Unclear) => BreakCause::Ended,
-        (_, BackendSign::Lives) => BreakCause::Lives,
-        (RowSign::Leaving, _) => BreakCause::Leaving,
-        (RowSign::Ready | RowSign::Gone, _) => BreakCause::Unclear,
+        (RowSign::Restarted, _) | (RowSign::Gone, ProbeResult::NoResponse) => FailureCause::Crashed,
+        (_, ProbeResult::Reachable) => FailureCause::Alive,
+        (RowSign::Leaving, _) => FailureCause::Leaving,
+        (RowSign::Ready | RowSign::Gone, _) => FailureCause::Unknown,
     }
 }
 
--- a/crates/dillspool_forward/src/calls.rs
+++ b/crates/dillspool_forward/src/calls.rs
@@ -54,7 +54,7 @@
 
 /// How soon an engine should take up work, relative to other work that waits there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorkRank {
+pub enum WorkPriority {
     /// An answer that can be in time.
     Normal,
     /// An answer that is late whatever happens; it yields to those that can be in time.
@@ -63,20 +63,20 @@
 
 /// What is said beside the request itself when its prompt is to be read.
 #[derive(Clone, Copy, Debug)]
-pub struct PrefillTerms {
+pub struct PrefillParams {
     /// Time after which the result is of no use.
     pub limit: Duration,
     /// Its place among the prompts that wait.
-    pub rank: WorkRank,
+    pub priority: WorkPriority,
 }
 
 /// What is said beside the request itself when it is sent to a backend server.
 #[derive(Clone, Debug, Default)]
-pub struct ForwardTerms {
+pub struct ForwardParams {
     /// Time that the backend server may take.
     pub time_budget: Duration,
     /// Reservation of memory that the request uses up.
-    pub hold: Option<Name>,
+    pub reservation: Option<Name>,
     /// Where the engine fetches the prompt's KV cache.
     pub prefilled: Option<PrefilledPrompt>,
     /// Last event that the caller has; the stream goes on behind it.
@@ -85,11 +85,11 @@
 
 /// How much memory is reserved, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HoldTerms {
+pub struct ReservationParams {
     /// Tokens to reserve.
     pub tokens: u64,
     /// Life of the reservation.
-    pub life: Duration,
+    pub ttl: Duration,
 }
 
 /// A change of the part that an engine plays.
@@ -119,13 +119,13 @@
 /// Head and body of an answer, with what its head proves.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each is one fact of the head")]
-pub struct BackendAnswer {
+pub struct BackendResponse {
     /// Status of the answer.
     pub status: StatusCode,
     /// Headers for the caller.
     pub headers: HeaderMap,
     /// Whether the answer names the request it belongs to.
-    pub names_request: bool,
+    pub matches_request_id: bool,
     /// Whether it carries the backend server's own seal.
     pub is_sealed: bool,
     /// Whether the body is encoded, though nobody asked for that.
@@ -136,14 +136,14 @@
     pub body: ResponseBody,
 }
 
-impl BackendAnswer {
+impl BackendResponse {
     /// Whether it is a success that this backend server gave to this request.
-    pub fn is_genuine_success(&self) -> bool {
-        self.status.is_success() && self.names_request && self.is_sealed && !self.is_encoded
+    pub fn is_verified_success(&self) -> bool {
+        self.status.is_success() && self.matches_request_id && self.is_sealed && !self.is_encoded
     }
 
     /// Whether it is a failure that may be given to the caller as it is.
-    pub fn is_genuine_failure(&self) -> bool {
+    pub fn is_verified_failure(&self) -> bool {
         // A promise that nothing ran must be backed by the backend server's own word.
         let promises = matches!(
             self.status,
@@ -153,31 +153,31 @@
                 | StatusCode::MISDIRECTED_REQUEST
         );
         let failed = self.status.is_client_error() || self.status.is_server_error();
-        failed && !promises && self.names_request && self.is_sealed && !self.is_encoded
+        failed && !promises && self.matches_request_id && self.is_sealed && !self.is_encoded
     }
 }
 
 /// What a look at a backend server found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackendSign {
+pub enum ProbeResult {
     /// It takes connections.
-    Lives,
+    Reachable,
     /// Its machine says that nobody takes connections there.
-    Ended,
+    Refused,
     /// No answer.
-    Unclear,
+    NoResponse,
 }
 
 type Reply<T> = BoxFuture<Result<T, CallError>>;
-type ForwardFn = dyn Fn(Arc<BackendEntry>, Arc<RoutedRequest>, ForwardTerms) -> Reply<BackendAnswer>
+type ForwardFn = dyn Fn(Arc<BackendEntry>, Arc<RoutedRequest>, ForwardParams) -> Reply<BackendResponse>
     + Send
     + Sync;
-type PrefillFn = dyn Fn(Arc<BackendEntry>, Arc<RoutedRequest>, PrefillTerms) -> Reply<PrefilledPrompt>
+type PrefillFn = dyn Fn(Arc<BackendEntry>, Arc<RoutedRequest>, PrefillParams) -> Reply<PrefilledPrompt>
     + Send
     + Sync;
-type ReserveFn = dyn Fn(Arc<BackendEntry>, HoldTerms) -> Reply<Name> + Send + Sync;
+type ReserveFn = dyn Fn(Arc<BackendEntry>, ReservationParams) -> Reply<Name> + Send + Sync;
 type ReleaseFn = dyn Fn(Arc<BackendEntry>, Name) -> Reply<()> + Send + Sync;
-type LookFn = dyn Fn(Arc<BackendEntry>) -> BoxFuture<BackendSign> + Send + Sync;
+type ProbeFn = dyn Fn(Arc<BackendEntry>) -> BoxFuture<ProbeResult> + Send + Sync;
 type OrderFn = dyn Fn(Arc<BackendEntry>, StageOrder) -> Reply<OrderOutcome> + Send + Sync;
 
 /// The calls to backend servers.
@@ -192,11 +192,11 @@
     /// Reserves memory and a slot.
     pub reserve: Arc<ReserveFn>,
     /// Gives a reservation back.
-    pub release_hold: Arc<ReleaseFn>,
+    pub release_reservation: Arc<ReleaseFn>,
     /// Gives a prefill's result up.
     pub release_prefill: Arc<ReleaseFn>,
     /// Opens a connection and closes it, to see whether the backend server takes any.
-    pub look: Arc<LookFn>,
+    pub probe: Arc<ProbeFn>,
     /// Gives an order.
     pub order: Arc<OrderFn>,
 }
--- a/crates/dillspool_forward/src/context.rs
+++ b/crates/dillspool_forward/src/context.rs
@@ -11,8 +11,8 @@
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
 
+use crate::backend_probe::BackendProbes;
 use crate::book::BackendBook;
-use crate::broken_run::BreakLooks;
 use crate::budget::RetryBudgets;
 use crate::calls::{BackendCalls, CallError};
 use crate::choose::Chooser;
@@ -20,7 +20,7 @@
 use crate::trace::log_overruled;
 
 /// Why something under way at a backend server is lost.
-pub(crate) const STARTED_AGAIN: &str = "it started again";
+pub(crate) const RESTARTED_CAUSE: &str = "it started again";
 /// Time for which something under way is still waited for once its backend server is known to have started
 /// again: what the start before had sent comes within some round trips, and events a few dozen
 /// milliseconds apart come if it lives on beside its successor.
@@ -50,7 +50,7 @@
     /// Budget of repeated sends.
     pub budgets: RetryBudgets,
     /// Looks at backend servers whose runs broke off.
-    pub breaks: BreakLooks,
+    pub probes: BackendProbes,
     /// Requests under which backend servers ended.
     pub suspects: SuspectDesk,
     /// Counters and histograms.
@@ -83,7 +83,7 @@
 
     /// Waits until the directory shows another start of a backend server, and a moment longer for what
     /// the one before may still send; for ever where no start is told.
-    pub(crate) async fn restarted(&self, entry: &BackendEntry) {
+    pub(crate) async fn wait_for_restart(&self, entry: &BackendEntry) {
         let mut directory = self.directory.clone();
         if entry.start.is_none()
             || directory.wait_for(|view| view.has_restarted(entry)).await.is_err()
@@ -95,7 +95,7 @@
 
     /// Waits for a call to a backend server, but no longer than its start lasts: one that has started again
     /// does not answer what was asked before.
-    pub(crate) async fn while_started<T>(
+    pub(crate) async fn cancel_on_restart<T>(
         &self,
         entry: &BackendEntry,
         call: impl Future<Output = Result<T, CallError>>,
@@ -103,7 +103,7 @@
         tokio::select! {
             biased;
             answer = call => answer,
-            () = self.restarted(entry) => Err(CallError::Lost { reason: STARTED_AGAIN.to_owned() }),
+            () = self.wait_for_restart(entry) => Err(CallError::Lost { reason: RESTARTED_CAUSE.to_owned() }),
         }
     }
 
--- a/crates/dillspool_forward/src/generate.rs
+++ b/crates/dillspool_forward/src/generate.rs
@@ -1,7 +1,7 @@
 //! Model requests: decode memory first, then the prefill, then the stream.
 
-mod preparing;
-mod sending;
+mod prepare;
+mod send;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use crate::broken_run::{BreakLook, trace_break};
-use crate::context::{ForwardContext, STARTED_AGAIN};
+use crate::backend_probe::{ProbeHandle, spawn_failure_probe};
+use crate::context::{ForwardContext, RESTARTED_CAUSE};
 use crate::placement::{Placement, StreamTicket};
 use crate::prefill::PrefillGuard;
 use crate::refusal::{Refusal, RefusalCause};
@@ -97,7 +97,7 @@
     tried: TriedBackends,
     may_have_run: bool,
     /// Finds out why the last run broke off.
-    look: Option<BreakLook>,
+    look: Option<ProbeHandle>,
     /// Until when an answer under way waits for other engines.
     wait_until: Option<Instant>,
     /// How the stream came to its first event.
@@ -167,7 +167,7 @@
         Box::pin(async move {
             tokio::select! {
                 () = request.until_deadline() => "the time limit",
-                () = context.restarted(&entry) => STARTED_AGAIN,
+                () = context.wait_for_restart(&entry) => RESTARTED_CAUSE,
             }
         })
     }
@@ -187,7 +187,7 @@
 
     pub(crate) fn note_broken(&mut self, open: &OpenStream, cause: &str) {
         self.may_have_run = true;
-        self.look = Some(trace_break(&self.context, &self.request, &open.entry));
+        self.look = Some(spawn_failure_probe(&self.context, &self.request, &open.entry));
         self.note_no_answer(&open.entry, &open.ticket, cause);
         self.tried.push(&open.entry);
     }
@@ -232,5 +232,5 @@
 
 fn come_back(cause: RefusalCause, range: std::ops::Range<u64>) -> Refusal {
     let after = rand::rng().random_range(range);
-    Refusal::come_back(cause, Duration::from_millis(after))
+    Refusal::with_retry_after(cause, Duration::from_millis(after))
 }
--- a/crates/dillspool_forward/src/generate/preparing.rs
+++ b/crates/dillspool_forward/src/generate/prepare.rs
@@ -8,14 +8,14 @@
 use tokio::time::Instant;
 
 use super::{Generation, PreparedSend};
-use crate::broken_run::may_run_again;
-use crate::calls::WorkRank;
+use crate::backend_probe::may_retry;
+use crate::calls::WorkPriority;
 use crate::placement::{Placement, place, placement_request};
 use crate::prefill::{PrefillGuard, prefill};
 use crate::refusal::{Refusal, RefusalCause};
 use crate::stages::FirstEventStages;
 use crate::throttle::{choose_permitted, closed_backends, refuse_closed, wait_for_opening};
-use crate::trace::log_budget_empty;
+use crate::trace::log_retry_budget_exhausted;
 
 /// Time without an event after which callers leave: the longest of this, and so many objectives and
 /// pause targets; as the platform's callers do.
@@ -31,7 +31,7 @@
         if self.request.remaining().is_zero() || self.sends >= self.request.route.max_attempts {
             return Err(self.conclude());
         }
-        if self.may_have_run && !may_run_again(&self.context, &self.request, &mut self.look).await {
+        if self.may_have_run && !may_retry(&self.context, &self.request, &mut self.look).await {
             return Err(self.conclude());
         }
         let placing = self.request.clock.timeout_at(self.request.deadline, self.place()).await;
@@ -49,7 +49,7 @@
             self.stages = FirstEventStages { reserved, prefilled, ..FirstEventStages::default() };
         }
         // Its prompt alone may have ended engines.
-        let is_deadly = !may_run_again(&self.context, &self.request, &mut None).await;
+        let is_deadly = !may_retry(&self.context, &self.request, &mut None).await;
         if is_deadly || self.request.remaining().is_zero() {
             return Err(self.conclude());
         }
@@ -67,9 +67,9 @@
 
     /// An answer that is late anyway, as when many callers come back at once, yields to those that
     /// can be in time.
-    fn rank(&self) -> WorkRank {
+    fn rank(&self) -> WorkPriority {
         let under_way = !self.is_before_first_event();
-        if self.request.is_late() && !under_way { WorkRank::Late } else { WorkRank::Normal }
+        if self.request.is_late() && !under_way { WorkPriority::Late } else { WorkPriority::Normal }
     }
 
     pub(super) fn is_before_first_event(&self) -> bool {
@@ -82,7 +82,7 @@
             self.context.metrics.note_repeated_send();
             return Ok(());
         }
-        log_budget_empty(&self.request, &self.context.budgets);
+        log_retry_budget_exhausted(&self.request, &self.context.budgets);
         Err(self.conclude())
     }
 
@@ -136,7 +136,7 @@
         if let Some((entry, _permit)) = choose_permitted(context, request, choose).await {
             return Ok(Placement::without_memory(context, entry));
         }
-        let none = Refusal::come_back(RefusalCause::NoBackend, NO_ENGINE_RETRY);
+        let none = Refusal::with_retry_after(RefusalCause::NoBackend, NO_ENGINE_RETRY);
         Err(refuse_closed(context, request).unwrap_or(none))
     }
 }
--- a/crates/dillspool_forward/src/generate/sending.rs
+++ b/crates/dillspool_forward/src/generate/send.rs
@@ -11,12 +11,12 @@
 use hyper::{HeaderMap, Response, StatusCode};
 
 use super::{Generation, OpenEnd, OpenStream, PreparedSend, SentRequest};
-use crate::broken_run::trace_break;
-use crate::calls::{BackendAnswer, CallError, ForwardTerms};
-use crate::context::STARTED_AGAIN;
-use crate::long_answer::read_held;
+use crate::backend_probe::spawn_failure_probe;
+use crate::calls::{BackendResponse, CallError, ForwardParams};
+use crate::context::RESTARTED_CAUSE;
 use crate::placement::{Placement, StreamTicket};
 use crate::refusal::Refusal;
+use crate::response_body::read_within_budget;
 use crate::trace::log_send_failed;
 
 /// Largest failure body that is passed on, in bytes.
@@ -33,9 +33,9 @@
         }
         let PreparedSend { placement, mut prefill } = prepared;
         let Placement { entry, reserved, mut hold, ticket, prefill: _ } = placement;
-        let terms = ForwardTerms {
+        let terms = ForwardParams {
             time_budget: self.request.remaining(),
-            hold: hold.hold.clone(),
+            reservation: hold.hold.clone(),
             prefilled: prefill.prefilled.clone(),
             resume_after: self.last_event,
         };
@@ -79,12 +79,12 @@
         let lost = engines.find(|engine| view.has_restarted(engine));
         if let Some(lost) = lost {
             // The reservation, or the prompt that was read, is gone with the start before.
-            log_send_failed(&self.request, &lost.id, STARTED_AGAIN);
+            log_send_failed(&self.request, &lost.id, RESTARTED_CAUSE);
         }
         lost.is_none()
     }
 
-    fn log_placed(&self, entry: &BackendEntry, reserved: u64, terms: &ForwardTerms) {
+    fn log_placed(&self, entry: &BackendEntry, reserved: u64, terms: &ForwardParams) {
         let generation = self.request.generation.as_ref();
         let (prompt, guess) = generation.map_or((0, 0), |terms| {
             (terms.prompt_tokens, terms.output_hint.unwrap_or(terms.output_limit))
@@ -103,12 +103,12 @@
     async fn forward(
         &self,
         entry: &Arc<BackendEntry>,
-        terms: ForwardTerms,
-    ) -> Result<BackendAnswer, CallError> {
+        terms: ForwardParams,
+    ) -> Result<BackendResponse, CallError> {
         let remaining = self.request.remaining();
         let call =
             (self.context.calls.forward)(Arc::clone(entry), Arc::clone(&self.request), terms);
-        let call = self.context.while_started(entry, call);
+        let call = self.context.cancel_on_restart(entry, call);
         let silent = |MomentPassed| CallError::Lost { reason: format!("silent for {remaining:?}") };
         self.request.clock.timeout_at(self.request.deadline, call).await.map_err(silent)?
     }
@@ -116,7 +116,7 @@
     async fn take_head(
         &mut self,
         sent: SentRequest,
-        answer: BackendAnswer,
+        answer: BackendResponse,
     ) -> Result<Option<OpenEnd>, Refusal> {
         let SentRequest { entry, ticket, read_at_decode } = sent;
         if answer.did_not_run {
@@ -124,7 +124,7 @@
             return Ok(None);
         }
         let (status, headers) = (answer.status, answer.headers.clone());
-        if answer.is_genuine_success() {
+        if answer.is_verified_success() {
             ticket.note(&DeskNote::Started);
             if self.is_before_first_event() {
                 self.stages.opened = self.request.age();
@@ -133,11 +133,11 @@
             let open = OpenStream { entry, status, body, read_at_decode, ticket };
             return Ok(Some(OpenEnd::Stream(open, headers)));
         }
-        if !answer.is_genuine_failure() {
+        if !answer.is_verified_failure() {
             let cause = format!("status {} without proof of its origin", status.as_u16());
             return self.note_unclear(&entry, &ticket, &cause);
         }
-        let reading = read_held(&self.request.held, answer.body, LARGEST_FAILURE);
+        let reading = read_within_budget(&self.request.held, answer.body, LARGEST_FAILURE);
         match self.request.clock.timeout_at(self.request.deadline, reading).await {
             Ok(Ok(body)) => Ok(Some(self.pass_failure(&entry, &ticket, status, headers, body))),
             Ok(Err(error)) => self.note_unclear(&entry, &ticket, &error.to_string()),
@@ -177,7 +177,7 @@
         cause: &str,
     ) -> Result<Option<OpenEnd>, Refusal> {
         self.may_have_run = true;
-        self.look = Some(trace_break(&self.context, &self.request, entry));
+        self.look = Some(spawn_failure_probe(&self.context, &self.request, entry));
         self.note_no_answer(entry, ticket, cause);
         self.note_failed_send(entry, cause);
         if self.request.route.is_repeatable() { Ok(None) } else { Err(self.conclude()) }
--- a/crates/dillspool_forward/src/answer.rs
+++ b/crates/dillspool_forward/src/handle.rs
@@ -15,7 +15,7 @@
 use crate::trace::{RequestTrace, log_suspect_refused};
 
 /// Answers a request; the answer is always final.
-pub async fn answer_request(
+pub async fn handle_request(
     context: ForwardContext,
     request: RoutedRequest,
 ) -> Response<ResponseBody> {
@@ -49,7 +49,7 @@
                     }
                     Ok(answer)
                 }
-                Ok(PlainEnd::Long(answer)) => Ok(answer.pass_on(&context, &request, trace, copy)),
+                Ok(PlainEnd::Long(answer)) => Ok(answer.relay(&context, &request, trace, copy)),
                 Err(refusal) => Err((refusal, trace)),
             }
         }
@@ -78,7 +78,9 @@
         match refused {
             // No time to come back: whenever it comes, it is not run.
             CopyRefusal::Deadly { .. } => Refusal::new(RefusalCause::Deadly),
-            CopyRefusal::CopyRuns { .. } => Refusal::come_back(RefusalCause::CopyRuns, COPY_RETRY),
+            CopyRefusal::CopyRuns { .. } => {
+                Refusal::with_retry_after(RefusalCause::CopyRuns, COPY_RETRY)
+            }
         }
     })
 }
--- a/crates/dillspool_forward/src/lib.rs
+++ b/crates/dillspool_forward/src/lib.rs
@@ -4,9 +4,8 @@
 //! memory, are prefilled, and are streamed event by event. What may be sent again, and when,
 //! is decided here and nowhere else; `docs/design/platform_site.md` has the reasons.
 
-mod answer;
+mod backend_probe;
 mod book;
-mod broken_run;
 mod budget;
 mod calls;
 mod choose;
@@ -14,8 +13,8 @@
 mod decided;
 mod events;
 mod generate;
+mod handle;
 mod limits;
-mod long_answer;
 mod metrics;
 mod placement;
 mod plain;
@@ -23,20 +22,21 @@
 mod reader;
 mod refusal;
 mod relay;
+mod response_body;
 mod stages;
 mod throttle;
 mod trace;
 mod tried;
 
-pub use answer::answer_request;
+pub use backend_probe::BackendProbes;
 pub use book::BackendBook;
-pub use broken_run::BreakLooks;
 pub use budget::{BudgetReading, BudgetTerms, RetryBudgets};
 pub use calls::{
-    BackendAnswer, BackendCalls, BackendSign, CallError, ForwardTerms, HoldTerms, OrderOutcome,
-    PrefillTerms, PrefilledPrompt, StageOrder, WorkRank,
+    BackendCalls, BackendResponse, CallError, ForwardParams, OrderOutcome, PrefillParams,
+    PrefilledPrompt, ProbeResult, ReservationParams, StageOrder, WorkPriority,
 };
 pub use context::ForwardContext;
 pub use events::{EventSplitter, StreamEvent};
+pub use handle::handle_request;
 pub use metrics::{ForwardMetrics, OutcomeLabels};
 pub use refusal::{Refusal, RefusalCause};
--- a/crates/dillspool_forward/src/limits.rs
+++ b/crates/dillspool_forward/src/limits.rs
@@ -53,8 +53,8 @@
                 request.config_version,
                 come_back.as_millis(),
             );
-            Err(Refusal::come_back(RefusalCause::OverLimit, come_back))
+            Err(Refusal::with_retry_after(RefusalCause::OverLimit, come_back))
         }
-        None => Err(Refusal::come_back(RefusalCause::LimitUnknown, UNKNOWN_RETRY)),
+        None => Err(Refusal::with_retry_after(RefusalCause::LimitUnknown, UNKNOWN_RETRY)),
     }
 }
--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -15,11 +15,11 @@
 use dillspool_schema::Name;
 
 use crate::book::LoadTicket;
-use crate::calls::{CallError, HoldTerms};
+use crate::calls::{CallError, ReservationParams};
 use crate::context::ForwardContext;
 use crate::refusal::{Refusal, RefusalCause};
 use crate::throttle::{MOST_CLOSED, RESERVED_SEND, may_release, permit_send, refuse_closed};
-use crate::trace::log_turned_away;
+use crate::trace::log_placement_rejected;
 
 /// Life of a reservation: a prefill, its move and the first event take well under a second, and
 /// a longer one keeps memory from others.
@@ -48,7 +48,7 @@
         if !may_release(&self.context, &self.entry) {
             return;
         }
-        let release = (self.context.calls.release_hold)(Arc::clone(&self.entry), hold);
+        let release = (self.context.calls.release_reservation)(Arc::clone(&self.entry), hold);
         let id = BackendId::clone(&self.entry.id);
         self.context.tasks.spawn(async move {
             // A reservation that is not given back lapses by itself.
@@ -173,11 +173,11 @@
         let placement = match decided {
             Some(PlacementDecision::Place(placement)) => placement,
             Some(PlacementDecision::TurnAway { cause, come_back }) => {
-                log_turned_away(context, request, &question, cause, come_back);
+                log_placement_rejected(context, request, &question, cause, come_back);
                 return Err(turned_away(context, request, cause, come_back));
             }
             Some(PlacementDecision::Wait) | None => {
-                return Err(Refusal::come_back(RefusalCause::NoBackend, UNKNOWN_POOL_RETRY));
+                return Err(Refusal::with_retry_after(RefusalCause::NoBackend, UNKNOWN_POOL_RETRY));
             }
         };
         let mut refusals = question.refusals + 1;
@@ -251,7 +251,7 @@
     come_back: Duration,
 ) -> Refusal {
     let closed = (cause == TurnAwayCause::NoEngine).then(|| refuse_closed(context, request));
-    closed.flatten().unwrap_or(Refusal::come_back(refusal_cause(cause), come_back))
+    closed.flatten().unwrap_or(Refusal::with_retry_after(refusal_cause(cause), come_back))
 }
 
 fn refusal_cause(cause: TurnAwayCause) -> RefusalCause {
@@ -271,7 +271,7 @@
     entry: &Arc<BackendEntry>,
     placement: &StreamPlacement,
 ) -> Result<Name, CallError> {
-    let terms = HoldTerms { tokens: placement.reserve_tokens, life: HOLD_LIFE };
+    let terms = ReservationParams { tokens: placement.reserve_tokens, ttl: HOLD_LIFE };
     let error = match (context.calls.reserve)(Arc::clone(entry), terms).await {
         Ok(hold) => return Ok(hold),
         Err(error) => error,
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -13,14 +13,14 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use crate::broken_run::{may_run_again, trace_break};
-use crate::calls::{CallError, ForwardTerms};
+use crate::backend_probe::{may_retry, spawn_failure_probe};
+use crate::calls::{CallError, ForwardParams};
 use crate::context::ForwardContext;
 use crate::decided::{SendChoice, choose_decided};
-use crate::long_answer::{AnswerStart, LongAnswer, read_start};
 use crate::refusal::{Refusal, RefusalCause};
+use crate::response_body::{BufferedBody, PartialResponse, buffer_body};
 use crate::throttle::{SendPermit, all_closed, choose_permitted, refuse_closed};
-use crate::trace::{RequestTrace, log_budget_empty, log_send_failed};
+use crate::trace::{RequestTrace, log_retry_budget_exhausted, log_send_failed};
 use crate::tried::TriedBackends;
 
 /// Backend servers that may turn out unreachable for one request.
@@ -34,7 +34,7 @@
     /// The backend server's own answer, whole.
     Whole(WholeAnswer),
     /// The same, of which only the start was read.
-    Long(Box<LongAnswer>),
+    Long(Box<PartialResponse>),
     /// Nothing was sent.
     NotSent(String),
     /// The backend server did not run it.
@@ -62,7 +62,7 @@
     /// It was read to its end.
     Whole(Response<ResponseBody>),
     /// It is to be passed on as it arrives.
-    Long(Box<LongAnswer>),
+    Long(Box<PartialResponse>),
 }
 
 /// An answer that was read to its end.
@@ -161,11 +161,11 @@
     let mut look = None;
     // Dropped after a send that is given up, so its place is free once the connection is closed.
     let mut ticket = context.call_client.open(&request.service);
-    while may_run_again(context, request, &mut look).await
+    while may_retry(context, request, &mut look).await
         && let Some((entry, directory, permit)) =
             next_backend(context, request, &mut record, &mut ticket).await
     {
-        trace.chose(&entry.id, directory);
+        trace.record_backend(&entry.id, directory);
         record.tried.push(&entry);
         let limit = send_limit(request, &record);
         let started = Instant::now();
@@ -188,7 +188,7 @@
             }
             failed => {
                 if matches!(failed, SendOutcome::Unclear(_)) {
-                    look = Some(trace_break(context, request, &entry));
+                    look = Some(spawn_failure_probe(context, request, &entry));
                 }
                 if matches!(failed, SendOutcome::NotSent(_)) {
                     permit.give_back();
@@ -235,7 +235,7 @@
     };
     if record.sends > 0 {
         if !context.budgets.take(&request.service) {
-            log_budget_empty(request, &context.budgets);
+            log_retry_budget_exhausted(request, &context.budgets);
             permit.give_back();
             return None;
         }
@@ -262,29 +262,29 @@
 ) -> SendOutcome {
     let ticket = context.book.enter(&entry.started());
     let sent_at = request.clock.now();
-    let terms = ForwardTerms { time_budget: request.remaining(), ..ForwardTerms::default() };
+    let terms = ForwardParams { time_budget: request.remaining(), ..ForwardParams::default() };
     let exchange = async {
         let answer = (context.calls.forward)(Arc::clone(entry), Arc::clone(request), terms).await?;
         if answer.did_not_run {
             return Err(CallError::Refused { status: answer.status });
         }
-        if !answer.is_genuine_success() && !answer.is_genuine_failure() {
+        if !answer.is_verified_success() && !answer.is_verified_failure() {
             let reason = format!("status {} without proof of its origin", answer.status.as_u16());
             return Err(CallError::Lost { reason });
         }
         let (status, headers) = (answer.status, answer.headers);
-        let start = read_start(request, answer.body)
+        let start = buffer_body(request, answer.body)
             .await
             .map_err(|error| CallError::Lost { reason: error.to_string() })?;
         Ok((status, headers, start))
     };
-    match request.clock.timeout(limit, context.while_started(entry, exchange)).await {
-        Ok(Ok((status, headers, AnswerStart::Whole(body)))) => {
+    match request.clock.timeout(limit, context.cancel_on_restart(entry, exchange)).await {
+        Ok(Ok((status, headers, BufferedBody::Complete(body)))) => {
             SendOutcome::Whole(WholeAnswer { status, headers, body })
         }
-        Ok(Ok((status, headers, AnswerStart::Longer(parts, body)))) => {
+        Ok(Ok((status, headers, BufferedBody::Partial(parts, body)))) => {
             let entry = Arc::clone(entry);
-            let answer = LongAnswer {
+            let answer = PartialResponse {
                 status,
                 headers,
                 parts,
@@ -325,7 +325,7 @@
     if let Some((RejectCause::NoRoom, retry_after)) = record.rejected
         && !request.remaining().is_zero()
     {
-        return Err(Refusal::come_back(RefusalCause::NoRoom, retry_after));
+        return Err(Refusal::with_retry_after(RefusalCause::NoRoom, retry_after));
     }
     let cause = match (record.tried.is_empty(), request.remaining().is_zero()) {
         (_, true) => RefusalCause::TooLateNotRun,
@@ -335,8 +335,8 @@
     if let Some((RejectCause::NoServer, retry_after)) = record.rejected
         && cause == RefusalCause::NoBackend
     {
-        return Err(Refusal::come_back(cause, retry_after));
+        return Err(Refusal::with_retry_after(cause, retry_after));
     }
     let part = rand::rng().random_range(COME_BACK_PARTS);
-    Err(Refusal::come_back(cause, request.route.objective.mul_f64(part)))
+    Err(Refusal::with_retry_after(cause, request.route.objective.mul_f64(part)))
 }
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -9,13 +9,13 @@
 use dillspool_scheduler::DeskNote;
 use tokio::time::Instant;
 
-use crate::broken_run::{may_run_again, trace_break};
+use crate::backend_probe::{may_retry, spawn_failure_probe};
 use crate::budget::BudgetPermit;
-use crate::calls::{CallError, PrefillTerms, PrefilledPrompt, WorkRank};
+use crate::calls::{CallError, PrefillParams, PrefilledPrompt, WorkPriority};
 use crate::context::ForwardContext;
 use crate::placement::{Placement, placement_request};
 use crate::throttle::{MOST_CLOSED, ONE_SEND, charge_send, may_release, permit_send};
-use crate::trace::log_budget_empty;
+use crate::trace::log_retry_budget_exhausted;
 
 /// Longest wait for a prefill; its engine queues prompts one after another. One that is given up
 /// may be read for nothing, at nearly the worth of its answer.
@@ -59,7 +59,7 @@
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     placement: &Placement,
-    rank: WorkRank,
+    rank: WorkPriority,
 ) -> PrefillGuard {
     let mut guard = PrefillGuard::empty(context);
     guard.prefilled = prefill_at(context, request, placement, rank).await;
@@ -74,7 +74,7 @@
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     placement: &Placement,
-    rank: WorkRank,
+    rank: WorkPriority,
 ) -> Option<PrefilledPrompt> {
     let mut next = placement.prefill.clone();
     let mut tried = Vec::new();
@@ -92,7 +92,7 @@
             continue;
         };
         let Some(permit) = context.budgets.reserve(&request.service) else {
-            log_budget_empty(request, &context.budgets);
+            log_retry_budget_exhausted(request, &context.budgets);
             send.give_back();
             return None;
         };
@@ -116,8 +116,8 @@
             send.give_back();
         }
         if matches!(error, CallError::Lost { .. }) {
-            let mut look = Some(trace_break(context, request, &entry));
-            if !may_run_again(context, request, &mut look).await {
+            let mut look = Some(spawn_failure_probe(context, request, &entry));
+            if !may_retry(context, request, &mut look).await {
                 return None;
             }
         }
@@ -134,10 +134,10 @@
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     placement: &Placement,
-    rank: WorkRank,
+    rank: WorkPriority,
     tried: &[BackendId],
 ) -> Option<BackendId> {
-    let class = if rank == WorkRank::Late { WorkClass::Late } else { WorkClass::InTime };
+    let class = if rank == WorkPriority::Late { WorkClass::Late } else { WorkClass::InTime };
     let question = placement_request(context, request, class, request.remaining(), tried);
     placement.ticket.ask_prefill(&question).await
 }
@@ -155,13 +155,13 @@
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     entry: &Arc<BackendEntry>,
-    rank: WorkRank,
+    rank: WorkPriority,
 ) -> Result<PrefilledPrompt, CallError> {
     context.metrics.note_prefill();
     let limit = request.remaining().min(PREFILL_LIMIT);
-    let terms = PrefillTerms { limit, rank };
+    let terms = PrefillParams { limit, priority: rank };
     let call = (context.calls.prefill)(Arc::clone(entry), Arc::clone(request), terms);
-    let call = context.while_started(entry, call);
+    let call = context.cancel_on_restart(entry, call);
     let started = Instant::now();
     let ended = request.clock.timeout(limit, call).await;
     let took = started.elapsed();
--- a/crates/dillspool_forward/src/refusal.rs
+++ b/crates/dillspool_forward/src/refusal.rs
@@ -130,7 +130,7 @@
     }
 
     /// A refusal of a request that did not run.
-    pub fn come_back(cause: RefusalCause, after: Duration) -> Self {
+    pub fn with_retry_after(cause: RefusalCause, after: Duration) -> Self {
         Self { cause, retry_after: Some(after) }
     }
 
--- a/crates/dillspool_forward/src/relay.rs
+++ b/crates/dillspool_forward/src/relay.rs
@@ -206,7 +206,7 @@
             }
             Err(refusal) => {
                 let detail = format!("{cause}; not resumed: {}", refusal.cause.name());
-                self.trace.broken(&detail, &self.generation.stages, &self.figures);
+                self.trace.stream_broken(&detail, &self.generation.stages, &self.figures);
                 Err(detail.into())
             }
         }
--- a/crates/dillspool_forward/src/long_answer.rs
+++ b/crates/dillspool_forward/src/response_body.rs
@@ -22,9 +22,9 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use tokio::sync::mpsc;
 
+use crate::backend_probe::spawn_failure_probe;
 use crate::book::LoadTicket;
-use crate::broken_run::trace_break;
-use crate::context::{ForwardContext, STARTED_AGAIN};
+use crate::context::{ForwardContext, RESTARTED_CAUSE};
 use crate::trace::RequestTrace;
 
 /// Largest answer that is read whole where bytes held are not limited, in bytes.
@@ -33,41 +33,43 @@
 const BREAK_PAUSE: Duration = Duration::from_millis(20);
 
 /// The body of an answer as far as it was read before any of it is passed on.
-pub(crate) enum AnswerStart {
+pub(crate) enum BufferedBody {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// The first parts, and what is still to be read.
-    Longer(VecDeque<Bytes>, ResponseBody),
+    Partial(VecDeque<Bytes>, ResponseBody),
 }
 
 /// Reads a body to its end, or until it is longer than what is read whole.
-pub(crate) async fn read_start(
+pub(crate) async fn buffer_body(
     request: &RoutedRequest,
     body: ResponseBody,
-) -> Result<AnswerStart, BoxError> {
+) -> Result<BufferedBody, BoxError> {
     let Some(terms) = request.held.terms() else {
-        return read_response_body(body, LARGEST_WHOLE).await.map(AnswerStart::Whole);
+        return read_response_body(body, LARGEST_WHOLE).await.map(BufferedBody::Complete);
     };
     if !request.takes_chunks && body.size_hint().exact().is_none() {
         // Nothing would show the caller that the answer ended early.
-        return read_held(&request.held, body, LARGEST_WHOLE).await.map(AnswerStart::Whole);
+        return read_within_budget(&request.held, body, LARGEST_WHOLE)
+            .await
+            .map(BufferedBody::Complete);
     }
     let mut body = body;
     let mut parts = HeldParts::default();
     while parts.length <= terms.answer_bytes {
         match next_part(&request.held, &mut body).await? {
             Some((bytes, guard)) => parts.push(bytes, guard),
-            None => return Ok(AnswerStart::Whole(parts.join())),
+            None => return Ok(BufferedBody::Complete(parts.join())),
         }
     }
     if body.is_end_stream() {
-        return Ok(AnswerStart::Whole(parts.join()));
+        return Ok(BufferedBody::Complete(parts.join()));
     }
-    Ok(AnswerStart::Longer(parts.separate(), body))
+    Ok(BufferedBody::Partial(parts.separate(), body))
 }
 
 /// Reads the whole body of a response of at most `limit` bytes, charged as it comes.
-pub(crate) async fn read_held(
+pub(crate) async fn read_within_budget(
     held: &ExchangeBytes,
     mut body: ResponseBody,
     limit: usize,
@@ -132,7 +134,7 @@
 }
 
 /// An answer of which a part is still to be read.
-pub(crate) struct LongAnswer {
+pub(crate) struct PartialResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) parts: VecDeque<Bytes>,
@@ -146,9 +148,9 @@
     pub(crate) call: Option<CallTicket>,
 }
 
-impl LongAnswer {
+impl PartialResponse {
     /// The answer to the caller; from now on the request is never sent again.
-    pub(crate) fn pass_on(
+    pub(crate) fn relay(
         self,
         context: &ForwardContext,
         request: &Arc<RoutedRequest>,
@@ -190,7 +192,7 @@
 
 /// An answer on its way; dropping it closes the backend server's connection.
 struct PassedAnswer {
-    answer: LongAnswer,
+    answer: PartialResponse,
     context: ForwardContext,
     request: Arc<RoutedRequest>,
     trace: RequestTrace,
@@ -224,7 +226,7 @@
         let mut over = std::pin::pin!(async {
             tokio::select! {
                 () = request.until_deadline() => "the time limit",
-                () = context.restarted(&entry) => STARTED_AGAIN,
+                () = context.wait_for_restart(&entry) => RESTARTED_CAUSE,
             }
         });
         loop {
@@ -281,11 +283,11 @@
     fn end_broken(&mut self, cause: &str) {
         let entry = &self.answer.entry;
         // Found out beside the request, which is not sent again whatever is found.
-        let _look = trace_break(&self.context, &self.request, entry);
+        let _look = spawn_failure_probe(&self.context, &self.request, entry);
         self.context.book.note_silence(&entry.started(), cause);
         if let Some(mut call) = self.answer.call.take() {
             call.end(CallEnd::Lost, self.request.clock.since(self.answer.sent_at));
         }
-        self.trace.broken_off(cause);
+        self.trace.response_broken(cause);
     }
 }
--- a/crates/dillspool_forward/src/throttle.rs
+++ b/crates/dillspool_forward/src/throttle.rs
@@ -193,7 +193,7 @@
         view.ready(&request.service).filter_map(|it| come_back_after(context, request, it));
     let pause = closed.min()?;
     let spread = request.route.objective.mul_f64(rand::rng().random_range(0.0..SPREAD_PART));
-    Some(Refusal::come_back(RefusalCause::BackendsLimited, pause + spread))
+    Some(Refusal::with_retry_after(RefusalCause::BackendsLimited, pause + spread))
 }
 
 /// Time after which a caller may be served by a backend server that is closed here; `None` for one that is not. A
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -43,7 +43,7 @@
     }
 
     /// A backend server was chosen.
-    pub(crate) fn chose(&mut self, backend: &BackendId, directory: StoreVersion) {
+    pub(crate) fn record_backend(&mut self, backend: &BackendId, directory: StoreVersion) {
         let count = self.choice.as_ref().map_or(0, |choice| choice.count) + 1;
         let backend = BackendId::clone(backend);
         self.choice = Some(BackendChoice { backend, directory, count });
@@ -97,7 +97,7 @@
     }
 
     /// The answer broke off; the caller sees its connection break.
-    pub(crate) fn broken(
+    pub(crate) fn stream_broken(
         &mut self,
         detail: &str,
         stages: &FirstEventStages,
@@ -108,7 +108,7 @@
     }
 
     /// An answer that was passed on in part broke off; the caller sees its connection break.
-    pub(crate) fn broken_off(&mut self, detail: &str) {
+    pub(crate) fn response_broken(&mut self, detail: &str) {
         self.end("broken", "", &format!("detail=\"{detail}\""));
     }
 
@@ -176,7 +176,7 @@
 }
 
 /// Another try was due and the budget did not allow it.
-pub(crate) fn log_budget_empty(request: &RoutedRequest, budgets: &RetryBudgets) {
+pub(crate) fn log_retry_budget_exhausted(request: &RoutedRequest, budgets: &RetryBudgets) {
     let reading = budgets.read(&request.service);
     log::info!(
         "event=retry_budget_empty id={} service={} requests={} repeats={} allowed={:.1} hosts={}",
@@ -190,7 +190,7 @@
 }
 
 /// Why a request is refused for want of engines, and what that rested on.
-pub(crate) fn log_turned_away(
+pub(crate) fn log_placement_rejected(
     context: &ForwardContext,
     request: &RoutedRequest,
     question: &PlacementRequest,
--- a/crates/dillspool_forward/tests/admission.rs
+++ b/crates/dillspool_forward/tests/admission.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, pool, request};
-use dillspool_forward::answer_request;
+use dillspool_forward::handle_request;
 use dillspool_routing::RequestKind;
 
 struct MemoryCase {
@@ -92,7 +92,7 @@
         generation.output_hint = case.hint;
     }
     let started = tokio::time::Instant::now();
-    let answer = answer_request(context, routed).await;
+    let answer = handle_request(context, routed).await;
     let status = if case.placed.is_some() { 200 } else { 503 };
     assert_eq!(answer.status().as_u16(), status, "{}", case.name);
     assert!(started.elapsed() < Duration::from_millis(75), "{}: decided at once", case.name);
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -11,9 +11,9 @@
 use dillspool_admission::AdmissionPolicy;
 use dillspool_capacity::DemandMeter;
 use dillspool_forward::{
-    BackendAnswer, BackendBook, BackendCalls, BackendSign, BreakLooks, BudgetTerms, CallError,
-    ForwardContext, ForwardMetrics, ForwardTerms, OrderOutcome, PrefilledPrompt, RetryBudgets,
-    WorkRank,
+    BackendBook, BackendCalls, BackendProbes, BackendResponse, BudgetTerms, CallError,
+    ForwardContext, ForwardMetrics, ForwardParams, OrderOutcome, PrefilledPrompt, ProbeResult,
+    RetryBudgets, WorkPriority,
 };
 use dillspool_io::{ExchangeBytes, HostClock, full_body};
 use dillspool_routing::{
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub backend: String,
-    pub terms: ForwardTerms,
+    pub terms: ForwardParams,
     pub at: Instant,
 }
 
@@ -79,7 +79,7 @@
 pub struct Record {
     pub arrivals: Vec<Arrival>,
     pub prefills: Vec<String>,
-    pub ranks: Vec<WorkRank>,
+    pub ranks: Vec<WorkPriority>,
     /// Whoever was asked for memory.
     pub hold_asks: Vec<String>,
     pub holds: Vec<(String, u64)>,
@@ -217,7 +217,7 @@
                     {
                         let mut record = site.record.lock().unwrap();
                         record.prefills.push(engine.id.to_string());
-                        record.ranks.push(terms.rank);
+                        record.ranks.push(terms.priority);
                     }
                     let takes = *site.prefill_takes.lock().unwrap();
                     tokio::time::sleep(takes).await;
@@ -253,7 +253,7 @@
                     Ok(format!("hold-{}", record.holds.len()).into())
                 })
             }),
-            release_hold: Arc::new(move |_entry, hold| {
+            release_reservation: Arc::new(move |_entry, hold| {
                 let site = hold_dropper.clone();
                 Box::pin(async move {
                     site.record.lock().unwrap().released_holds.push(hold.to_string());
@@ -267,14 +267,14 @@
                     Ok(())
                 })
             }),
-            look: Arc::new(move |entry| {
+            probe: Arc::new(move |entry| {
                 let id = entry.id.to_string();
                 let ended = looker.ended.lock().unwrap().contains(&id);
                 let unclear = looker.unclear.lock().unwrap().contains(&id);
                 let sign = match (ended, unclear) {
-                    (true, _) => BackendSign::Ended,
-                    (false, true) => BackendSign::Unclear,
-                    (false, false) => BackendSign::Lives,
+                    (true, _) => ProbeResult::Refused,
+                    (false, true) => ProbeResult::NoResponse,
+                    (false, false) => ProbeResult::Reachable,
                 };
                 Box::pin(async move { sign })
             }),
@@ -324,7 +324,7 @@
             backend_limits: LimitClient::new(LimitDesk::of_backend_servers(2, HostClock::steady())),
             book: BackendBook::default(),
             budgets: RetryBudgets::new(budget, HostClock::steady()),
-            breaks: BreakLooks::default(),
+            probes: BackendProbes::default(),
             suspects: SuspectDesk::new(SuspectPolicy::default(), HostClock::steady()),
             metrics: ForwardMetrics::default(),
             tasks: TaskTracker::new(),
@@ -334,11 +334,11 @@
 }
 
 /// The backend server's own answer without a body.
-pub fn genuine(status: u16) -> BackendAnswer {
-    BackendAnswer {
+pub fn genuine(status: u16) -> BackendResponse {
+    BackendResponse {
         status: StatusCode::from_u16(status).expect("a status"),
         headers: HeaderMap::new(),
-        names_request: true,
+        matches_request_id: true,
         is_sealed: true,
         is_encoded: false,
         did_not_run: false,
@@ -346,36 +346,41 @@
     }
 }
 
-async fn play(step: Step) -> Result<BackendAnswer, CallError> {
+async fn play(step: Step) -> Result<BackendResponse, CallError> {
     let whole = |status: u16, text: &'static str| {
         let body = full_body(text);
-        BackendAnswer { body, ..genuine(status) }
+        BackendResponse { body, ..genuine(status) }
     };
     match step {
         Step::Answer(status, text) => Ok(whole(status, text)),
-        Step::Unsealed(status) => Ok(BackendAnswer { is_sealed: false, ..whole(status, "x") }),
-        Step::OtherRequest => Ok(BackendAnswer { names_request: false, ..whole(200, "other") }),
-        Step::Encoded => Ok(BackendAnswer { is_encoded: true, ..whole(200, "zip") }),
-        Step::NotRun(status) => Ok(BackendAnswer { did_not_run: true, ..whole(status, "") }),
+        Step::Unsealed(status) => Ok(BackendResponse { is_sealed: false, ..whole(status, "x") }),
+        Step::OtherRequest => {
+            Ok(BackendResponse { matches_request_id: false, ..whole(200, "other") })
+        }
+        Step::Encoded => Ok(BackendResponse { is_encoded: true, ..whole(200, "zip") }),
+        Step::NotRun(status) => Ok(BackendResponse { did_not_run: true, ..whole(status, "") }),
         Step::Unreachable => Err(CallError::NotSent { reason: "unreachable".to_owned() }),
         Step::Lost => Err(CallError::Lost { reason: "reset".to_owned() }),
         Step::Silent => std::future::pending().await,
         Step::Stream(parts) => {
-            Ok(BackendAnswer { body: parts_body(parts, true), ..whole(200, "") })
+            Ok(BackendResponse { body: parts_body(parts, true), ..whole(200, "") })
         }
         Step::Broken(parts) => {
-            Ok(BackendAnswer { body: parts_body(parts, false), ..whole(200, "") })
+            Ok(BackendResponse { body: parts_body(parts, false), ..whole(200, "") })
         }
         Step::Paced(parts) => {
-            Ok(BackendAnswer { body: paced_body(parts, Duration::ZERO), ..whole(200, "") })
+            Ok(BackendResponse { body: paced_body(parts, Duration::ZERO), ..whole(200, "") })
         }
         Step::StalledFailure(status) => {
             let body = paced_body(vec![(0, "part")], Duration::from_mins(10));
-            Ok(BackendAnswer { body, ..whole(status, "") })
+            Ok(BackendResponse { body, ..whole(status, "") })
         }
         Step::Stalled(parts) => {
             let parts = parts.into_iter().map(|part| (0, part)).collect();
-            Ok(BackendAnswer { body: paced_body(parts, Duration::from_mins(10)), ..whole(200, "") })
+            Ok(BackendResponse {
+                body: paced_body(parts, Duration::from_mins(10)),
+                ..whole(200, "")
+            })
         }
     }
 }
--- a/crates/dillspool_forward/tests/decided.rs
+++ b/crates/dillspool_forward/tests/decided.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use common::{ScriptedSite, Step, entry, request, view};
-use dillspool_forward::{BudgetTerms, ForwardContext, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetTerms, ForwardContext, RetryBudgets, handle_request};
 use dillspool_io::{HostClock, read_response_body};
 use dillspool_routing::RequestKind::{Idempotent, NonIdempotent};
 use dillspool_routing::{
@@ -146,7 +146,7 @@
             let host = DecidingHost::start(&site, known, slots_per_host).await;
             assert_eq!(host.desk.is_scheduled("service"), is_decided, "{name}");
             let routed = request(case.kind, case.max_attempts, false);
-            let answer = answer_request(host.context.clone(), routed).await;
+            let answer = handle_request(host.context.clone(), routed).await;
             assert_eq!(answer.status().as_u16(), case.status, "{name}");
             assert_eq!(answer.headers().contains_key(RETRY_AFTER), case.retry_after, "{name}");
             let record = site.record.lock().unwrap();
@@ -175,7 +175,7 @@
         let host = DecidingHost::start(&site, view([small("first", "near")]), 10.0).await;
         for _call in 0..calls {
             let routed = request(NonIdempotent, 1, false);
-            let _answer = answer_request(host.context.clone(), routed).await;
+            let _answer = handle_request(host.context.clone(), routed).await;
         }
         let (_service, reading) = host.desk.read().pop().expect("a queue");
         assert_eq!(reading.servers[0].is_blocked, expected, "{step:?} {calls} times");
@@ -190,7 +190,7 @@
     let host = DecidingHost::start(&site, view([small("first", "near")]), 10.0).await;
     let mut callers: Vec<_> = (0..8)
         .map(|_caller| {
-            let answer = answer_request(host.context.clone(), request(NonIdempotent, 1, false));
+            let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
             tokio::spawn(answer)
         })
         .collect();
@@ -216,7 +216,7 @@
     let began = Instant::now();
     let calls = 20;
     let callers = (0..calls).map(|_caller| async {
-        let answer = answer_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
+        let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
         let invites = answer.headers().contains_key(RETRY_AFTER);
         let (status, took) = (answer.status().as_u16(), began.elapsed());
         let body = read_response_body(answer.into_body(), 100).await.expect("a whole body");
@@ -357,7 +357,7 @@
         }
         assert!(host.desk.is_scheduled("service"), "{}", case.name);
         let asked = Instant::now();
-        let answer = answer_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
+        let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
         assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
         assert!(asked.elapsed() < Duration::from_millis(50), "{}: held up", case.name);
         if case.status == 503 {
@@ -383,7 +383,7 @@
     host.context.budgets.set_hosts(8);
     for _request in 0..100 {
         let routed = request(Idempotent, 2, false);
-        let _answer = answer_request(host.context.clone(), routed).await;
+        let _answer = handle_request(host.context.clone(), routed).await;
     }
     let extras = site.record.lock().unwrap().arrivals.len() - 100;
     assert!((10..=21).contains(&extras), "{extras}");
@@ -408,7 +408,7 @@
         let known = view([small("first", "near")]);
         let host = DecidingHost::start_by(&site, known, 10.0, clock).await;
         is_stopped.store(true, Relaxed);
-        let answer = answer_request(host.context.clone(), request(NonIdempotent, 1, false));
+        let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
         let caller = tokio::spawn(answer);
         tokio::time::sleep(Duration::from_millis(1)).await;
         assert_eq!(site.record.lock().unwrap().arrivals.len(), 1, "{stop_ms} ms");
--- a/crates/dillspool_forward/tests/late_causes.rs
+++ b/crates/dillspool_forward/tests/late_causes.rs
@@ -7,7 +7,7 @@
 
 use common::{ONE, ScriptedSite, Step, TWO, pool, request};
 use dillspool_cases::run_paused;
-use dillspool_forward::answer_request;
+use dillspool_forward::handle_request;
 use dillspool_io::read_response_body;
 use dillspool_routing::{RequestKind, RoutedRequest};
 use log::{LevelFilter, Log, Metadata, Record};
@@ -122,7 +122,7 @@
             let (context, _directory) = site.context(pool());
             let mut routed = request(RequestKind::Streaming, 2, true);
             (case.change)(&mut routed);
-            let answer = answer_request(context, routed).await;
+            let answer = handle_request(context, routed).await;
             read_response_body(answer.into_body(), 10_000).await.expect("a whole stream");
         });
         let lines = CAPTURE.lines.lock().unwrap();
--- a/crates/dillspool_forward/tests/limits.rs
+++ b/crates/dillspool_forward/tests/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ScriptedSite, Step, entry, pool, request, view};
-use dillspool_forward::{ForwardContext, answer_request};
+use dillspool_forward::{ForwardContext, handle_request};
 use dillspool_routing::RequestKind::{Idempotent, NonIdempotent, Streaming};
 use dillspool_routing::{
     DirectoryView, LimitUnit, RequestKind, RoutedRequest, WorkspaceEntry, WorkspaceLimit,
@@ -23,7 +23,7 @@
 async fn statuses(context: &ForwardContext, routed: &RoutedRequest, count: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for _request in 0..count {
-        let answer = answer_request(context.clone(), routed.clone()).await;
+        let answer = handle_request(context.clone(), routed.clone()).await;
         statuses.push(answer.status().as_u16());
     }
     statuses
@@ -79,7 +79,7 @@
     let before = tokio::time::Instant::now();
     let mut times = Vec::new();
     for _request in 0..3 {
-        let answer = answer_request(context.clone(), routed.clone()).await;
+        let answer = handle_request(context.clone(), routed.clone()).await;
         assert_eq!(answer.status().as_u16(), 429);
         let after = answer.headers()["retry-after"].to_str().expect("text").to_owned();
         times.push(after.parse::<f64>().expect("seconds"));
--- a/crates/dillspool_forward/tests/log_lines.rs
+++ b/crates/dillspool_forward/tests/log_lines.rs
@@ -6,7 +6,7 @@
 
 use common::{ONE, ScriptedSite, Step, entry, request, view};
 use dillspool_cases::{fixed_cases, run_paused};
-use dillspool_forward::answer_request;
+use dillspool_forward::handle_request;
 use dillspool_io::read_response_body;
 use dillspool_routing::{EngineStage, PromptPart, RequestKind};
 use dillspool_suspects::{PrintKey, PrintParts, RequestPrint, RunEnd, SuspectNews};
@@ -70,7 +70,7 @@
             let part = PromptPart { id: secrets.part.as_str().into(), tokens: 1000 };
             generation.prompt_parts.push(part);
         }
-        let answer = answer_request(context, routed).await;
+        let answer = handle_request(context, routed).await;
         let _whole_or_broken = read_response_body(answer.into_body(), 10_000).await;
     });
     CAPTURE.lines.lock().unwrap().clone()
--- a/crates/dillspool_forward/tests/long_answers.rs
+++ b/crates/dillspool_forward/tests/long_answers.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use common::{ScriptedSite, Step, entry, request, view};
-use dillspool_forward::{BackendAnswer, ForwardContext, answer_request};
+use dillspool_forward::{BackendResponse, ForwardContext, handle_request};
 use dillspool_io::{ByteBudget, HeldTerms, read_response_body};
 use dillspool_routing::RequestKind::{self, Idempotent, NonIdempotent};
 use dillspool_routing::{BackendEntry, BackendStart, RoutedRequest};
@@ -73,7 +73,7 @@
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
         let budget = budget();
-        let answer = answer_request(context.clone(), held_request(&budget, case.kind, 2)).await;
+        let answer = handle_request(context.clone(), held_request(&budget, case.kind, 2)).await;
         assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
         let (body, is_whole) = read_parts(answer.into_body()).await;
         let expected = if case.name == "long" { format!("{LONG}b") } else { case.body.to_owned() };
@@ -141,7 +141,7 @@
         backend.start = Some(BackendStart(1));
         let (context, directory) = site.context(view([backend.clone()]));
         let budget = budget();
-        let answer = answer_request(context.clone(), held_request(&budget, NonIdempotent, 1)).await;
+        let answer = handle_request(context.clone(), held_request(&budget, NonIdempotent, 1)).await;
         let mut body = answer.into_body();
         let first = body.frame().await.expect("a part").expect("no break");
         assert_eq!(first.into_data().expect("data"), Bytes::from(LONG), "{}", case.name);
@@ -173,12 +173,12 @@
         let counted = Arc::clone(&taken);
         context.calls.forward = Arc::new(move |_entry, _request, _terms| {
             let body = counted_body(Arc::clone(&counted));
-            Box::pin(async move { Ok(BackendAnswer { body, ..common::genuine(200) }) })
+            Box::pin(async move { Ok(BackendResponse { body, ..common::genuine(200) }) })
         });
         let budget = budget();
         let routed = held_request(&budget, NonIdempotent, 1);
         let unbounded = request(NonIdempotent, 1, false);
-        let answer = answer_request(context, if is_bounded { routed } else { unbounded }).await;
+        let answer = handle_request(context, if is_bounded { routed } else { unbounded }).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         let before = taken.load(Ordering::Relaxed);
         assert!(before <= most_taken, "{before} parts taken");
@@ -215,7 +215,7 @@
     let mut unread = Vec::new();
     for _request in 0..16 {
         let routed = held_request(&budget, NonIdempotent, 1);
-        unread.push(answer_request(context.clone(), routed).await);
+        unread.push(handle_request(context.clone(), routed).await);
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let record = site.record.lock().unwrap();
@@ -236,7 +236,7 @@
         site.script("first", [first.clone()]);
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
-        let answer = answer_request(context, request(Idempotent, 2, false)).await;
+        let answer = handle_request(context, request(Idempotent, 2, false)).await;
         assert_eq!(answer.status().as_u16(), status);
         let body = read_response_body(answer.into_body(), 1_000_000).await.expect("whole");
         assert_eq!(body.len(), if arrivals == 1 { long.len() } else { 2 });
@@ -252,6 +252,6 @@
     let (context, _directory) = site.context(view([entry("first", "near", None)]));
     let budget = budget();
     let routed = RoutedRequest { takes_chunks: false, ..held_request(&budget, NonIdempotent, 1) };
-    let answer = answer_request(context, routed).await;
+    let answer = handle_request(context, routed).await;
     assert_eq!(answer.status().as_u16(), 502);
 }
--- a/crates/dillspool_forward/tests/paused_streams.rs
+++ b/crates/dillspool_forward/tests/paused_streams.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{ScriptedSite, Step, entry, request, view};
-use dillspool_forward::answer_request;
+use dillspool_forward::handle_request;
 use dillspool_io::{ByteBudget, HeldTerms};
 use dillspool_routing::{RequestKind, RoutedRequest};
 use http_body_util::BodyExt;
@@ -26,7 +26,7 @@
     let budget = ByteBudget::new(TERMS);
     let held = budget.enter("request-1", CancellationToken::new());
     let routed = RoutedRequest { held, ..request(RequestKind::Streaming, 2, true) };
-    let mut body = answer_request(context, routed).await.into_body();
+    let mut body = handle_request(context, routed).await.into_body();
     body.frame().await.expect("the first event").expect("no break");
     tokio::time::sleep(Duration::from_secs(5)).await;
     body.frame().await.expect("the second event").expect("no break");
@@ -46,7 +46,7 @@
     let budget = ByteBudget::new(TERMS);
     let held = budget.enter("request-1", CancellationToken::new());
     let routed = RoutedRequest { held, ..request(RequestKind::Streaming, 1, false) };
-    let mut body = answer_request(context, routed).await.into_body();
+    let mut body = handle_request(context, routed).await.into_body();
     for charged in [5, 0] {
         body.frame().await.expect("an event").expect("no break");
         assert_eq!(budget.read().held, charged);
--- a/crates/dillspool_forward/tests/plain.rs
+++ b/crates/dillspool_forward/tests/plain.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{ScriptedSite, Step, entry, request, view};
-use dillspool_forward::{BudgetTerms, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetTerms, RetryBudgets, handle_request};
 use dillspool_io::{HostClock, read_response_body};
 use dillspool_routing::RequestKind;
 use dillspool_routing::RequestKind::{Idempotent, NonIdempotent};
@@ -71,7 +71,7 @@
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
         let routed = request(case.kind, case.max_attempts, false);
-        let answer = answer_request(context, routed).await;
+        let answer = handle_request(context, routed).await;
         assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
         let retry_after = answer.headers().contains_key("retry-after");
         assert_eq!(retry_after, case.retry_after, "{}", case.name);
@@ -90,7 +90,7 @@
     site.script("first", [Step::Silent]);
     let backends = [entry("first", "near", None), entry("second", "far", None)];
     let (context, _directory) = site.context(view(backends));
-    let answer = answer_request(context, request(Idempotent, 2, false)).await;
+    let answer = handle_request(context, request(Idempotent, 2, false)).await;
     assert_eq!(answer.status().as_u16(), 200);
     let record = site.record.lock().unwrap();
     let budgets: Vec<_> = record.arrivals.iter().map(|it| it.terms.time_budget).collect();
@@ -103,7 +103,7 @@
     site.script("first", [Step::Silent]);
     let backends = [entry("first", "near", None), entry("second", "far", None)];
     let (context, _directory) = site.context(view(backends));
-    let answer = answer_request(context, request(Idempotent, 2, false));
+    let answer = handle_request(context, request(Idempotent, 2, false));
     let left = tokio::time::timeout(Duration::from_millis(200), answer).await;
     assert!(left.is_err());
     tokio::time::sleep(Duration::from_secs(5)).await;
@@ -121,7 +121,7 @@
     context.budgets = RetryBudgets::new(terms, HostClock::steady());
     context.budgets.set_hosts(8);
     for _request in 0..100 {
-        let _answer = answer_request(context.clone(), request(Idempotent, 2, false)).await;
+        let _answer = handle_request(context.clone(), request(Idempotent, 2, false)).await;
     }
     let extras = site.record.lock().unwrap().arrivals.len() - 100;
     // At most the ratio and this host's part of what is beyond it; most of that is spent.
@@ -134,7 +134,7 @@
     let mut leaving = entry("first", "near", None);
     leaving.state = dillspool_routing::BackendState::Draining;
     let (context, _directory) = site.context(view([leaving]));
-    let answer = answer_request(context, request(NonIdempotent, 1, false)).await;
+    let answer = handle_request(context, request(NonIdempotent, 1, false)).await;
     assert_eq!(answer.status().as_u16(), 503);
     assert!(site.record.lock().unwrap().arrivals.is_empty());
 }
--- a/crates/dillspool_forward/tests/prefills.rs
+++ b/crates/dillspool_forward/tests/prefills.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, entry, request, view};
-use dillspool_forward::{BudgetTerms, CallError, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetTerms, CallError, RetryBudgets, handle_request};
 use dillspool_io::HostClock;
 use dillspool_routing::{BackendEntry, BackendState, DirectoryView, EngineStage, RequestKind};
 use hyper::StatusCode;
@@ -106,7 +106,7 @@
     context.budgets.set_hosts(1);
     for _request in 0..2 {
         let routed = request(RequestKind::Streaming, 1, false);
-        let answer = answer_request(context.clone(), routed).await;
+        let answer = handle_request(context.clone(), routed).await;
         assert_eq!(answer.status().as_u16(), 200, "{}", case.name);
     }
     let record = site.record.lock().unwrap();
@@ -158,7 +158,7 @@
                 let mut route = (*routed.route).clone();
                 route.objective = Duration::from_secs(5);
                 routed.route = route.into();
-                answer_request(context.clone(), routed)
+                handle_request(context.clone(), routed)
             });
             for answer in futures_util::future::join_all(all).await {
                 assert_eq!(answer.status(), StatusCode::OK, "{}", case.name);
@@ -226,7 +226,7 @@
         context.directory = directory;
         let mut registry = Registry::default();
         context.metrics.register(&mut registry);
-        let answer = answer_request(context, request(RequestKind::Streaming, 1, false)).await;
+        let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
         assert_eq!(answer.status().as_u16(), 200, "{}", case.name);
         let record = site.record.lock().unwrap();
         let holds = record.holds.iter().map(|(backend, _tokens)| backend.as_str());
--- a/crates/dillspool_forward/tests/refusing.rs
+++ b/crates/dillspool_forward/tests/refusing.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, pool, request};
-use dillspool_forward::{ForwardContext, answer_request};
+use dillspool_forward::{ForwardContext, handle_request};
 use dillspool_routing::RequestKind;
 
 struct RefusingCase {
@@ -26,7 +26,7 @@
         route.objective = Duration::from_secs(1);
         route.into()
     };
-    drop(answer_request(context.clone(), routed).await);
+    drop(handle_request(context.clone(), routed).await);
     tokio::time::sleep(Duration::from_millis(100)).await;
 }
 
--- a/crates/dillspool_forward/tests/restarts.rs
+++ b/crates/dillspool_forward/tests/restarts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, TWO, entry, request, view};
-use dillspool_forward::answer_request;
+use dillspool_forward::handle_request;
 use dillspool_io::read_response_body;
 use dillspool_routing::{BackendEntry, BackendStart, DirectoryView, EngineStage, RequestKind};
 use tokio::time::Instant;
@@ -150,7 +150,7 @@
             std::future::pending::<()>().await;
         });
         let routed = request(case.kind, case.attempts, case.resumable);
-        let answer = answer_request(context, routed).await;
+        let answer = handle_request(context, routed).await;
         let status = answer.status().as_u16();
         let body = read_response_body(answer.into_body(), 1000).await.ok();
         let body = body.map(|bytes| String::from_utf8(bytes.to_vec()).unwrap());
@@ -185,7 +185,7 @@
         *site.prefill_takes.lock().unwrap() = Duration::from_millis(600);
         let entries = started(true);
         let (context, directory) = site.context(restarted(&entries, &[]));
-        let asking = answer_request(context, request(RequestKind::Streaming, 1, false));
+        let asking = handle_request(context, request(RequestKind::Streaming, 1, false));
         let left = tokio::time::timeout(
             Duration::from_millis(200),
             Box::pin(async {
--- a/crates/dillspool_forward/tests/rests.rs
+++ b/crates/dillspool_forward/tests/rests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, entry, pool, request, view};
-use dillspool_forward::{ForwardContext, answer_request};
+use dillspool_forward::{ForwardContext, handle_request};
 use dillspool_routing::{RequestKind, StartedBackend};
 use dillspool_throttle::{RateNotice, RestNotice};
 use hyper::header::RETRY_AFTER;
@@ -28,7 +28,7 @@
     *site.prefill_takes.lock().unwrap() = Duration::from_millis(300);
     let (context, _directory) = site.context(pool());
     let answering =
-        tokio::spawn(answer_request(context.clone(), request(RequestKind::Streaming, 1, false)));
+        tokio::spawn(handle_request(context.clone(), request(RequestKind::Streaming, 1, false)));
     tokio::time::sleep(Duration::from_millis(100)).await;
     let (held, reader) = {
         let record = site.record.lock().unwrap();
@@ -111,7 +111,7 @@
             ask_rest(&context, id, Duration::from_millis(*rest_ms));
         }
         let asked = tokio::time::Instant::now();
-        let answer = answer_request(context.clone(), request(case.kind, 2, false)).await;
+        let answer = handle_request(context.clone(), request(case.kind, 2, false)).await;
         assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
         assert!(asked.elapsed() < Duration::from_millis(150), "{}", case.name);
         let seconds = answer.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
@@ -124,7 +124,7 @@
         }
         let longest = case.rests.iter().map(|(_id, rest_ms)| *rest_ms).max().unwrap_or_default();
         tokio::time::sleep(Duration::from_millis(longest)).await;
-        let later = answer_request(context, request(case.kind, 2, false)).await;
+        let later = handle_request(context, request(case.kind, 2, false)).await;
         assert_eq!(later.status().as_u16(), 200, "{}: later", case.name);
     }
 }
--- a/crates/dillspool_forward/tests/stalls.rs
+++ b/crates/dillspool_forward/tests/stalls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, THREE, TWO, entry, pool, request, view};
-use dillspool_forward::answer_request;
+use dillspool_forward::handle_request;
 use dillspool_io::read_response_body;
 use dillspool_routing::{EngineStage, RequestKind};
 
@@ -111,7 +111,7 @@
         full.lock().unwrap().clear();
     });
     let routed = request(RequestKind::Streaming, 2, true);
-    let answer = answer_request(context, routed).await;
+    let answer = handle_request(context, routed).await;
     let body = read_response_body(answer.into_body(), 10_000).await;
     let text = body.ok().map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
     assert_eq!(text == Some(format!("{ONE}{TWO}{THREE}")), case.whole, "{}: {text:?}", case.name);
@@ -133,7 +133,7 @@
         let routed = request(kind, 1, false);
         let limit = routed.remaining();
         let started = tokio::time::Instant::now();
-        let answer = answer_request(context, routed).await;
+        let answer = handle_request(context, routed).await;
         assert_eq!(answer.status().as_u16(), 504, "{kind:?}");
         assert!(started.elapsed() <= limit + Duration::from_millis(5), "{kind:?}");
     }
--- a/crates/dillspool_forward/tests/streams.rs
+++ b/crates/dillspool_forward/tests/streams.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, THREE, TWO, pool, request};
-use dillspool_forward::{BudgetTerms, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetTerms, RetryBudgets, handle_request};
 use dillspool_io::{HostClock, ResponseBody, read_response_body};
 use dillspool_routing::RequestKind;
 use hyper::Response;
@@ -82,7 +82,7 @@
         site.script("decode-2", [case.second]);
         let (context, _directory) = site.context(pool());
         let routed = request(RequestKind::Streaming, 2, case.resumable);
-        let answer = answer_request(context, routed).await;
+        let answer = handle_request(context, routed).await;
         assert_eq!(answer.status().as_u16(), 200, "{}", case.name);
         let body = body_of(answer).await.ok();
         assert_eq!(body, case.body, "{}", case.name);
@@ -99,14 +99,14 @@
     let site = ScriptedSite::default();
     site.script("decode-1", [Step::Stream(vec![ONE])]);
     let (context, _directory) = site.context(pool());
-    let answer = answer_request(context, request(RequestKind::Streaming, 1, false)).await;
+    let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
     assert_eq!(body_of(answer).await.as_deref(), Ok(ONE));
     let record = site.record.lock().unwrap();
     // Prompt 1,000 and the smallest answer of 500, since the hint is less.
     assert_eq!(record.holds, [("decode-1".to_owned(), 1500)]);
     assert_eq!(record.prefills, ["prefill-1"]);
     let sent = &record.arrivals[0].terms;
-    assert_eq!(sent.hold.as_deref(), Some("hold-1"));
+    assert_eq!(sent.reservation.as_deref(), Some("hold-1"));
     assert_eq!(sent.prefilled.as_ref().map(|it| &*it.handle), Some("handle"));
     assert!(record.released_holds.is_empty() && record.released_prefills.is_empty());
 }
@@ -117,7 +117,7 @@
     site.full.lock().unwrap().extend(["decode-1".to_owned(), "decode-2".to_owned()]);
     let (context, _directory) = site.context(pool());
     let started = tokio::time::Instant::now();
-    let answer = answer_request(context, request(RequestKind::Streaming, 1, false)).await;
+    let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
     assert_eq!(answer.status().as_u16(), 503);
     assert!(answer.headers().contains_key("retry-after"));
     assert!(started.elapsed() < Duration::from_millis(75), "the refusal comes at once");
@@ -131,11 +131,11 @@
     site.script("decode-1", [Step::Stream(vec![ONE])]);
     *site.refuses_prefill.lock().unwrap() = true;
     let (context, _directory) = site.context(pool());
-    let answer = answer_request(context, request(RequestKind::Streaming, 1, false)).await;
+    let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
     assert_eq!(body_of(answer).await.as_deref(), Ok(ONE));
     let record = site.record.lock().unwrap();
     assert_eq!(record.arrivals[0].terms.prefilled, None);
-    assert!(record.arrivals[0].terms.hold.is_some());
+    assert!(record.arrivals[0].terms.reservation.is_some());
 }
 
 #[tokio::test(start_paused = true)]
@@ -145,7 +145,7 @@
     site.script("decode-2", [Step::Unreachable]);
     let (context, _directory) = site.context(pool());
     let tasks = context.tasks.clone();
-    let answer = answer_request(context, request(RequestKind::Streaming, 1, false)).await;
+    let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
     assert_eq!(answer.status().as_u16(), 503);
     tasks.close();
     tasks.wait().await;
@@ -171,7 +171,7 @@
         site.script("decode-1", [case.step.clone()]);
         site.script("decode-2", [Step::Stream(vec![ONE])]);
         let (context, _directory) = site.context(pool());
-        let answer = answer_request(context, request(RequestKind::Streaming, 2, false)).await;
+        let answer = handle_request(context, request(RequestKind::Streaming, 2, false)).await;
         assert_eq!(answer.status().as_u16(), case.status, "{:?}", case.step);
     }
 }
@@ -191,7 +191,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         full.lock().unwrap().clear();
     });
-    let answer = answer_request(context, routed).await;
+    let answer = handle_request(context, routed).await;
     assert_eq!(answer.status().as_u16(), 200);
 }
 
@@ -206,7 +206,7 @@
     context.budgets.set_hosts(8);
     for _request in 0..100 {
         let routed = request(RequestKind::Streaming, 2, false);
-        let _answer = answer_request(context.clone(), routed).await;
+        let _answer = handle_request(context.clone(), routed).await;
     }
     let record = site.record.lock().unwrap();
     let (repeats, prefills) = (record.arrivals.len() - 100, record.prefills.len());
@@ -225,11 +225,11 @@
     let (context, _directory) = site.context(pool());
     for _request in 0..10 {
         let routed = request(RequestKind::Streaming, 1, false);
-        let answer = answer_request(context.clone(), routed).await;
+        let answer = handle_request(context.clone(), routed).await;
         assert_eq!(body_of(answer).await.as_deref(), Ok(ONE));
     }
     assert_eq!(site.record.lock().unwrap().prefills.len(), 1);
     tokio::time::sleep(Duration::from_millis(1100)).await;
-    let _answer = answer_request(context, request(RequestKind::Streaming, 1, false)).await;
+    let _answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
     assert_eq!(site.record.lock().unwrap().prefills.len(), 2);
 }
--- a/crates/dillspool_forward/tests/suspects.rs
+++ b/crates/dillspool_forward/tests/suspects.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, entry, request, view};
-use dillspool_forward::{ForwardContext, answer_request};
+use dillspool_forward::{ForwardContext, handle_request};
 use dillspool_io::read_response_body;
 use dillspool_routing::{
     BackendEntry, BackendStart, BackendState, DirectoryView, EngineStage, RequestKind,
@@ -131,7 +131,7 @@
 }
 
 async fn answer(context: &ForwardContext, kind: RequestKind) -> (u16, bool, bool) {
-    let response = answer_request(context.clone(), request(kind, 1, false)).await;
+    let response = handle_request(context.clone(), request(kind, 1, false)).await;
     let (status, invites) =
         (response.status().as_u16(), response.headers().contains_key(RETRY_AFTER));
     let whole = read_response_body(response.into_body(), 10_000).await.is_ok();
--- a/crates/dillspool_forward/tests/suspended.rs
+++ b/crates/dillspool_forward/tests/suspended.rs
@@ -6,7 +6,7 @@
 
 use common::{ONE, ScriptedSite, Step, TWO, entry, pool, request, view};
 use dillspool_cases::ClockJumps;
-use dillspool_forward::{BudgetTerms, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetTerms, RetryBudgets, handle_request};
 use dillspool_io::{AwakeWatch, read_response_body};
 use dillspool_routing::{RequestKind, RoutedRequest};
 use tokio_util::sync::CancellationToken;
@@ -100,7 +100,7 @@
                 site.on_arrival(move || jumps.suspend(SUSPENDED));
             }
         }
-        let response = answer_request(context, routed).await;
+        let response = handle_request(context, routed).await;
         let status = response.status().as_u16();
         let _body = read_response_body(response.into_body(), 10_000).await;
         assert_eq!(status, case.status, "{}", case.name);
@@ -184,7 +184,7 @@
             jumps.suspend(SHORT_SUSPENSION);
         };
         let answering = async {
-            let response = answer_request(context, routed).await;
+            let response = handle_request(context, routed).await;
             let _body = read_response_body(response.into_body(), 10_000).await;
             clock.now()
         };
--- a/crates/dillspool_forward/tests/throttle.rs
+++ b/crates/dillspool_forward/tests/throttle.rs
@@ -9,7 +9,7 @@
 use common::{ONE, ScriptedSite, Step, entry, pool, request, view};
 use dillspool_admission::AdmissionPolicy;
 use dillspool_capacity::DemandMeter;
-use dillspool_forward::{ForwardContext, answer_request};
+use dillspool_forward::{ForwardContext, handle_request};
 use dillspool_io::{HostClock, LinkMode, MemoryNet};
 use dillspool_routing::{BackendEntry, DirectoryView, EngineStage, RequestKind, StartedBackend};
 use dillspool_scheduler::{
@@ -140,7 +140,7 @@
         let mut refused = 0;
         for status in case.statuses {
             let asked = Instant::now();
-            let answer = answer_request(context.clone(), request(case.kind, 2, false)).await;
+            let answer = handle_request(context.clone(), request(case.kind, 2, false)).await;
             assert_eq!(answer.status().as_u16(), status, "{}", case.name);
             let retry_after = answer.headers().get("retry-after");
             let retry_after = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
@@ -170,13 +170,13 @@
     let mut served = 0;
     for _turn in 0..5 {
         let routed = request(RequestKind::NonIdempotent, 1, false);
-        let answer = answer_request(context.clone(), routed).await;
+        let answer = handle_request(context.clone(), routed).await;
         match answer.headers().get("retry-after").and_then(|value| value.to_str().ok()) {
             Some(seconds) => {
                 let seconds = seconds.parse().expect("seconds");
                 tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
                 let routed = request(RequestKind::NonIdempotent, 1, false);
-                let again = answer_request(context.clone(), routed).await;
+                let again = handle_request(context.clone(), routed).await;
                 assert_eq!(again.status().as_u16(), 200);
                 served += 1;
             }
@@ -230,7 +230,7 @@
         let mut routed = request(RequestKind::NonIdempotent, 1, false);
         routed.deadline = routed.arrived + Duration::from_millis(limit_ms);
         let asked = Instant::now();
-        let answer = answer_request(context, routed).await;
+        let answer = handle_request(context, routed).await;
         let waited = asked.elapsed();
         let most = Duration::from_millis(limit_ms.min(400) + 1);
         assert!(waited <= most, "{limit_ms} ms: {} after {waited:?}", answer.status());
@@ -246,10 +246,10 @@
     let (context, _directory) = site.context(view([entry("first", "near", None)]));
     tokio::time::sleep(Duration::from_secs(20)).await;
     name_limits(&context, &["first"], NEXT_TO_NOTHING);
-    let first = answer_request(context.clone(), request(RequestKind::NonIdempotent, 1, false));
+    let first = handle_request(context.clone(), request(RequestKind::NonIdempotent, 1, false));
     assert_eq!(first.await.status().as_u16(), 503);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let second = answer_request(context, request(RequestKind::NonIdempotent, 1, false)).await;
+    let second = handle_request(context, request(RequestKind::NonIdempotent, 1, false)).await;
     assert_eq!(second.status().as_u16(), 200);
 }
 
@@ -272,7 +272,7 @@
         }
         for _request in 0..400 {
             let routed = request(RequestKind::NonIdempotent, 2, false);
-            let answer = answer_request(context.clone(), routed).await;
+            let answer = handle_request(context.clone(), routed).await;
             assert_eq!(answer.status().as_u16(), 200);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
@@ -309,7 +309,7 @@
         name_limits(&context, &["first"], case.per_s);
         let send = async || {
             let routed = request(RequestKind::NonIdempotent, 1, false);
-            answer_request(context.clone(), routed).await.status().as_u16()
+            handle_request(context.clone(), routed).await.status().as_u16()
         };
         for _request in 0..case.before {
             assert_eq!(send().await, 200, "{}: before", case.name);
--- a/crates/dillspool_roles/tests/keeper.rs
+++ b/crates/dillspool_roles/tests/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillspool_capacity::DemandMeter;
-use dillspool_forward::{BackendCalls, BackendSign, CallError, OrderOutcome};
+use dillspool_forward::{BackendCalls, CallError, OrderOutcome, ProbeResult};
 use dillspool_io::HostClock;
 use dillspool_platform::MemoryTable;
 use dillspool_roles::{KeeperSettings, PoolTargets, RestFn, ShareRule, keep_stages};
@@ -90,9 +90,9 @@
         forward: Arc::new(|_entry, _request, _terms| Box::pin(async { Err(refused()) })),
         prefill: Arc::new(|_entry, _request, _terms| Box::pin(async { Err(refused()) })),
         reserve: Arc::new(|_entry, _terms| Box::pin(async { Err(refused()) })),
-        release_hold: Arc::new(|_entry, _hold| Box::pin(async { Ok(()) })),
+        release_reservation: Arc::new(|_entry, _hold| Box::pin(async { Ok(()) })),
         release_prefill: Arc::new(|_entry, _handle| Box::pin(async { Ok(()) })),
-        look: Arc::new(|_entry| Box::pin(async { BackendSign::Lives })),
+        probe: Arc::new(|_entry| Box::pin(async { ProbeResult::Reachable })),
         order: Arc::new(move |entry, order| {
             orders.lock().unwrap().push(format!("{} {:?}", entry.id, order.stage));
             Box::pin(async { Ok(OrderOutcome::Started) })
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dillspool_capacity::DemandMeter;
-use dillspool_forward::{BackendBook, BreakLooks, ForwardContext, ForwardMetrics, RetryBudgets};
+use dillspool_forward::{BackendBook, BackendProbes, ForwardContext, ForwardMetrics, RetryBudgets};
 use dillspool_io::{
     ByteBudget, HostClock, NetListener, NetStack, ServerLimits, WallClock, serve_http,
     serve_http_held,
@@ -154,7 +154,7 @@
             backend_limits: backend_limits.clone(),
             book: BackendBook::default(),
             budgets: budgets.clone(),
-            breaks: BreakLooks::default(),
+            probes: BackendProbes::default(),
             suspects: suspects.clone(),
             metrics: metrics.clone(),
             tasks: TaskTracker::new(),
--- a/crates/dillspool_router/src/ingress.rs
+++ b/crates/dillspool_router/src/ingress.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use dillspool_forward::{ForwardContext, Refusal, RefusalCause, answer_request};
+use dillspool_forward::{ForwardContext, Refusal, RefusalCause, handle_request};
 use dillspool_io::{HostClock, HttpHandler, ResponseBody, handler};
 use dillspool_keys::PresentedKey;
 use dillspool_moment::Moment;
@@ -97,7 +97,7 @@
         let mut response = match self.route(request, terms, arrived).await {
             Ok((routed, _permit)) => {
                 let route = Name::clone(&routed.route.name);
-                let response = answer_request(self.context.clone(), routed).await;
+                let response = handle_request(self.context.clone(), routed).await;
                 if response.headers().contains_key(RETRY_AFTER) {
                     self.patience.note_refused(&route);
                 }
@@ -126,10 +126,10 @@
     ) -> Result<(RoutedRequest, tokio::sync::OwnedSemaphorePermit), Refusal> {
         let current = self.known.config.borrow().clone();
         let Some(config) = current else {
-            return Err(Refusal::come_back(RefusalCause::NotReady, NOT_READY_RETRY));
+            return Err(Refusal::with_retry_after(RefusalCause::NotReady, NOT_READY_RETRY));
         };
         let Ok(permit) = Arc::clone(&self.in_flight).try_acquire_owned() else {
-            return Err(Refusal::come_back(RefusalCause::HostFull, FULL_RETRY));
+            return Err(Refusal::with_retry_after(RefusalCause::HostFull, FULL_RETRY));
         };
         let id = terms.id.ok_or(Refusal::new(RefusalCause::Malformed))?;
         let (parts, body) = request.into_parts();
@@ -207,7 +207,7 @@
         if is_newest {
             Refusal::new(cause)
         } else {
-            Refusal::come_back(RefusalCause::StaleConfig, STALE_RETRY)
+            Refusal::with_retry_after(RefusalCause::StaleConfig, STALE_RETRY)
         }
     }
 }
--- a/crates/dillspool_router/src/receiving.rs
+++ b/crates/dillspool_router/src/receiving.rs
@@ -98,7 +98,7 @@
         // What does not end in time is closed with its connection.
         let _unread = tokio::time::timeout(DISCARD_TIME, rest).await;
     });
-    Refusal::come_back(RefusalCause::HostFull, FULL_RETRY)
+    Refusal::with_retry_after(RefusalCause::HostFull, FULL_RETRY)
 }
 
 async fn discard(mut body: Incoming) {
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dillspool_forward::{
-    BackendAnswer, BackendCalls, BackendSign, BudgetTerms, CallError, OrderOutcome,
+    BackendCalls, BackendResponse, BudgetTerms, CallError, OrderOutcome, ProbeResult,
 };
 use dillspool_io::{HostClock, full_body};
 use dillspool_keys::{CallerKey, PresentedKey};
@@ -199,10 +199,10 @@
                 site.arrivals.lock().unwrap().push(arrival);
                 let work = *site.work.lock().unwrap();
                 tokio::time::sleep(work).await;
-                Ok(BackendAnswer {
+                Ok(BackendResponse {
                     status: StatusCode::OK,
                     headers: HeaderMap::new(),
-                    names_request: true,
+                    matches_request_id: true,
                     is_sealed: true,
                     is_encoded: false,
                     did_not_run: false,
@@ -212,9 +212,9 @@
         }),
         prefill: Arc::new(move |_entry, _request, _limit| Box::pin(async move { Err(refuse()) })),
         reserve: Arc::new(move |_entry, _terms| Box::pin(async move { Err(refuse()) })),
-        release_hold: Arc::new(|_entry, _hold| Box::pin(async { Ok(()) })),
+        release_reservation: Arc::new(|_entry, _hold| Box::pin(async { Ok(()) })),
         release_prefill: Arc::new(|_entry, _handle| Box::pin(async { Ok(()) })),
-        look: Arc::new(|_entry| Box::pin(async { BackendSign::Lives })),
+        probe: Arc::new(|_entry| Box::pin(async { ProbeResult::Reachable })),
         order: Arc::new(|_entry, _order| Box::pin(async { Ok(OrderOutcome::Started) })),
     }
 }
--- a/crates/dillspool_router/tests/held_bytes.rs
+++ b/crates/dillspool_router/tests/held_bytes.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use common::{CALLERS, READINESS, TestSite, config};
-use dillspool_forward::{BackendAnswer, CallError};
+use dillspool_forward::{BackendResponse, CallError};
 use dillspool_io::{
     HeldTerms, HostClock, HttpClient, MemoryNet, NetStack, NetStream, ResponseBody, channel_body,
     exchange_held, full_body, read_body,
@@ -138,7 +138,7 @@
     }
 }
 
-fn answer(path: &str, open: &Arc<AtomicUsize>) -> BackendAnswer {
+fn answer(path: &str, open: &Arc<AtomicUsize>) -> BackendResponse {
     let mut headers = HeaderMap::new();
     let body = match path {
         "/x/long" => {
@@ -148,10 +148,10 @@
         "/s/stream" => parts(400, Bytes::from(format!("data: {}\n\n", "x".repeat(2000))), open),
         _ => full_body("ok"),
     };
-    BackendAnswer {
+    BackendResponse {
         status: StatusCode::OK,
         headers,
-        names_request: true,
+        matches_request_id: true,
         is_sealed: true,
         is_encoded: false,
         did_not_run: false,
