--- a/crates/dillspool_router/src/belief_metrics.rs
+++ b/crates/dillspool_router/src/belief_metrics.rs
@@ -6,7 +6,7 @@
 use dillspool_metrics::write_labels;
 use dillspool_routing::{BackendEntry, DirectoryView, EngineStage, RoutingConfig};
 use dillspool_schema::Name;
-use dillspool_watch::{SharedBelief, StoreReach};
+use dillspool_watch::{SharedReplica, StoreReachability};
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
@@ -49,8 +49,8 @@
 pub(crate) struct BeliefMetrics {
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     directory: watch::Receiver<Arc<DirectoryView>>,
-    reach: watch::Receiver<StoreReach>,
-    tables: Vec<SharedBelief>,
+    reach: watch::Receiver<StoreReachability>,
+    tables: Vec<SharedReplica>,
     table_ages: Family<TableLabels, Gauge<f64, AtomicU64>>,
     backends: Family<BackendLabels, Gauge>,
     config_version: Gauge,
@@ -63,8 +63,8 @@
     pub(crate) fn new(
         config: watch::Receiver<Option<Arc<RoutingConfig>>>,
         directory: watch::Receiver<Arc<DirectoryView>>,
-        reach: watch::Receiver<StoreReach>,
-        tables: Vec<SharedBelief>,
+        reach: watch::Receiver<StoreReachability>,
+        tables: Vec<SharedReplica>,
     ) -> Self {
         Self {
             config,
--- a/crates/dillspool_router/src/beliefs.rs
+++ b/crates/dillspool_router/src/beliefs.rs
@@ -7,7 +7,7 @@
 use dillspool_routing::{DirectoryView, RoutingConfig};
 use dillspool_schema::Name;
 use dillspool_watch::{
-    FollowRole, FollowSettings, RelayService, RowClassifier, SharedBelief, StoreReach,
+    FollowRole, FollowSettings, RelayService, RowClassifier, SharedReplica, StoreReachability,
     follow_table, relay_from_peers, serve_relay,
 };
 use tokio::sync::watch;
@@ -40,12 +40,12 @@
 pub(crate) struct Beliefs {
     pub(crate) config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     pub(crate) directory: watch::Receiver<Arc<DirectoryView>>,
-    pub(crate) reach: watch::Receiver<StoreReach>,
+    pub(crate) reach: watch::Receiver<StoreReachability>,
     /// The operator's rows.
-    pub(crate) operator: SharedBelief,
+    pub(crate) operator: SharedReplica,
     /// Rows of the product's own, those of hosts among them.
-    pub(crate) hosts: SharedBelief,
-    pub(crate) backends: SharedBelief,
+    pub(crate) hosts: SharedReplica,
+    pub(crate) backends: SharedReplica,
     pub(crate) unreadable: UnreadableRows,
     pub(crate) peers: PeerList,
     pub(crate) role: watch::Sender<FollowRole>,
@@ -61,39 +61,39 @@
         cancel: &CancellationToken,
     ) -> Self {
         let awake = AwakeWatch::start(clock.clone(), cancel.clone());
-        let operator = SharedBelief::new(Name::clone(&site.config_row.0), awake.clone());
-        let backends = SharedBelief::new(Name::clone(&site.directory_table), awake.clone())
-            .with_classes(service_classes(site));
-        let reach = watch::Sender::new(StoreReach::unknown());
+        let operator = SharedReplica::new(Name::clone(&site.config_row.0), awake.clone());
+        let backends = SharedReplica::new(Name::clone(&site.directory_table), awake.clone())
+            .with_classifier(service_classes(site));
+        let reach = watch::Sender::new(StoreReachability::unknown());
         let hosts =
-            SharedBelief::new(Name::clone(&site.own_table), awake).with_age_limit(HOSTS_FRESH);
+            SharedReplica::new(Name::clone(&site.own_table), awake).with_max_age(HOSTS_FRESH);
         let settings = FollowSettings {
-            first_after: first_question_after(config),
+            first_poll_delay: first_question_after(config),
             ..FollowSettings::new(config.watch_wait, config.change_limit)
         };
         // Rows of hosts change with the fleet only, and nothing must be in force soon.
-        let settings = FollowSettings { probes: false, ..settings };
+        let settings = FollowSettings { is_probe: false, ..settings };
         // This host says that a key or route is unknown only while it knows the newest configuration: an
         // answer comes before the last one is too old for that, also where nothing changes.
-        let wait = settings.wait.min(settings.fresh);
-        let probing = FollowSettings { probes: true, wait, ..settings.clone() };
+        let wait = settings.long_poll_wait.min(settings.relay_freshness);
+        let probing = FollowSettings { is_probe: true, long_poll_wait: wait, ..settings.clone() };
         // They tell a host that starts again where it takes the other tables from.
         let hosts_first_after =
-            if config.first_start { settings.first_after } else { Duration::ZERO };
+            if config.first_start { settings.first_poll_delay } else { Duration::ZERO };
         let slow = FollowSettings {
-            first_after: hosts_first_after,
-            wait: HOSTS_WAIT,
-            source_wait: HOSTS_WAIT,
-            fresh: HOSTS_FRESH,
+            first_poll_delay: hosts_first_after,
+            long_poll_wait: HOSTS_WAIT,
+            source_long_poll_wait: HOSTS_WAIT,
+            relay_freshness: HOSTS_FRESH,
             ..settings.clone()
         };
-        let waits = !settings.first_after.is_zero();
+        let waits = !settings.first_poll_delay.is_zero();
         let first_role = if waits { FollowRole::Relayed } else { FollowRole::Source };
         let role = watch::Sender::new(first_role);
         // The largest of the tables; the configuration tells meanwhile that the store is back.
         let large = FollowSettings {
-            whole_after: SOURCES_FIRST,
-            changes_for: CHANGES_FIRST,
+            snapshot_delay: SOURCES_FIRST,
+            changes_only_period: CHANGES_FIRST,
             ..settings.clone()
         };
         for (belief, settings) in [(&operator, &probing), (&backends, &large), (&hosts, &slow)] {
@@ -111,7 +111,7 @@
         tokio::spawn(serve_relay(
             peers_listener,
             RelayService::new(all.clone(), reached.clone(), config.change_limit)
-                .with_hosts(move || host_count.get()),
+                .with_host_count(move || host_count.get()),
             cancel.clone(),
         ));
         let peers = PeerList::new(config);
--- a/crates/dillspool_router/src/config_tracker.rs
+++ b/crates/dillspool_router/src/config_tracker.rs
@@ -4,7 +4,7 @@
 
 use dillspool_platform::StoreVersion;
 use dillspool_routing::{RoutingConfig, WorkspaceTable};
-use dillspool_watch::TableBelief;
+use dillspool_watch::TableReplica;
 use tokio::sync::watch;
 
 use crate::site::SiteProtocol;
@@ -15,7 +15,7 @@
 /// A configuration that cannot be decoded leaves the last good one in force.
 pub async fn track_config(
     site: SiteProtocol,
-    mut belief: watch::Receiver<TableBelief>,
+    mut belief: watch::Receiver<TableReplica>,
     unreadable: UnreadableRows,
     config: watch::Sender<Option<Arc<RoutingConfig>>>,
 ) {
--- a/crates/dillspool_router/src/directory_tracker.rs
+++ b/crates/dillspool_router/src/directory_tracker.rs
@@ -17,7 +17,7 @@
 use dillspool_routing::{
     BackendEntry, BackendId, BackendStart, BackendState, DirectoryView, StartedBackend,
 };
-use dillspool_watch::{StoreReach, TableBelief};
+use dillspool_watch::{StoreReachability, TableReplica};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -77,11 +77,11 @@
 #[derive(Debug)]
 pub struct DirectorySources {
     /// Rows of backend servers.
-    pub backends: watch::Receiver<TableBelief>,
+    pub backends: watch::Receiver<TableReplica>,
     /// The operator's rows.
-    pub operator: watch::Receiver<TableBelief>,
+    pub operator: watch::Receiver<TableReplica>,
     /// Whether the store is reached.
-    pub reach: watch::Receiver<StoreReach>,
+    pub reach: watch::Receiver<StoreReachability>,
     /// Backend servers that have said in an answer that they leave.
     pub leaving: watch::Receiver<LeavingBook>,
 }
@@ -167,19 +167,19 @@
     }
 
     /// Whether a row that is missing now may belong to a living backend server.
-    fn may_lapse(&self, state: StoreReach) -> bool {
+    fn may_lapse(&self, state: StoreReachability) -> bool {
         !state.is_reachable() || Instant::now() < self.lapse_end(state)
     }
 
     /// When entries that are missing count as gone, while the store is reachable. Those that were recorded after
     /// the copy from which the store came back are missing, too.
-    fn lapse_end(&self, state: StoreReach) -> Instant {
+    fn lapse_end(&self, state: StoreReachability) -> Instant {
         let returned_at = self.departed.restored_at().map_or(state.since, |at| at.max(state.since));
         returned_at + self.settings.lapse_grace
     }
 
     /// When entries change by time alone: lapsed ones are gone, or ones that were held back are not any more.
-    fn next_end(&self, state: StoreReach) -> Option<Instant> {
+    fn next_end(&self, state: StoreReachability) -> Option<Instant> {
         let any_lapsed = self.known.values().any(|known| known.lapsed);
         let lapse_end = (any_lapsed && state.is_reachable()).then(|| self.lapse_end(state));
         let held_until = |known: &KnownBackend| match known.held_back {
@@ -204,7 +204,12 @@
         any
     }
 
-    fn update(&mut self, belief: &TableBelief, leaving: &LeavingBook, state: StoreReach) -> bool {
+    fn update(
+        &mut self,
+        belief: &TableReplica,
+        leaving: &LeavingBook,
+        state: StoreReachability,
+    ) -> bool {
         if self.departed.note_version(belief.version, self.version) {
             let (before, version) = (self.version, belief.version);
             log::info!("event=directory_restored version={version} before={before}");
--- a/crates/dillspool_router/src/drained_domains.rs
+++ b/crates/dillspool_router/src/drained_domains.rs
@@ -5,7 +5,7 @@
 
 use dillspool_platform::StoreVersion;
 use dillspool_schema::Name;
-use dillspool_watch::TableBelief;
+use dillspool_watch::TableReplica;
 use tokio::time::Instant;
 
 /// Names the failure domain that a key of the operator's drains, if it does.
@@ -47,7 +47,7 @@
     }
 
     /// Takes the operator's rows; whether other domains are drained than before.
-    pub(crate) fn take_rows(&mut self, operator: &TableBelief) -> bool {
+    pub(crate) fn take_rows(&mut self, operator: &TableReplica) -> bool {
         let is_restored = self.version.is_known() && operator.version.era() > self.version.era();
         self.version = operator.version;
         if is_restored {
--- a/crates/dillspool_router/src/host_rows.rs
+++ b/crates/dillspool_router/src/host_rows.rs
@@ -5,7 +5,7 @@
 
 use dillspool_platform::StoreEra;
 use dillspool_schema::Name;
-use dillspool_watch::TableBelief;
+use dillspool_watch::TableReplica;
 use tokio::time::Instant;
 
 use crate::sources::{HostRow, should_be_listed};
@@ -28,7 +28,7 @@
 
 impl HostRows {
     /// Takes the rows of the table.
-    pub(crate) fn take(&mut self, name: &Name, table: &TableBelief, unreadable: &UnreadableRows) {
+    pub(crate) fn take(&mut self, name: &Name, table: &TableReplica, unreadable: &UnreadableRows) {
         let era = table.version.era();
         if era > self.era {
             let before = self.listed_by_key();
--- a/crates/dillspool_router/src/ingress.rs
+++ b/crates/dillspool_router/src/ingress.rs
@@ -12,7 +12,7 @@
 use dillspool_routing::{RequestTerms, RouteEntry, RoutedRequest, RoutingConfig, WorkspaceEntry};
 use dillspool_schema::Name;
 use dillspool_suspects::{PrintKey, PrintParts, RequestPrint};
-use dillspool_watch::SharedBelief;
+use dillspool_watch::SharedReplica;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HOST, HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, Uri, Version};
@@ -39,7 +39,7 @@
     /// The configuration in force.
     pub config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     /// The operator's rows, whose age tells whether the configuration is the newest.
-    pub operator: SharedBelief,
+    pub operator: SharedReplica,
     /// Time in which a change must be in force.
     pub change_limit: Duration,
 }
--- a/crates/dillspool_router/src/peer_list.rs
+++ b/crates/dillspool_router/src/peer_list.rs
@@ -10,7 +10,7 @@
 use dillspool_platform::{PlatformError, RowExpect, RowWrite, TableStore};
 use dillspool_scheduler::{SchedulePeers, SchedulerCandidate, rank_candidates};
 use dillspool_schema::Name;
-use dillspool_watch::{FollowRole, RelayPeers, TableBelief};
+use dillspool_watch::{FollowRole, RelayPeers, TableReplica};
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -110,7 +110,7 @@
             SourcePlan::Relayed(sources) => sources,
             SourcePlan::Alone | SourcePlan::Root => Vec::new(),
         };
-        RelayPeers { sources, all: self.addresses(), part: self.part() }
+        RelayPeers { sources, all: self.addresses(), subset_seed: self.part() }
     }
 
     /// What tells this host's part of a large table from those of others; none on a host that others may rely
@@ -158,7 +158,7 @@
     config: RouterConfig,
     (own_table, store): (Name, TableStore),
     peers: PeerList,
-    tables: [watch::Receiver<TableBelief>; 2],
+    tables: [watch::Receiver<TableReplica>; 2],
     unreadable: UnreadableRows,
     role: watch::Sender<FollowRole>,
     cancel: CancellationToken,
@@ -208,7 +208,7 @@
 }
 
 /// Waits until a table is known; false when its belief has ended.
-async fn has_rows(table: &mut watch::Receiver<TableBelief>) -> bool {
+async fn has_rows(table: &mut watch::Receiver<TableReplica>) -> bool {
     table.wait_for(|table| table.version.is_known()).await.is_ok()
 }
 
--- a/crates/dillspool_router/src/suspect_rows.rs
+++ b/crates/dillspool_router/src/suspect_rows.rs
@@ -16,7 +16,7 @@
 };
 use dillspool_schema::Name;
 use dillspool_suspects::{RequestPrint, SuspectDesk, SuspectNews};
-use dillspool_watch::TableBelief;
+use dillspool_watch::TableReplica;
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -47,7 +47,7 @@
     pub(crate) host: Name,
     pub(crate) table: Name,
     pub(crate) store: TableStore,
-    pub(crate) rows: watch::Receiver<TableBelief>,
+    pub(crate) rows: watch::Receiver<TableReplica>,
     pub(crate) unreadable: UnreadableRows,
     pub(crate) desk: SuspectDesk,
     pub(crate) wall: WallClock,
--- a/crates/dillspool_router/tests/common/tracked.rs
+++ b/crates/dillspool_router/tests/common/tracked.rs
@@ -8,7 +8,7 @@
 use dillspool_platform::{ChangedRow, StoreEra, StoreVersion, TableDelta};
 use dillspool_router::{DirectorySettings, DirectorySources, UnreadableRows, track_directory};
 use dillspool_routing::{BackendStart, DirectoryView, StartedBackend};
-use dillspool_watch::{SharedBelief, StoreReach};
+use dillspool_watch::{SharedReplica, StoreReachability};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
@@ -16,19 +16,20 @@
 pub const OWN: &str = "10.0.0.1:80";
 
 pub struct TrackedDirectory {
-    pub belief: SharedBelief,
-    pub operator: SharedBelief,
+    pub belief: SharedReplica,
+    pub operator: SharedReplica,
     pub unreadable: UnreadableRows,
-    pub reach: watch::Sender<StoreReach>,
+    pub reach: watch::Sender<StoreReachability>,
     pub leaving: LeavingDesk,
     pub view: watch::Receiver<Arc<DirectoryView>>,
 }
 
 impl TrackedDirectory {
     pub fn start() -> Self {
-        let belief = SharedBelief::new("servers".into(), awake());
-        let operator = SharedBelief::new("op".into(), awake());
-        let reach = watch::Sender::new(StoreReach { direct: true, ..StoreReach::unknown() });
+        let belief = SharedReplica::new("servers".into(), awake());
+        let operator = SharedReplica::new("op".into(), awake());
+        let reach =
+            watch::Sender::new(StoreReachability { direct: true, ..StoreReachability::unknown() });
         let (sender, view) = watch::channel(Arc::default());
         let settings = DirectorySettings {
             lapse_grace: Duration::from_secs(2),
@@ -92,7 +93,8 @@
     }
 
     pub fn reach(&self, reachable: bool) {
-        self.reach.send_replace(StoreReach { direct: reachable, ..StoreReach::unknown() });
+        self.reach
+            .send_replace(StoreReachability { direct: reachable, ..StoreReachability::unknown() });
     }
 
     pub fn is_known(&self) -> bool {
--- a/crates/dillspool_watch/src/belief.rs
+++ b/crates/dillspool_watch/src/belief.rs
@@ -22,7 +22,7 @@
 
 /// One row, or the fact that it was deleted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RowBelief {
+pub struct ReplicaRow {
     /// Version that its last change gave it.
     pub version: StoreVersion,
     /// Its text, `None` once it was deleted.
@@ -31,7 +31,7 @@
     class: OnceLock<Option<Name>>,
 }
 
-impl RowBelief {
+impl ReplicaRow {
     fn new(version: StoreVersion, value: Option<Arc<str>>) -> Self {
         Self { version, value, class: OnceLock::new() }
     }
@@ -63,11 +63,11 @@
 
 /// The rows of one table, and those that were deleted lately.
 #[derive(Clone, Debug)]
-pub struct TableBelief {
+pub struct TableReplica {
     /// Version of the store up to which this is complete; the default one before the first rows.
     pub version: StoreVersion,
     /// Rows by key.
-    pub rows: BTreeMap<Name, RowBelief>,
+    pub rows: BTreeMap<Name, ReplicaRow>,
     /// Version of the newest whole read; rows that it did not show did not exist then.
     whole_at: StoreVersion,
     /// Which rows this has; `None` for all.
@@ -83,15 +83,15 @@
     most_deleted: usize,
 }
 
-impl Default for TableBelief {
+impl Default for TableReplica {
     fn default() -> Self {
-        Self::remembering(MOST_DELETED)
+        Self::with_tombstone_limit(MOST_DELETED)
     }
 }
 
-impl TableBelief {
+impl TableReplica {
     /// An empty belief that remembers so many deleted rows.
-    pub fn remembering(most_deleted: usize) -> Self {
+    pub fn with_tombstone_limit(most_deleted: usize) -> Self {
         Self {
             version: StoreVersion::default(),
             rows: BTreeMap::new(),
@@ -160,7 +160,7 @@
         }
         self.deleted -= usize::from(known.is_some_and(|known| known.value.is_none()));
         self.deleted += usize::from(row.value.is_none());
-        let belief = RowBelief::new(row.version, row.value.clone());
+        let belief = ReplicaRow::new(row.version, row.value.clone());
         self.rows.insert(Name::clone(&row.key), belief);
         !same || self.is_restored
     }
@@ -173,7 +173,7 @@
             if shown.contains(key) || belief.value.is_none() || belief.version > delta.version {
                 continue;
             }
-            *belief = RowBelief::new(delta.version, None);
+            *belief = ReplicaRow::new(delta.version, None);
             self.deleted += 1;
             changed = true;
         }
@@ -183,7 +183,7 @@
     /// Becomes another part of the table, from rows that are all of it. What is known to be newer stays, so a
     /// sender that knows less takes nothing back.
     fn become_part(&mut self, delta: &TableDelta, part: Option<Arc<TablePart>>) -> bool {
-        let before = std::mem::replace(self, Self::remembering(self.most_deleted));
+        let before = std::mem::replace(self, Self::with_tombstone_limit(self.most_deleted));
         self.part = part;
         self.is_restored = before.is_restored || delta.version.era() > before.version.era();
         self.forgotten_at = before.forgotten_at.min(delta.version);
@@ -223,11 +223,11 @@
     fn changes_of(
         &self,
         version: StoreVersion,
-        wanted: impl Fn(&str, &RowBelief) -> bool,
+        wanted: impl Fn(&str, &ReplicaRow) -> bool,
     ) -> TableDelta {
         let newer = self.rows.iter().filter(|(_key, belief)| belief.version > version);
         let newer = newer.filter(|(key, belief)| wanted(key, belief));
-        let row = |(key, belief): (&Name, &RowBelief)| ChangedRow {
+        let row = |(key, belief): (&Name, &ReplicaRow)| ChangedRow {
             key: Name::clone(key),
             version: belief.version,
             value: belief.value.clone(),
@@ -247,22 +247,22 @@
 
 /// A table's belief that the follower writes and everybody else watches.
 #[derive(Clone, Debug)]
-pub struct SharedBelief {
+pub struct SharedReplica {
     /// Name of the table.
     pub table: Name,
-    sender: watch::Sender<TableBelief>,
+    sender: watch::Sender<TableReplica>,
     heard: TableAge,
     age_limit: Duration,
     /// Set for a table of which a host may hold a part.
     classify: Option<RowClassifier>,
 }
 
-impl SharedBelief {
+impl SharedReplica {
     /// An empty belief, which grows old by a clock.
     pub fn new(table: Name, awake: AwakeWatch) -> Self {
         Self {
             table,
-            sender: watch::Sender::new(TableBelief::default()),
+            sender: watch::Sender::new(TableReplica::default()),
             heard: TableAge::new(awake),
             age_limit: USUAL_AGE_LIMIT,
             classify: None,
@@ -271,13 +271,13 @@
 
     /// Lets hosts hold parts of the table by the classes of its rows.
     #[must_use]
-    pub fn with_classes(self, classify: RowClassifier) -> Self {
+    pub fn with_classifier(self, classify: RowClassifier) -> Self {
         Self { classify: Some(classify), ..self }
     }
 
     /// Sets the age beyond which the table is not relayed, for one that is asked for rarely.
     #[must_use]
-    pub fn with_age_limit(self, age_limit: Duration) -> Self {
+    pub fn with_max_age(self, age_limit: Duration) -> Self {
         Self { age_limit, ..self }
     }
 
@@ -327,19 +327,19 @@
     }
 
     /// Merges rows into what is of the same part; of changes, a part takes those of its own rows.
-    fn merge_into(&self, belief: &mut TableBelief, delta: &TableDelta) -> bool {
+    fn merge_into(&self, belief: &mut TableReplica, delta: &TableDelta) -> bool {
         let (Some(part), Some(classify), false) = (&belief.part, &self.classify, delta.full) else {
             return belief.merge(delta);
         };
         let is_wanted = |row: &&ChangedRow| {
-            let told = RowBelief::new(row.version, row.value.clone());
+            let told = ReplicaRow::new(row.version, row.value.clone());
             belief.rows.contains_key(&row.key) || is_held(part, &row.key, &told, classify)
         };
         let rows = delta.rows.iter().filter(is_wanted).cloned().collect();
         belief.merge(&TableDelta { full: false, version: delta.version, rows })
     }
 
-    fn modify(&self, change: impl FnOnce(&mut TableBelief) -> bool) -> bool {
+    fn modify(&self, change: impl FnOnce(&mut TableReplica) -> bool) -> bool {
         let mut changed = false;
         self.sender.send_if_modified(|belief| {
             let before = belief.version;
@@ -368,7 +368,7 @@
     }
 
     /// Watches the belief.
-    pub fn subscribe(&self) -> watch::Receiver<TableBelief> {
+    pub fn subscribe(&self) -> watch::Receiver<TableReplica> {
         self.sender.subscribe()
     }
 
@@ -397,6 +397,6 @@
 }
 
 /// Whether a row exists and is of a part.
-fn is_held(part: &TablePart, key: &str, row: &RowBelief, classify: &RowClassifier) -> bool {
+fn is_held(part: &TablePart, key: &str, row: &ReplicaRow, classify: &RowClassifier) -> bool {
     row.class(key, classify).is_some_and(|class| part.of_class(class).holds(key))
 }
--- a/crates/dillspool_watch/src/follow.rs
+++ b/crates/dillspool_watch/src/follow.rs
@@ -10,8 +10,8 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::belief::SharedBelief;
-use crate::reach::{self, StoreReach};
+use crate::belief::SharedReplica;
+use crate::reach::{self, StoreReachability};
 use crate::whole_read::{ReadCause, log_read, note_history_gone, note_restored, read_whole};
 
 /// Whose questions to the store a host's beliefs come from.
@@ -29,36 +29,36 @@
 #[derive(Clone, Debug)]
 pub struct FollowSettings {
     /// How long the store may hold a question for changes open.
-    pub wait: Duration,
+    pub long_poll_wait: Duration,
     /// The same on a host that relays the store's tables to others, which rely on its age.
-    pub source_wait: Duration,
+    pub source_long_poll_wait: Duration,
     /// Time for which a peer's word of the store spares this host its own questions.
-    pub fresh: Duration,
+    pub relay_freshness: Duration,
     /// Time that a host that relies on peers waits for their word before its first question; zero where it
     /// asks at once.
-    pub first_after: Duration,
+    pub first_poll_delay: Duration,
     /// Time that a host that relies on peers waits for their word before it reads the whole table, if it was told
     /// the table before and the store has forgotten what changed since; zero where it reads at once.
-    pub whole_after: Duration,
+    pub snapshot_delay: Duration,
     /// Time for which such a host asks only for changes of what it was told, from the store's first answer on: when
     /// the store comes back, all hosts notice at the same moment.
-    pub changes_for: Duration,
+    pub changes_only_period: Duration,
     /// Time beyond it after which the answer counts as lost.
-    pub slack: Duration,
+    pub response_slack: Duration,
     /// Time for a whole read, which may take many pages; each page has a deadline of its own.
-    pub whole_limit: Duration,
+    pub snapshot_timeout: Duration,
     /// Shortest time between two questions; bounds the calls when a table changes all the time.
-    pub spacing: Duration,
+    pub min_poll_interval: Duration,
     /// First pause after a failed call; doubles up to `longest_pause`.
-    pub first_pause: Duration,
+    pub initial_backoff: Duration,
     /// Longest pause after a failed call.
-    pub longest_pause: Duration,
+    pub max_backoff: Duration,
     /// The same on a host with sources, which see the store's return before.
-    pub relayed_pause: Duration,
+    pub relayed_max_backoff: Duration,
     /// Longest wait for the answer of the table that probes.
-    pub probe_wait: Duration,
+    pub probe_timeout: Duration,
     /// Whether this table is asked for while the store is out of reach; the others wait for its answer.
-    pub probes: bool,
+    pub is_probe: bool,
 }
 
 impl FollowSettings {
@@ -66,27 +66,27 @@
     /// what the platform promises.
     pub fn new(wait: Duration, limit: Duration) -> Self {
         Self {
-            wait,
+            long_poll_wait: wait,
             // Twice relayed, each time after a repeat, this stays below the age that spares a
             // question.
-            source_wait: limit.mul_f64(0.4),
+            source_long_poll_wait: limit.mul_f64(0.4),
             // The direct question that follows takes some milliseconds.
-            fresh: limit.mul_f64(0.8),
-            first_after: Duration::ZERO,
-            whole_after: Duration::ZERO,
-            changes_for: Duration::ZERO,
+            relay_freshness: limit.mul_f64(0.8),
+            first_poll_delay: Duration::ZERO,
+            snapshot_delay: Duration::ZERO,
+            changes_only_period: Duration::ZERO,
             // An answer takes a few milliseconds; a slow store takes up to 60 times as long.
-            slack: Duration::from_millis(700),
+            response_slack: Duration::from_millis(700),
             // A whole table over the narrowest link, several times.
-            whole_limit: Duration::from_secs(8),
+            snapshot_timeout: Duration::from_secs(8),
             // A quarter of the shortest time in which a change must be in force.
-            spacing: Duration::from_millis(300),
-            first_pause: Duration::from_millis(100),
-            longest_pause: Duration::from_millis(600),
-            relayed_pause: limit,
+            min_poll_interval: Duration::from_millis(300),
+            initial_backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_millis(600),
+            relayed_max_backoff: limit,
             // With what spares a question this leaves an eighth of the time for the answer.
-            probe_wait: limit.mul_f64(0.05),
-            probes: true,
+            probe_timeout: limit.mul_f64(0.05),
+            is_probe: true,
         }
     }
 }
@@ -94,15 +94,15 @@
 impl FollowSettings {
     fn longest_wait(&self, role: FollowRole) -> Duration {
         match role {
-            FollowRole::Alone | FollowRole::Relayed => self.wait,
-            FollowRole::Source => self.source_wait,
+            FollowRole::Alone | FollowRole::Relayed => self.long_poll_wait,
+            FollowRole::Source => self.source_long_poll_wait,
         }
     }
 
     fn longest_pause(&self, role: FollowRole) -> Duration {
         match role {
-            FollowRole::Alone | FollowRole::Source => self.longest_pause,
-            FollowRole::Relayed => self.relayed_pause,
+            FollowRole::Alone | FollowRole::Source => self.max_backoff,
+            FollowRole::Relayed => self.relayed_max_backoff,
         }
     }
 }
@@ -117,8 +117,8 @@
 /// While a peer's word of this table is fresh the store is not asked.
 pub async fn follow_table(
     store: TableWatch,
-    belief: SharedBelief,
-    reach: watch::Sender<StoreReach>,
+    belief: SharedReplica,
+    reach: watch::Sender<StoreReachability>,
     settings: FollowSettings,
     role: watch::Receiver<FollowRole>,
     cancel: CancellationToken,
@@ -132,19 +132,19 @@
 
 async fn follow_forever(
     store: TableWatch,
-    belief: SharedBelief,
-    reach: watch::Sender<StoreReach>,
+    belief: SharedReplica,
+    reach: watch::Sender<StoreReachability>,
     settings: FollowSettings,
     role: watch::Receiver<FollowRole>,
 ) {
     // A belief that came from another host may lack rows, so the first read is always whole.
     let mut complete = false;
     let mut read_cause = ReadCause::First;
-    let mut pause = settings.first_pause;
+    let mut pause = settings.initial_backoff;
     // After a failure the next question is short, so that the store's return is seen at once.
     let mut wait = Duration::ZERO;
     wait_for_first_word(&belief, &settings, role.clone()).await;
-    let asks_first = settings.first_after.is_zero();
+    let asks_first = settings.first_poll_delay.is_zero();
     // Whether the last question had no answer.
     let mut failed = false;
     // Since when the store has answered about this table while no peer's word of it was fresh.
@@ -161,16 +161,16 @@
             (wait, seen_since) = (Duration::ZERO, None);
         }
         let is_first = asks_first && !belief.version().is_known() && !failed;
-        if !settings.probes && !is_first && *role.borrow() == FollowRole::Relayed {
+        if !settings.is_probe && !is_first && *role.borrow() == FollowRole::Relayed {
             // Where all tables lose their source at once, one question shows whether the store answers.
             wait_for_probe(&reach, &belief, &settings).await;
         }
         let relies_on_peers = !complete
             && belief.version().is_known()
-            && !settings.whole_after.is_zero()
+            && !settings.snapshot_delay.is_zero()
             && *role.borrow() == FollowRole::Relayed;
         if relies_on_peers && read_cause != ReadCause::First {
-            wait_for_word(&belief, &settings, settings.whole_after).await;
+            wait_for_word(&belief, &settings, settings.snapshot_delay).await;
             if spared_until(&belief, &settings).is_some() {
                 continue;
             }
@@ -179,12 +179,12 @@
         // the store on: one that ran during an outage would end as the store comes back, on all hosts at once.
         let asks_changes = relies_on_peers
             && read_cause == ReadCause::First
-            && seen_since.is_none_or(|since| since.elapsed() < settings.changes_for);
+            && seen_since.is_none_or(|since| since.elapsed() < settings.changes_only_period);
         let was_complete = complete;
         let (asked, asked_at) = (belief.heard().clock().now(), Instant::now());
         let outcome = if complete || asks_changes {
             let longest = settings.longest_wait(*role.borrow());
-            ask_changes(&store, &belief, &reach, wait.min(longest), settings.slack).await
+            ask_changes(&store, &belief, &reach, wait.min(longest), settings.response_slack).await
         } else {
             let read = read_whole(&store, &belief, &settings).await;
             log_read(&belief, read_cause, *role.borrow(), asked_at, read.as_ref().ok());
@@ -196,18 +196,19 @@
             Ok(QuestionEnd::GivenUp) => wait = Duration::ZERO,
             Ok(QuestionEnd::Answered) if asks_changes => {
                 seen_since.get_or_insert(asked_at);
-                (wait, pause) = (settings.source_wait, settings.first_pause);
+                (wait, pause) = (settings.source_long_poll_wait, settings.initial_backoff);
                 note_reached(&reach, belief.version().era());
             }
             Ok(QuestionEnd::Answered) => {
                 complete = true;
-                pause = settings.first_pause;
+                pause = settings.initial_backoff;
                 // A whole read takes pages; its rows are those of its start.
                 let as_of = if was_complete { belief.heard().heard_at(asked) } else { asked };
                 belief.heard().note_answered(as_of);
                 // What was waited for through a stall is old, and must not count until a long question ends.
-                let is_old = was_complete && belief.heard().clock().since(as_of) > settings.spacing;
-                wait = if is_old { Duration::ZERO } else { settings.wait };
+                let is_old = was_complete
+                    && belief.heard().clock().since(as_of) > settings.min_poll_interval;
+                wait = if is_old { Duration::ZERO } else { settings.long_poll_wait };
                 note_reached(&reach, belief.version().era());
             }
             Err(WatchError::HistoryGone) => {
@@ -226,10 +227,10 @@
                 let longest = settings.longest_pause(role);
                 // One call may be lost; a host with sources loses nothing by a pause.
                 let has_sources = role == FollowRole::Relayed;
-                let is_first = pause == settings.first_pause && !has_sources;
-                if settings.probes && has_sources {
+                let is_first = pause == settings.initial_backoff && !has_sources;
+                if settings.is_probe && has_sources {
                     wait_for_peers(&reach, Instant::now() + longest).await;
-                } else if settings.probes || is_first {
+                } else if settings.is_probe || is_first {
                     tokio::time::sleep(pause).await;
                 } else {
                     wait_for_store(&reach, longest * MISSED_PROBES).await;
@@ -238,10 +239,10 @@
             }
         }
         // A store that answers at once, whatever it is asked, must not be asked without end.
-        tokio::time::sleep_until(asked_at + settings.spacing).await;
+        tokio::time::sleep_until(asked_at + settings.min_poll_interval).await;
         if complete && !was_complete && *role.borrow() == FollowRole::Relayed {
             // What was just read counts for as long as a peer's word would; a peer's comes by then.
-            wait_for_peers(&reach, asked_at + settings.fresh).await;
+            wait_for_peers(&reach, asked_at + settings.relay_freshness).await;
             wait = Duration::ZERO;
         }
     }
@@ -249,13 +250,13 @@
 
 /// Waits until a peer has told the table, but no longer than a host does that has just started.
 async fn wait_for_first_word(
-    belief: &SharedBelief,
+    belief: &SharedReplica,
     settings: &FollowSettings,
     mut role: watch::Receiver<FollowRole>,
 ) {
     let started = Instant::now();
-    while belief.heard().spared_until(settings.fresh).is_none()
-        && started.elapsed() < settings.first_after
+    while belief.heard().spared_until(settings.relay_freshness).is_none()
+        && started.elapsed() < settings.first_poll_delay
         && *role.borrow() == FollowRole::Relayed
     {
         tokio::select! {
@@ -269,14 +270,15 @@
 /// Waits until the table that probes has an answer, or a peer has one, but only for a moment: tables age
 /// one by one, and the one that probes may be fresh and not ask for seconds.
 async fn wait_for_probe(
-    reach: &watch::Sender<StoreReach>,
-    belief: &SharedBelief,
+    reach: &watch::Sender<StoreReachability>,
+    belief: &SharedReplica,
     settings: &FollowSettings,
 ) {
     let since = Instant::now();
-    while since.elapsed() < settings.probe_wait {
-        let answered = reach.borrow().answered;
-        let is_answered = answered.is_some_and(|answered| answered + settings.spacing >= since);
+    while since.elapsed() < settings.probe_timeout {
+        let answered = reach.borrow().last_answered;
+        let is_answered =
+            answered.is_some_and(|answered| answered + settings.min_poll_interval >= since);
         if is_answered || spared_until(belief, settings).is_some() {
             return;
         }
@@ -285,7 +287,7 @@
 }
 
 /// Waits until a peer has said how the table stands, but no longer than a time.
-async fn wait_for_word(belief: &SharedBelief, settings: &FollowSettings, limit: Duration) {
+async fn wait_for_word(belief: &SharedReplica, settings: &FollowSettings, limit: Duration) {
     let since = Instant::now();
     while spared_until(belief, settings).is_none() && since.elapsed() < limit {
         tokio::time::sleep(LOOK_FOR_PEERS).await;
@@ -301,15 +303,15 @@
 }
 
 /// Waits until the store answers again, or a peer relays it, or the time is over.
-async fn wait_for_store(reach: &watch::Sender<StoreReach>, limit: Duration) {
+async fn wait_for_store(reach: &watch::Sender<StoreReachability>, limit: Duration) {
     let mut state = reach.subscribe();
-    let reachable = state.wait_for(StoreReach::is_reachable);
+    let reachable = state.wait_for(StoreReachability::is_reachable);
     // If the probe goes unheard for so long, this table asks for itself.
     let _elapsed = tokio::time::timeout(limit, reachable).await;
 }
 
 /// Waits until a peer relays the tables, or until then.
-async fn wait_for_peers(reach: &watch::Sender<StoreReach>, until: Instant) {
+async fn wait_for_peers(reach: &watch::Sender<StoreReachability>, until: Instant) {
     let mut state = reach.subscribe();
     let relayed = state.wait_for(|state| state.relayed);
     // Without a peer the store is asked.
@@ -317,22 +319,25 @@
 }
 
 /// When the next question is due, while a peer's word spares it.
-fn spared_until(belief: &SharedBelief, settings: &FollowSettings) -> Option<Moment> {
+fn spared_until(belief: &SharedReplica, settings: &FollowSettings) -> Option<Moment> {
     let heard = belief.heard();
-    heard.spared_until(settings.fresh).filter(|until| *until > heard.clock().now())
+    heard.spared_until(settings.relay_freshness).filter(|until| *until > heard.clock().now())
 }
 
 /// Notes that the store can be asked, whatever it said, and in which era it is.
-pub(crate) fn note_reached(reach: &watch::Sender<StoreReach>, era: StoreEra) {
+pub(crate) fn note_reached(reach: &watch::Sender<StoreReachability>, era: StoreEra) {
     reach::note(reach, "answered", |state| {
         state.direct = true;
-        state.answered = Some(Instant::now());
+        state.last_answered = Some(Instant::now());
         state.era = state.era.max(era);
     });
 }
 
 /// Waits until another table shows that the store has come back from a copy since a version; its era.
-async fn restored_since(reach: &watch::Sender<StoreReach>, version: StoreVersion) -> StoreEra {
+async fn restored_since(
+    reach: &watch::Sender<StoreReachability>,
+    version: StoreVersion,
+) -> StoreEra {
     let mut state = reach.subscribe();
     let restored = state.wait_for(|state| state.era > version.era()).await;
     let era = restored.map(|state| state.era);
@@ -353,8 +358,8 @@
 
 async fn ask_changes(
     store: &TableWatch,
-    belief: &SharedBelief,
-    reach: &watch::Sender<StoreReach>,
+    belief: &SharedReplica,
+    reach: &watch::Sender<StoreReachability>,
     wait: Duration,
     slack: Duration,
 ) -> Result<QuestionEnd, WatchError> {
--- a/crates/dillspool_watch/src/lib.rs
+++ b/crates/dillspool_watch/src/lib.rs
@@ -11,7 +11,7 @@
 mod relay_frame;
 mod whole_read;
 
-pub use belief::{RowBelief, RowClassifier, SharedBelief, TableBelief};
+pub use belief::{ReplicaRow, RowClassifier, SharedReplica, TableReplica};
 pub use follow::{FollowRole, FollowSettings, follow_table};
-pub use reach::StoreReach;
+pub use reach::StoreReachability;
 pub use relay::{RelayError, RelayPeers, RelayService, relay_from_peers, serve_relay};
--- a/crates/dillspool_watch/src/reach.rs
+++ b/crates/dillspool_watch/src/reach.rs
@@ -6,7 +6,7 @@
 
 /// What this host hears from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreReach {
+pub struct StoreReachability {
     /// Whether the store answered this host's own last call.
     pub direct: bool,
     /// Whether a peer that reaches the store relays its tables to this host.
@@ -14,20 +14,20 @@
     /// When the store came into reach, or went out of it.
     pub since: Instant,
     /// When the store last answered this host itself, about any table; shows that it can be asked, and
-    /// says nothing of a table ([`crate::SharedBelief::age`]).
-    pub answered: Option<Instant>,
+    /// says nothing of a table ([`crate::SharedReplica::age`]).
+    pub last_answered: Option<Instant>,
     /// Newest era that one of the store's tables was seen in.
     pub era: StoreEra,
 }
 
-impl StoreReach {
+impl StoreReachability {
     /// The start: nothing was heard yet.
     pub fn unknown() -> Self {
         Self {
             direct: false,
             relayed: false,
             since: Instant::now(),
-            answered: None,
+            last_answered: None,
             era: StoreEra::default(),
         }
     }
@@ -40,9 +40,9 @@
 
 /// Changes the state, and logs when the store comes into reach or goes out of it.
 pub(crate) fn note(
-    reach: &watch::Sender<StoreReach>,
+    reach: &watch::Sender<StoreReachability>,
     cause: &str,
-    change: impl FnOnce(&mut StoreReach),
+    change: impl FnOnce(&mut StoreReachability),
 ) {
     reach.send_if_modified(|state| {
         let before = *state;
--- a/crates/dillspool_watch/src/relay/serving.rs
+++ b/crates/dillspool_watch/src/relay/serving.rs
@@ -20,8 +20,8 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{CONNECT_LIMIT, config};
-use crate::belief::SharedBelief;
-use crate::reach::StoreReach;
+use crate::belief::SharedReplica;
+use crate::reach::StoreReachability;
 use crate::relay_frame::{self, RelayWish};
 
 /// Peers to which whole tables are sent at once; each takes memory for the time of its sending.
@@ -48,8 +48,8 @@
 /// What a host relays, and how.
 #[derive(Clone)]
 pub struct RelayService {
-    beliefs: Vec<SharedBelief>,
-    reach: watch::Receiver<StoreReach>,
+    beliefs: Vec<SharedReplica>,
+    reach: watch::Receiver<StoreReachability>,
     limit: Duration,
     hosts: Arc<dyn Fn() -> Option<usize> + Send + Sync>,
 }
@@ -64,8 +64,8 @@
     /// Relays tables of which changes must be in force everywhere within a time; the number of hosts is not
     /// known.
     pub fn new(
-        beliefs: Vec<SharedBelief>,
-        reach: watch::Receiver<StoreReach>,
+        beliefs: Vec<SharedReplica>,
+        reach: watch::Receiver<StoreReachability>,
         limit: Duration,
     ) -> Self {
         Self { beliefs, reach, limit, hosts: Arc::new(|| None) }
@@ -73,12 +73,15 @@
 
     /// Asks for the number of hosts.
     #[must_use]
-    pub fn with_hosts(self, hosts: impl Fn() -> Option<usize> + Send + Sync + 'static) -> Self {
+    pub fn with_host_count(
+        self,
+        hosts: impl Fn() -> Option<usize> + Send + Sync + 'static,
+    ) -> Self {
         Self { hosts: Arc::new(hosts), ..self }
     }
 
     /// The part of a table for a peer that holds parts of large ones.
-    fn part_for(&self, belief: &SharedBelief, seed: u64) -> Option<Arc<TablePart>> {
+    fn part_for(&self, belief: &SharedReplica, seed: u64) -> Option<Arc<TablePart>> {
         let counts = belief.count_rows((self.hosts)())?;
         TablePart::of_counts(seed, &counts).map(Arc::new)
     }
@@ -135,7 +138,7 @@
 
 /// What a peer has of one table.
 struct SentTable {
-    belief: SharedBelief,
+    belief: SharedReplica,
     /// Version up to which the peer has it; the default one before the first rows.
     version: StoreVersion,
     /// The rows that it holds; `None` for all.
@@ -179,7 +182,7 @@
     let (mut socket, wish) = accepted.map_err(|elapsed| elapsed.to_string())??;
     service.first_tables().await;
     let mut whole = Some(whole_sends.acquire_owned().await.map_err(|error| error.to_string())?);
-    let table = |belief: &SharedBelief| SentTable {
+    let table = |belief: &SharedReplica| SentTable {
         belief: belief.clone(),
         version: StoreVersion::default(),
         part: wish.part.and_then(|seed| service.part_for(belief, seed)),
@@ -187,7 +190,7 @@
         rows: 0,
     };
     let mut sent: Vec<_> = service.beliefs.iter().map(table).collect();
-    let mut watchers: Vec<_> = service.beliefs.iter().map(SharedBelief::subscribe).collect();
+    let mut watchers: Vec<_> = service.beliefs.iter().map(SharedReplica::subscribe).collect();
     let mut reach = service.reach.clone();
     loop {
         reach.mark_unchanged();
--- a/crates/dillspool_watch/src/relay/taking.rs
+++ b/crates/dillspool_watch/src/relay/taking.rs
@@ -20,8 +20,8 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{CONNECT_LIMIT, config};
-use crate::belief::SharedBelief;
-use crate::reach::{self, StoreReach};
+use crate::belief::SharedReplica;
+use crate::reach::{self, StoreReachability};
 use crate::relay_frame::{self, RelayWish};
 
 /// Time without a message after which a peer is left; it repeats itself at least every half second.
@@ -56,7 +56,7 @@
     /// All peers, best first, for when the store is out of reach.
     pub all: Vec<SocketAddr>,
     /// Set on a host that needs but a part of large tables: what tells its part from those of others.
-    pub part: Option<u64>,
+    pub subset_seed: Option<u64>,
 }
 
 impl RelayPeers {
@@ -79,8 +79,8 @@
 pub async fn relay_from_peers(
     stack: NetStack,
     peers: impl Fn() -> RelayPeers + Send + Sync,
-    beliefs: Vec<SharedBelief>,
-    reach: watch::Sender<StoreReach>,
+    beliefs: Vec<SharedReplica>,
+    reach: watch::Sender<StoreReachability>,
     cancel: CancellationToken,
 ) {
     tokio::select! {
@@ -92,8 +92,8 @@
 async fn relay_forever(
     stack: &NetStack,
     peers: &(impl Fn() -> RelayPeers + Send + Sync),
-    beliefs: &[SharedBelief],
-    reach: watch::Sender<StoreReach>,
+    beliefs: &[SharedReplica],
+    reach: watch::Sender<StoreReachability>,
 ) {
     let mut next = 0_usize;
     let mut sources = Vec::new();
@@ -101,7 +101,7 @@
     loop {
         let direct = changes.borrow_and_update().direct;
         let listed = peers();
-        let (part, has_sources) = (listed.part, !listed.sources.is_empty());
+        let (part, has_sources) = (listed.subset_seed, !listed.sources.is_empty());
         if listed.sources != sources {
             // The tries of others say nothing of these, and would have this host begin behind them.
             sources.clone_from(&listed.sources);
@@ -143,13 +143,13 @@
     address: SocketAddr,
     part: Option<u64>,
     peers: &(impl Fn() -> RelayPeers + Send + Sync),
-    reach: &watch::Sender<StoreReach>,
+    reach: &watch::Sender<StoreReachability>,
 ) {
     let before = peers().sources;
     loop {
         tokio::time::sleep(LOOK_AGAIN).await;
         let now = peers();
-        if now.part != part {
+        if now.subset_seed != part {
             return;
         }
         let listed = now.sources;
@@ -165,8 +165,8 @@
     stack: &NetStack,
     address: SocketAddr,
     part: Option<u64>,
-    beliefs: &[SharedBelief],
-    reach: &watch::Sender<StoreReach>,
+    beliefs: &[SharedReplica],
+    reach: &watch::Sender<StoreReachability>,
 ) -> Result<(), RelayError> {
     let ended = |reason: String| RelayError::Ended { address, reason };
     let opening = tokio::time::timeout(CONNECT_LIMIT, open(stack, address, part)).await;
@@ -218,7 +218,7 @@
 
 /// Takes the rows of one table, or of a part of it, from a message that was waited for since a moment.
 fn take(
-    beliefs: &[SharedBelief],
+    beliefs: &[SharedReplica],
     message: RelayMessage,
     part: Option<&Arc<TablePart>>,
     waited_since: Moment,
--- a/crates/dillspool_watch/src/whole_read.rs
+++ b/crates/dillspool_watch/src/whole_read.rs
@@ -7,9 +7,9 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::belief::SharedBelief;
+use crate::belief::SharedReplica;
 use crate::follow::{FollowRole, FollowSettings, note_reached, silent};
-use crate::reach::StoreReach;
+use crate::reach::StoreReachability;
 
 /// Why a table is read whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 /// Tells a whole read, which costs the store all rows of a table, the version of its answer, and how long no peer has
 /// told of the table (`none` where none ever did).
 pub(crate) fn log_read(
-    belief: &SharedBelief,
+    belief: &SharedReplica,
     cause: ReadCause,
     role: FollowRole,
     asked_at: Instant,
@@ -57,8 +57,8 @@
 
 /// Notes that the store has forgotten the changes since what is believed.
 pub(crate) fn note_history_gone(
-    reach: &watch::Sender<StoreReach>,
-    belief: &SharedBelief,
+    reach: &watch::Sender<StoreReachability>,
+    belief: &SharedReplica,
 ) -> ReadCause {
     let (table, version) = (&belief.table, belief.version());
     log::info!("event=history_gone table={table} version={version}");
@@ -68,8 +68,8 @@
 
 /// Notes that the store has come back from a copy since what is believed.
 pub(crate) fn note_restored(
-    reach: &watch::Sender<StoreReach>,
-    belief: &SharedBelief,
+    reach: &watch::Sender<StoreReachability>,
+    belief: &SharedReplica,
     era: StoreEra,
 ) -> ReadCause {
     let (table, version) = (&belief.table, belief.version());
@@ -81,12 +81,12 @@
 /// Reads a table whole; the version of the answer.
 pub(crate) async fn read_whole(
     store: &TableWatch,
-    belief: &SharedBelief,
+    belief: &SharedReplica,
     settings: &FollowSettings,
 ) -> Result<StoreVersion, WatchError> {
     let snapshot = (store.snapshot)(Arc::clone(&belief.table));
-    let answer = belief.heard().clock().timeout(settings.whole_limit, snapshot).await;
-    let answer = answer.map_err(|MomentPassed| silent(settings.whole_limit))?;
+    let answer = belief.heard().clock().timeout(settings.snapshot_timeout, snapshot).await;
+    let answer = answer.map_err(|MomentPassed| silent(settings.snapshot_timeout))?;
     let delta = answer.map_err(|source| WatchError::Store { source })?;
     belief.merge(&delta);
     Ok(delta.version)
--- a/crates/dillspool_watch/tests/belief.rs
+++ b/crates/dillspool_watch/tests/belief.rs
@@ -2,7 +2,7 @@
 
 use dillspool_cases::fixed_cases;
 use dillspool_platform::{ChangedRow, TableDelta};
-use dillspool_watch::TableBelief;
+use dillspool_watch::TableReplica;
 use proptest::prelude::*;
 
 fn row(key: &str, version: u64, value: Option<&str>) -> ChangedRow {
@@ -34,7 +34,7 @@
         case("missing in a part", delta(false, 9, vec![]), Some("x"), false),
     ];
     for case in cases {
-        let mut belief = TableBelief::default();
+        let mut belief = TableReplica::default();
         belief.merge(&delta(true, 5, vec![row("a", 5, Some("x"))]));
         assert_eq!(belief.merge(&case.then), case.changed, "{}", case.name);
         assert_eq!(belief.value("a").map(|it| &**it), case.value, "{}", case.name);
@@ -62,7 +62,7 @@
             }
             rows
         };
-        let mut belief = TableBelief::remembering(most_deleted);
+        let mut belief = TableReplica::with_tombstone_limit(most_deleted);
         for (at, whole) in &order {
             let version = (*at % history.len()) + 1;
             let shown = rows_at(version).into_iter().map(|(key, (version, text))| {
@@ -97,8 +97,8 @@
         looks in prop::collection::vec(any::<bool>(), 30),
         most_deleted in 0_usize..5,
     ) {
-        let mut source = TableBelief::remembering(most_deleted);
-        let mut peer = TableBelief::remembering(most_deleted);
+        let mut source = TableReplica::with_tombstone_limit(most_deleted);
+        let mut peer = TableReplica::with_tombstone_limit(most_deleted);
         let mut table = std::collections::BTreeMap::new();
         for (at, (name, kept, whole)) in steps.iter().enumerate() {
             let (version, key) = (at as u64 + 1, format!("k{name}"));
@@ -128,8 +128,8 @@
 /// Each row that was ever deleted stayed, on every host, for as long as it ran.
 #[test]
 fn deleted_rows_were_remembered_for_ever() {
-    let mut belief = TableBelief::default();
-    let mut peer = TableBelief::default();
+    let mut belief = TableReplica::default();
+    let mut peer = TableReplica::default();
     for number in 0..10_000_u64 {
         let (name, version) = (format!("i-{number}"), 2 * number + 1);
         belief.merge(&delta(false, version, vec![row(&name, version, Some("ready"))]));
@@ -145,7 +145,7 @@
     assert_eq!(living, 10);
     assert!(belief.rows.len() <= 2_010, "{} rows are remembered", belief.rows.len());
     // A peer that was away for most of it ends with the same rows, and nothing comes back from it.
-    let mut late = TableBelief::default();
+    let mut late = TableReplica::default();
     late.merge(&delta(true, 1, vec![row("i-0", 1, Some("ready")), row("i-1", 1, Some("ready"))]));
     let old = late.changes_since(0.into());
     late.merge(&belief.changes_since(late.version));
--- a/crates/dillspool_watch/tests/new_sources.rs
+++ b/crates/dillspool_watch/tests/new_sources.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillspool_io::{AwakeWatch, HostClock, MemoryNet, NetStack};
-use dillspool_watch::{RelayPeers, SharedBelief, StoreReach, relay_from_peers};
+use dillspool_watch::{RelayPeers, SharedReplica, StoreReachability, relay_from_peers};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
@@ -36,12 +36,15 @@
         }
         let clock = HostClock::steady();
         let awake = AwakeWatch::start(clock, CancellationToken::new());
-        let beliefs = vec![SharedBelief::new("op".into(), awake)];
+        let beliefs = vec![SharedReplica::new("op".into(), awake)];
         let (sources, listed) = watch::channel(vec![address(2)]);
-        let peers =
-            move || RelayPeers { sources: listed.borrow().clone(), all: Vec::new(), part: None };
+        let peers = move || RelayPeers {
+            sources: listed.borrow().clone(),
+            all: Vec::new(),
+            subset_seed: None,
+        };
         let cancel = CancellationToken::new();
-        let reach = watch::Sender::new(StoreReach::unknown());
+        let reach = watch::Sender::new(StoreReachability::unknown());
         let stack = net.stack(address(1).ip());
         tokio::spawn(relay_from_peers(stack, peers, beliefs, reach, cancel.clone()));
         tokio::time::sleep(Duration::from_millis(tried_ms)).await;
--- a/crates/dillspool_watch/tests/parts.rs
+++ b/crates/dillspool_watch/tests/parts.rs
@@ -8,8 +8,8 @@
 use dillspool_part::{RowCounts, TablePart};
 use dillspool_platform::{ChangedRow, PlatformError, TableDelta, TableWatch, WatchError};
 use dillspool_watch::{
-    FollowRole, FollowSettings, RelayPeers, RelayService, RowClassifier, SharedBelief, StoreReach,
-    follow_table, relay_from_peers, serve_relay,
+    FollowRole, FollowSettings, RelayPeers, RelayService, RowClassifier, SharedReplica,
+    StoreReachability, follow_table, relay_from_peers, serve_relay,
 };
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -27,9 +27,9 @@
 }
 
 /// Rows are texts `CLASS TEXT`; one without a blank is of no class.
-fn belief() -> SharedBelief {
+fn belief() -> SharedReplica {
     let class = |_key: &str, text: &str| Some(text.split_once(' ')?.0.into());
-    SharedBelief::new("servers".into(), awake()).with_classes(RowClassifier::new(class))
+    SharedReplica::new("servers".into(), awake()).with_classifier(RowClassifier::new(class))
 }
 
 /// A store that answers each question with nothing new.
@@ -49,8 +49,8 @@
 
 /// A source with rows of its own choosing, and a host that takes its part of them.
 struct PartedPair {
-    source: SharedBelief,
-    held: SharedBelief,
+    source: SharedReplica,
+    held: SharedReplica,
     version: u64,
 }
 
@@ -60,8 +60,9 @@
         let source = belief();
         serve(&net.stack(address(1).ip()), &source).await;
         let held = belief();
-        let peers = || RelayPeers { sources: vec![address(1)], all: vec![], part: Some(SEED) };
-        let reach = watch::Sender::new(StoreReach::unknown());
+        let peers =
+            || RelayPeers { sources: vec![address(1)], all: vec![], subset_seed: Some(SEED) };
+        let reach = watch::Sender::new(StoreReachability::unknown());
         tokio::spawn(relay_from_peers(
             net.stack(address(2).ip()),
             peers,
@@ -103,14 +104,14 @@
     }
 }
 
-fn live(belief: &SharedBelief) -> Vec<(String, String)> {
+fn live(belief: &SharedReplica) -> Vec<(String, String)> {
     let rows = belief.changes_since(0.into()).rows.into_iter();
     rows.filter_map(|row| Some((row.key.to_string(), row.value?.to_string()))).collect()
 }
 
 /// Serves a belief that counts as fresh, whatever is merged into it.
-async fn serve(stack: &NetStack, shown: &SharedBelief) {
-    let reach = watch::Sender::new(StoreReach::unknown());
+async fn serve(stack: &NetStack, shown: &SharedReplica) {
+    let reach = watch::Sender::new(StoreReachability::unknown());
     let role = watch::Sender::new(FollowRole::Source);
     let first = TableDelta { full: true, version: 0.into(), rows: Vec::new() };
     let store = TableWatch {
--- a/crates/dillspool_watch/tests/relay.rs
+++ b/crates/dillspool_watch/tests/relay.rs
@@ -10,8 +10,8 @@
     ChangedRow, PlatformError, StoreEra, StoreVersion, TableDelta, TableWatch, WatchError,
 };
 use dillspool_watch::{
-    FollowRole, FollowSettings, RelayPeers, RelayService, SharedBelief, StoreReach, follow_table,
-    relay_from_peers, serve_relay,
+    FollowRole, FollowSettings, RelayPeers, RelayService, SharedReplica, StoreReachability,
+    follow_table, relay_from_peers, serve_relay,
 };
 use tokio::sync::{Notify, watch};
 use tokio_util::sync::CancellationToken;
@@ -102,9 +102,9 @@
 }
 
 struct TestHost {
-    belief: SharedBelief,
+    belief: SharedReplica,
     access: watch::Sender<Access>,
-    reach: watch::Receiver<StoreReach>,
+    reach: watch::Receiver<StoreReachability>,
 }
 
 impl TestHost {
@@ -127,9 +127,9 @@
     role: FollowRole,
 ) -> TestHost {
     let cancel = CancellationToken::new();
-    let belief = SharedBelief::new("op".into(), awake());
+    let belief = SharedReplica::new("op".into(), awake());
     let (access, reader) = watch::channel(Access::Served);
-    let reach_sender = watch::Sender::new(StoreReach::unknown());
+    let reach_sender = watch::Sender::new(StoreReachability::unknown());
     let reach = reach_sender.subscribe();
     let relayed = reach_sender.clone();
     let settings = FollowSettings::new(Duration::from_millis(2500), LIMIT);
@@ -152,7 +152,7 @@
         cancel.clone(),
     ));
     let sources = if role == FollowRole::Relayed { vec![peer] } else { Vec::new() };
-    let peers = move || RelayPeers { sources: sources.clone(), all: vec![peer], part: None };
+    let peers = move || RelayPeers { sources: sources.clone(), all: vec![peer], subset_seed: None };
     tokio::spawn(relay_from_peers(stack, peers, beliefs, relayed, cancel));
     TestHost { belief, access, reach }
 }
@@ -349,13 +349,13 @@
     let peer = host(&net, &store, "10.0.0.1:8146", "10.0.0.9:8146").await;
     pass(10_000).await;
     assert!(peer.belief.age().is_some());
-    let belief = SharedBelief::new("op".into(), awake());
+    let belief = SharedReplica::new("op".into(), awake());
     let version = StoreVersion::new(StoreEra::new(1), 1);
     let row = ChangedRow { key: "config".into(), version, value: Some("restored".into()) };
     belief.merge(&TableDelta { full: true, version, rows: vec![row] });
     let source = "10.0.0.1:8146".parse().unwrap();
-    let peers = move || RelayPeers { sources: vec![source], all: Vec::new(), part: None };
-    let (stack, reach) = (net.stack("10.0.0.2".parse().unwrap()), StoreReach::unknown());
+    let peers = move || RelayPeers { sources: vec![source], all: Vec::new(), subset_seed: None };
+    let (stack, reach) = (net.stack("10.0.0.2".parse().unwrap()), StoreReachability::unknown());
     let (beliefs, reach) = (vec![belief.clone()], watch::Sender::new(reach));
     tokio::spawn(relay_from_peers(stack, peers, beliefs, reach.clone(), CancellationToken::new()));
     pass(1_000).await;
--- a/crates/dillspool_watch/tests/relay_frames.rs
+++ b/crates/dillspool_watch/tests/relay_frames.rs
@@ -8,7 +8,7 @@
 use dillspool_platform::{ChangedRow, TableDelta};
 use dillspool_schema::relay::RelayMessage;
 use dillspool_watch::{
-    RelayPeers, RelayService, SharedBelief, StoreReach, relay_from_peers, serve_relay,
+    RelayPeers, RelayService, SharedReplica, StoreReachability, relay_from_peers, serve_relay,
 };
 use futures_util::{SinkExt, StreamExt};
 use tokio::sync::watch;
@@ -41,15 +41,15 @@
     (0..count).map(row).collect()
 }
 
-fn belief(rows: Vec<ChangedRow>) -> SharedBelief {
-    let belief = SharedBelief::new("servers".into(), awake());
+fn belief(rows: Vec<ChangedRow>) -> SharedReplica {
+    let belief = SharedReplica::new("servers".into(), awake());
     let version = rows.len() as u64 + 1;
     belief.merge(&TableDelta { full: true, version: version.into(), rows });
     belief
 }
 
 /// A host whose table is fresh, by its own question, and that relays it.
-async fn serve(stack: &NetStack, rows: Vec<ChangedRow>) -> SharedBelief {
+async fn serve(stack: &NetStack, rows: Vec<ChangedRow>) -> SharedReplica {
     let shown = belief(rows.clone());
     let store = dillspool_platform::TableWatch {
         snapshot: {
@@ -67,7 +67,7 @@
             )
         }),
     };
-    let reach = watch::Sender::new(StoreReach::unknown());
+    let reach = watch::Sender::new(StoreReachability::unknown());
     let role = watch::Sender::new(dillspool_watch::FollowRole::Alone);
     let cancel = CancellationToken::new();
     let settings = dillspool_watch::FollowSettings::new(LIMIT, LIMIT);
@@ -136,13 +136,13 @@
 
 /// Takes tables from a peer for some seconds; the belief at the end.
 async fn taken(net: &MemoryNet) -> TableDelta {
-    let belief = SharedBelief::new("servers".into(), awake());
-    let peers = || RelayPeers { sources: vec![source()], all: vec![source()], part: None };
+    let belief = SharedReplica::new("servers".into(), awake());
+    let peers = || RelayPeers { sources: vec![source()], all: vec![source()], subset_seed: None };
     let relay = relay_from_peers(
         net.stack("10.0.0.2".parse().unwrap()),
         peers,
         vec![belief.clone()],
-        watch::Sender::new(StoreReach::unknown()),
+        watch::Sender::new(StoreReachability::unknown()),
         CancellationToken::new(),
     );
     let _over = tokio::time::timeout(Duration::from_secs(3), relay).await;
--- a/crates/dillspool_watch/tests/restored.rs
+++ b/crates/dillspool_watch/tests/restored.rs
@@ -2,7 +2,7 @@
 
 use dillspool_cases::fixed_cases;
 use dillspool_platform::{ChangedRow, StoreEra, StoreVersion, TableDelta};
-use dillspool_watch::TableBelief;
+use dillspool_watch::TableReplica;
 use proptest::prelude::*;
 
 fn version(era: u64, number: u64) -> StoreVersion {
@@ -24,9 +24,9 @@
         whole(version(1, 30), vec![row("a", version(1, 30), "x"), row("lost", version(1, 29), "")]);
     let after =
         whole(version(2, 27), vec![row("a", version(2, 11), "old"), row("b", version(2, 27), "y")]);
-    let mut belief = TableBelief::default();
+    let mut belief = TableReplica::default();
     belief.merge(&before);
-    let mut peer = TableBelief::default();
+    let mut peer = TableReplica::default();
     peer.merge(&belief.changes_since(peer.version));
     assert!(belief.merge(&after));
     peer.merge(&belief.changes_since(peer.version));
@@ -53,7 +53,7 @@
             let rows = rows.map(|at| row(&format!("k{at}"), version(era, at), &format!("{era}-{at}")));
             whole(version(era, number), rows.collect())
         };
-        let (mut belief, mut peer) = (TableBelief::default(), TableBelief::default());
+        let (mut belief, mut peer) = (TableReplica::default(), TableReplica::default());
         for (era, number, tells) in &order {
             let before = belief.version;
             belief.merge(&read(*era, *number));
@@ -87,9 +87,9 @@
     };
     let mut before = rows(1);
     before.push(row("i-100", version(1, ROWS + 7), "recorded since the copy"));
-    let mut source = TableBelief::default();
+    let mut source = TableReplica::default();
     source.merge(&whole(version(1, ROWS + 7), before));
-    let mut peer = TableBelief::default();
+    let mut peer = TableReplica::default();
     peer.merge(&source.changes_since(peer.version));
     let mut after = rows(2);
     after.push(row("i-200", version(2, ROWS + 1), "written again"));
--- a/crates/dillspool_watch/tests/table_ages.rs
+++ b/crates/dillspool_watch/tests/table_ages.rs
@@ -10,8 +10,8 @@
 use dillspool_platform::{ChangedRow, PlatformError, TableDelta, TableWatch, WatchError};
 use dillspool_schema::Name;
 use dillspool_watch::{
-    FollowRole, FollowSettings, RelayPeers, RelayService, SharedBelief, StoreReach, follow_table,
-    relay_from_peers, serve_relay,
+    FollowRole, FollowSettings, RelayPeers, RelayService, SharedReplica, StoreReachability,
+    follow_table, relay_from_peers, serve_relay,
 };
 use tokio::sync::{Notify, watch};
 use tokio_util::sync::CancellationToken;
@@ -122,8 +122,8 @@
 struct TestHost {
     /// Suspends it.
     jumps: ClockJumps,
-    config: SharedBelief,
-    backends: SharedBelief,
+    config: SharedReplica,
+    backends: SharedReplica,
     access: watch::Sender<Access>,
 }
 
@@ -138,17 +138,17 @@
     let cancel = CancellationToken::new();
     let jumps = ClockJumps::default();
     let awake = AwakeWatch::start(jumps.clock(), cancel.clone());
-    let config = SharedBelief::new(CONFIG.into(), awake.clone());
-    let backends = SharedBelief::new(BACKENDS.into(), awake);
+    let config = SharedReplica::new(CONFIG.into(), awake.clone());
+    let backends = SharedReplica::new(BACKENDS.into(), awake);
     let (access, reader) = watch::channel(Access::Served);
-    let reach = watch::Sender::new(StoreReach::unknown());
+    let reach = watch::Sender::new(StoreReachability::unknown());
     let settings = FollowSettings::new(Duration::from_millis(2500), LIMIT);
-    for (belief, probes) in [(&config, true), (&backends, false)] {
+    for (belief, is_probe) in [(&config, true), (&backends, false)] {
         tokio::spawn(follow_table(
             store.watch(&reader),
             belief.clone(),
             reach.clone(),
-            FollowSettings { probes, ..settings.clone() },
+            FollowSettings { is_probe, ..settings.clone() },
             watch::channel(role).1,
             cancel.clone(),
         ));
@@ -165,7 +165,8 @@
     let all: Vec<SocketAddr> = source.iter().map(|peer| peer.parse().unwrap()).collect();
     // A source asks its peers only while the store is out of reach.
     let sources = if role == FollowRole::Relayed { all.clone() } else { Vec::new() };
-    let peers = move || RelayPeers { sources: sources.clone(), all: all.clone(), part: None };
+    let peers =
+        move || RelayPeers { sources: sources.clone(), all: all.clone(), subset_seed: None };
     tokio::spawn(relay_from_peers(stack, peers, beliefs, reach, cancel));
     TestHost { jumps, config, backends, access }
 }
