--- a/crates/dillspool_forward/src/answer.rs
+++ b/crates/dillspool_forward/src/answer.rs
@@ -21,7 +21,7 @@
 ) -> Response<ResponseBody> {
     let request = Arc::new(request);
     let mut trace = RequestTrace::new(&request, &context.metrics);
-    context.budgets.note_request(&request.service);
+    context.budgets.record_request(&request.service);
     let copy = match enter(&context, &request) {
         Ok(copy) => copy,
         Err(refusal) => {
--- a/crates/dillspool_forward/src/book.rs
+++ b/crates/dillspool_forward/src/backend_tracker.rs
@@ -53,11 +53,11 @@
 
 /// The book of all backend servers, by their starts: what one did says nothing of the next.
 #[derive(Clone, Debug, Default)]
-pub struct BackendBook {
+pub struct BackendTracker {
     loads: Arc<Mutex<HashMap<StartedBackend, BackendLoad>>>,
 }
 
-impl BackendBook {
+impl BackendTracker {
     fn with<T>(&self, backend: &StartedBackend, run: impl FnOnce(&mut BackendLoad) -> T) -> T {
         let mut loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         if loads.len() >= MOST_ENTRIES {
@@ -134,7 +134,7 @@
 /// Work under way at a backend server; dropping it takes it off the book.
 #[derive(Debug)]
 pub(crate) struct LoadTicket {
-    book: BackendBook,
+    book: BackendTracker,
     backend: StartedBackend,
 }
 
--- a/crates/dillspool_forward/src/budget.rs
+++ b/crates/dillspool_forward/src/budget.rs
@@ -23,7 +23,7 @@
 
 /// The budget as the platform states it, for all hosts together.
 #[derive(Clone, Copy, Debug)]
-pub struct BudgetTerms {
+pub struct BudgetSettings {
     /// Repeated sends for each request of a window.
     pub ratio: f64,
     /// Length of the window.
@@ -34,11 +34,11 @@
 
 /// A service's window on this host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetReading {
+pub struct BudgetUsage {
     /// Requests of the window.
     pub requests: u32,
     /// Repeated sends of the window.
-    pub repeats: u32,
+    pub retries: u32,
     /// Repeated sends that this host's part allows in the window.
     pub allowed: f64,
     /// Hosts that share the budget.
@@ -56,7 +56,7 @@
 }
 
 impl ServiceWindow {
-    fn slice(&mut self, now: Moment, terms: &BudgetTerms) -> &mut (Moment, u32, u32) {
+    fn slice(&mut self, now: Moment, terms: &BudgetSettings) -> &mut (Moment, u32, u32) {
         while self.slices.front().is_some_and(|slice| now.since(slice.0) > terms.window) {
             self.slices.pop_front();
         }
@@ -77,7 +77,7 @@
 /// The budgets of all services.
 #[derive(Clone, Debug)]
 pub struct RetryBudgets {
-    terms: BudgetTerms,
+    terms: BudgetSettings,
     clock: HostClock,
     /// The hosts that share the budgets: where a fleet is cut in two, each half counts itself alone and
     /// both spend, so the largest count stands for a while.
@@ -87,13 +87,13 @@
 
 impl RetryBudgets {
     /// Empty budgets.
-    pub fn new(terms: BudgetTerms, clock: HostClock) -> Self {
+    pub fn new(terms: BudgetSettings, clock: HostClock) -> Self {
         Self { terms, clock, hosts: Arc::default(), windows: Arc::default() }
     }
 
     /// Takes the number of hosts that share the budget; a smaller one than before counts only after
     /// a while.
-    pub fn set_hosts(&self, hosts: usize) {
+    pub fn set_host_count(&self, hosts: usize) {
         let mut count = self.hosts.lock().unwrap_or_else(PoisonError::into_inner);
         count.note(hosts.max(1), self.clock.now());
     }
@@ -109,24 +109,24 @@
     }
 
     /// Notes a request of a caller.
-    pub fn note_request(&self, service: &Name) {
+    pub fn record_request(&self, service: &Name) {
         self.with_window(service, |window| window.slice(self.clock.now(), &self.terms).1 += 1);
     }
 
     /// What the window holds now and what it allows this host.
-    pub fn read(&self, service: &Name) -> BudgetReading {
+    pub fn read(&self, service: &Name) -> BudgetUsage {
         self.with_window(service, |window| self.read_window(window))
     }
 
-    fn read_window(&self, window: &mut ServiceWindow) -> BudgetReading {
+    fn read_window(&self, window: &mut ServiceWindow) -> BudgetUsage {
         window.slice(self.clock.now(), &self.terms);
-        let (requests, repeats) = window.sums();
+        let (requests, retries) = window.sums();
         let hosts = self.hosts();
         let own_part = self.terms.ratio * f64::from(requests);
         #[expect(clippy::cast_precision_loss, reason = "hosts are counted in hundreds")]
         let shared_part = self.terms.extra / hosts as f64;
         let allowed = SPENT_PART * (own_part + shared_part);
-        BudgetReading { requests, repeats, allowed, hosts }
+        BudgetUsage { requests, retries, allowed, hosts }
     }
 
     /// Takes a repeated send for a call that counts as one only if it is refused; give it back when
@@ -143,7 +143,7 @@
             let part = if refused { reading.allowed } else { reading.allowed / SPENT_PART };
             // A small part shall not rule such calls out: one at a time, until one is refused.
             let first = !refused && window.reserved == 0;
-            let bears = first || f64::from(reading.repeats + window.reserved) + 1.0 <= part;
+            let bears = first || f64::from(reading.retries + window.reserved) + 1.0 <= part;
             window.reserved += u32::from(bears);
             bears
         });
@@ -153,10 +153,10 @@
 
     /// Takes one repeated send from the budget, if this host's part has one left.
     #[must_use]
-    pub fn take(&self, service: &Name) -> bool {
+    pub fn try_withdraw(&self, service: &Name) -> bool {
         self.with_window(service, |window| {
             let reading = self.read_window(window);
-            if f64::from(reading.repeats + window.reserved) + 1.0 > reading.allowed {
+            if f64::from(reading.retries + window.reserved) + 1.0 > reading.allowed {
                 return false;
             }
             window.slice(self.clock.now(), &self.terms).2 += 1;
--- a/crates/dillspool_forward/src/choose.rs
+++ b/crates/dillspool_forward/src/choose.rs
@@ -6,7 +6,7 @@
 use dillspool_throttle::ThrottleDesk;
 use rand::Rng;
 
-use crate::book::BackendBook;
+use crate::backend_tracker::BackendTracker;
 use crate::tried::TriedBackends;
 
 /// Cost of another failure domain for a plain call, as a factor: its bytes are billed, and it takes longer.
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Chooser<'a> {
     pub(crate) view: &'a DirectoryView,
-    pub(crate) book: &'a BackendBook,
+    pub(crate) book: &'a BackendTracker,
     pub(crate) throttle: &'a ThrottleDesk,
     pub(crate) failure_domain: &'a str,
 }
--- a/crates/dillspool_forward/src/context.rs
+++ b/crates/dillspool_forward/src/context.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
 
-use crate::book::BackendBook;
+use crate::backend_tracker::BackendTracker;
 use crate::broken_run::BreakLooks;
 use crate::budget::RetryBudgets;
 use crate::calls::{BackendCalls, CallError};
@@ -46,7 +46,7 @@
     /// Tells whether they take one request more.
     pub backend_limits: LimitClient,
     /// What is under way at backend servers that play no part.
-    pub book: BackendBook,
+    pub backend_tracker: BackendTracker,
     /// Budget of repeated sends.
     pub budgets: RetryBudgets,
     /// Looks at backend servers whose runs broke off.
@@ -109,7 +109,7 @@
 
     /// Chooses from this host's place.
     pub(crate) fn chooser<'a>(&'a self, view: &'a DirectoryView) -> Chooser<'a> {
-        let (book, throttle) = (&self.book, &self.throttle);
+        let (book, throttle) = (&self.backend_tracker, &self.throttle);
         Chooser { view, book, throttle, failure_domain: &self.failure_domain }
     }
 }
--- a/crates/dillspool_forward/src/generate/preparing.rs
+++ b/crates/dillspool_forward/src/generate/preparing.rs
@@ -58,7 +58,7 @@
 
     /// Prefills, if the budget allows it: only the first prefill of a request is not a repeat.
     async fn prefill(&mut self, placement: &Placement) -> PrefillGuard {
-        if self.prefills > 0 && !self.context.budgets.take(&self.request.service) {
+        if self.prefills > 0 && !self.context.budgets.try_withdraw(&self.request.service) {
             return PrefillGuard::empty(&self.context);
         }
         self.prefills += 1;
@@ -78,7 +78,7 @@
 
     /// Takes a repeated send from the budget of all hosts.
     fn take_budget(&self) -> Result<(), Refusal> {
-        if self.context.budgets.take(&self.request.service) {
+        if self.context.budgets.try_withdraw(&self.request.service) {
             self.context.metrics.note_repeated_send();
             return Ok(());
         }
--- a/crates/dillspool_forward/src/lib.rs
+++ b/crates/dillspool_forward/src/lib.rs
@@ -5,7 +5,7 @@
 //! is decided here and nowhere else; `docs/design/platform_site.md` has the reasons.
 
 mod answer;
-mod book;
+mod backend_tracker;
 mod broken_run;
 mod budget;
 mod calls;
@@ -29,9 +29,9 @@
 mod tried;
 
 pub use answer::answer_request;
-pub use book::BackendBook;
+pub use backend_tracker::BackendTracker;
 pub use broken_run::BreakLooks;
-pub use budget::{BudgetReading, BudgetTerms, RetryBudgets};
+pub use budget::{BudgetSettings, BudgetUsage, RetryBudgets};
 pub use calls::{
     BackendAnswer, BackendCalls, BackendSign, CallError, ForwardTerms, HoldTerms, OrderOutcome,
     PrefillTerms, PrefilledPrompt, StageOrder, WorkRank,
--- a/crates/dillspool_forward/src/long_answer.rs
+++ b/crates/dillspool_forward/src/long_answer.rs
@@ -22,7 +22,7 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use tokio::sync::mpsc;
 
-use crate::book::LoadTicket;
+use crate::backend_tracker::LoadTicket;
 use crate::broken_run::trace_break;
 use crate::context::{ForwardContext, STARTED_AGAIN};
 use crate::trace::RequestTrace;
@@ -265,7 +265,7 @@
         let status = self.answer.status;
         if !status.is_server_error() {
             let took = self.request.clock.since(self.answer.sent_at).saturating_sub(self.waited);
-            self.context.book.note_success(&self.answer.entry.started(), took);
+            self.context.backend_tracker.note_success(&self.answer.entry.started(), took);
             if let Some(mut call) = self.answer.call.take() {
                 call.end(CallEnd::Answered, took);
             }
@@ -282,7 +282,7 @@
         let entry = &self.answer.entry;
         // Found out beside the request, which is not sent again whatever is found.
         let _look = trace_break(&self.context, &self.request, entry);
-        self.context.book.note_silence(&entry.started(), cause);
+        self.context.backend_tracker.note_silence(&entry.started(), cause);
         if let Some(mut call) = self.answer.call.take() {
             call.end(CallEnd::Lost, self.request.clock.since(self.answer.sent_at));
         }
--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -14,7 +14,7 @@
 use dillspool_scheduler::{DeskNote, PlacementTicket};
 use dillspool_schema::Name;
 
-use crate::book::LoadTicket;
+use crate::backend_tracker::LoadTicket;
 use crate::calls::{CallError, HoldTerms};
 use crate::context::ForwardContext;
 use crate::refusal::{Refusal, RefusalCause};
@@ -74,7 +74,7 @@
     /// At a backend server that plays no part and reserves nothing.
     pub(crate) fn without_memory(context: &ForwardContext, entry: Arc<BackendEntry>) -> Self {
         let hold = HoldGuard::empty(context, &entry);
-        let load = context.book.enter(&entry.started());
+        let load = context.backend_tracker.enter(&entry.started());
         let ticket = StreamTicket { schedule: None, _load: Some(load) };
         Self { entry, reserved: 0, prefill: None, hold, ticket }
     }
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -104,7 +104,7 @@
         entry: &BackendEntry,
         outcome: SendOutcome,
     ) {
-        let (book, backend) = (&context.book, &entry.started());
+        let (book, backend) = (&context.backend_tracker, &entry.started());
         let cause = match outcome {
             SendOutcome::Whole(answer) => {
                 let status = answer.status;
@@ -144,7 +144,7 @@
         status: StatusCode,
         failure: PlainEnd,
     ) -> String {
-        context.book.note_failure(&entry.started());
+        context.backend_tracker.note_failure(&entry.started());
         self.sends += 1;
         self.may_have_run = true;
         self.failure = Some(failure);
@@ -180,7 +180,7 @@
         ticket.end(outcome.call_end(), started.elapsed());
         match outcome {
             SendOutcome::Whole(answer) if !answer.status.is_server_error() => {
-                context.book.note_success(&entry.started(), started.elapsed());
+                context.backend_tracker.note_success(&entry.started(), started.elapsed());
                 if answer.status.is_success() {
                     context.suspects.note_whole(request.print);
                 }
@@ -234,7 +234,7 @@
         }
     };
     if record.sends > 0 {
-        if !context.budgets.take(&request.service) {
+        if !context.budgets.try_withdraw(&request.service) {
             log_budget_empty(request, &context.budgets);
             permit.give_back();
             return None;
@@ -260,7 +260,7 @@
     entry: &Arc<BackendEntry>,
     limit: Duration,
 ) -> SendOutcome {
-    let ticket = context.book.enter(&entry.started());
+    let ticket = context.backend_tracker.enter(&entry.started());
     let sent_at = request.clock.now();
     let terms = ForwardTerms { time_budget: request.remaining(), ..ForwardTerms::default() };
     let exchange = async {
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -189,7 +189,7 @@
         }
         CallError::Lost { .. } => {
             // One of the two counts: this call if it was refused, else the next one.
-            let again = in_time && context.budgets.take(&request.service);
+            let again = in_time && context.budgets.try_withdraw(&request.service);
             if again {
                 permit.give_back();
             }
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -183,7 +183,7 @@
         request.id,
         request.service,
         reading.requests,
-        reading.repeats,
+        reading.retries,
         reading.allowed,
         reading.hosts,
     );
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -11,9 +11,9 @@
 use dillspool_admission::AdmissionPolicy;
 use dillspool_capacity::DemandMeter;
 use dillspool_forward::{
-    BackendAnswer, BackendBook, BackendCalls, BackendSign, BreakLooks, BudgetTerms, CallError,
-    ForwardContext, ForwardMetrics, ForwardTerms, OrderOutcome, PrefilledPrompt, RetryBudgets,
-    WorkRank,
+    BackendAnswer, BackendCalls, BackendSign, BackendTracker, BreakLooks, BudgetSettings,
+    CallError, ForwardContext, ForwardMetrics, ForwardTerms, OrderOutcome, PrefilledPrompt,
+    RetryBudgets, WorkRank,
 };
 use dillspool_io::{ExchangeBytes, HostClock, full_body};
 use dillspool_routing::{
@@ -309,7 +309,7 @@
         let schedule = Self::schedule(&directory);
         let calls = CallDesk::new(CallTerms::default(), 1, HostClock::steady());
         let budget =
-            BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 1_000_000.0 };
+            BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 1_000_000.0 };
         let context = ForwardContext {
             failure_domain: "near".into(),
             calls: self.calls(),
@@ -322,7 +322,7 @@
             )),
             throttle: ThrottleDesk::new(HostClock::steady()),
             backend_limits: LimitClient::new(LimitDesk::of_backend_servers(2, HostClock::steady())),
-            book: BackendBook::default(),
+            backend_tracker: BackendTracker::default(),
             budgets: RetryBudgets::new(budget, HostClock::steady()),
             breaks: BreakLooks::default(),
             suspects: SuspectDesk::new(SuspectPolicy::default(), HostClock::steady()),
--- a/crates/dillspool_forward/tests/decided.rs
+++ b/crates/dillspool_forward/tests/decided.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use common::{ScriptedSite, Step, entry, request, view};
-use dillspool_forward::{BudgetTerms, ForwardContext, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetSettings, ForwardContext, RetryBudgets, answer_request};
 use dillspool_io::{HostClock, read_response_body};
 use dillspool_routing::RequestKind::{Idempotent, NonIdempotent};
 use dillspool_routing::{
@@ -378,9 +378,9 @@
     site.script("second", [Step::Answer(500, "no")]);
     let known = view([small("first", "near"), small("second", "far")]);
     let mut host = DecidingHost::start(&site, known, 10.0).await;
-    let terms = BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
+    let terms = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
     host.context.budgets = RetryBudgets::new(terms, HostClock::steady());
-    host.context.budgets.set_hosts(8);
+    host.context.budgets.set_host_count(8);
     for _request in 0..100 {
         let routed = request(Idempotent, 2, false);
         let _answer = answer_request(host.context.clone(), routed).await;
--- a/crates/dillspool_forward/tests/plain.rs
+++ b/crates/dillspool_forward/tests/plain.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{ScriptedSite, Step, entry, request, view};
-use dillspool_forward::{BudgetTerms, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetSettings, RetryBudgets, answer_request};
 use dillspool_io::{HostClock, read_response_body};
 use dillspool_routing::RequestKind;
 use dillspool_routing::RequestKind::{Idempotent, NonIdempotent};
@@ -117,9 +117,9 @@
     site.script("second", [Step::Answer(500, "no")]);
     let backends = [entry("first", "near", None), entry("second", "far", None)];
     let (mut context, _directory) = site.context(view(backends));
-    let terms = BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
+    let terms = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
     context.budgets = RetryBudgets::new(terms, HostClock::steady());
-    context.budgets.set_hosts(8);
+    context.budgets.set_host_count(8);
     for _request in 0..100 {
         let _answer = answer_request(context.clone(), request(Idempotent, 2, false)).await;
     }
--- a/crates/dillspool_forward/tests/prefills.rs
+++ b/crates/dillspool_forward/tests/prefills.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, entry, request, view};
-use dillspool_forward::{BudgetTerms, CallError, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetSettings, CallError, RetryBudgets, answer_request};
 use dillspool_io::HostClock;
 use dillspool_routing::{BackendEntry, BackendState, DirectoryView, EngineStage, RequestKind};
 use hyper::StatusCode;
@@ -100,10 +100,10 @@
     let (mut context, _directory) = site.context(engines);
     let window = Duration::from_secs(10);
     context.budgets = RetryBudgets::new(
-        BudgetTerms { ratio: 0.0, window, extra: case.budget },
+        BudgetSettings { ratio: 0.0, window, extra: case.budget },
         HostClock::steady(),
     );
-    context.budgets.set_hosts(1);
+    context.budgets.set_host_count(1);
     for _request in 0..2 {
         let routed = request(RequestKind::Streaming, 1, false);
         let answer = answer_request(context.clone(), routed).await;
@@ -148,9 +148,9 @@
         *site.prefill_takes.lock().unwrap() = Duration::from_millis(2);
         let (mut context, _directory) = site.context(view(engines.chain([decode])));
         let window = Duration::from_secs(10);
-        let terms = BudgetTerms { ratio: 0.0, window, extra: case.budget };
+        let terms = BudgetSettings { ratio: 0.0, window, extra: case.budget };
         context.budgets = RetryBudgets::new(terms, HostClock::steady());
-        context.budgets.set_hosts(1);
+        context.budgets.set_host_count(1);
         for _second in 0..9 {
             let all = (0..case.at_once).map(|_request| {
                 let mut routed = request(RequestKind::Streaming, 1, false);
--- a/crates/dillspool_forward/tests/streams.rs
+++ b/crates/dillspool_forward/tests/streams.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ONE, ScriptedSite, Step, THREE, TWO, pool, request};
-use dillspool_forward::{BudgetTerms, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetSettings, RetryBudgets, answer_request};
 use dillspool_io::{HostClock, ResponseBody, read_response_body};
 use dillspool_routing::RequestKind;
 use hyper::Response;
@@ -201,9 +201,9 @@
     site.script("decode-1", [Step::NotRun(503)]);
     site.script("decode-2", [Step::NotRun(503)]);
     let (mut context, _directory) = site.context(pool());
-    let terms = BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
+    let terms = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
     context.budgets = RetryBudgets::new(terms, HostClock::steady());
-    context.budgets.set_hosts(8);
+    context.budgets.set_host_count(8);
     for _request in 0..100 {
         let routed = request(RequestKind::Streaming, 2, false);
         let _answer = answer_request(context.clone(), routed).await;
--- a/crates/dillspool_forward/tests/suspended.rs
+++ b/crates/dillspool_forward/tests/suspended.rs
@@ -6,7 +6,7 @@
 
 use common::{ONE, ScriptedSite, Step, TWO, entry, pool, request, view};
 use dillspool_cases::ClockJumps;
-use dillspool_forward::{BudgetTerms, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetSettings, RetryBudgets, answer_request};
 use dillspool_io::{AwakeWatch, read_response_body};
 use dillspool_routing::{RequestKind, RoutedRequest};
 use tokio_util::sync::CancellationToken;
@@ -114,16 +114,16 @@
 #[tokio::test(start_paused = true)]
 async fn repeats_are_counted_over_the_time_that_has_passed() {
     let jumps = ClockJumps::default();
-    let terms = BudgetTerms { ratio: 0.0, window: Duration::from_secs(10), extra: 4.0 };
+    let terms = BudgetSettings { ratio: 0.0, window: Duration::from_secs(10), extra: 4.0 };
     let budgets = RetryBudgets::new(terms, jumps.clock());
-    budgets.set_hosts(1);
+    budgets.set_host_count(1);
     let service = "service".into();
-    let taken = (0..10).filter(|_try| budgets.take(&service)).count();
+    let taken = (0..10).filter(|_try| budgets.try_withdraw(&service)).count();
     assert_eq!(taken, 3, "three quarters of four");
     jumps.suspend(Duration::from_secs(9));
-    assert!(!budgets.take(&service), "the window is not over");
+    assert!(!budgets.try_withdraw(&service), "the window is not over");
     jumps.suspend(Duration::from_secs(2));
-    assert!(budgets.take(&service), "the window is over");
+    assert!(budgets.try_withdraw(&service), "the window is over");
 }
 
 /// How long a host is away in the middle of a request, whose time is longer.
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dillspool_capacity::DemandMeter;
-use dillspool_forward::{BackendBook, BreakLooks, ForwardContext, ForwardMetrics, RetryBudgets};
+use dillspool_forward::{BackendTracker, BreakLooks, ForwardContext, ForwardMetrics, RetryBudgets};
 use dillspool_io::{
     ByteBudget, HostClock, NetListener, NetStack, ServerLimits, WallClock, serve_http,
     serve_http_held,
@@ -152,7 +152,7 @@
             limits,
             throttle: site.throttle.clone(),
             backend_limits: backend_limits.clone(),
-            book: BackendBook::default(),
+            backend_tracker: BackendTracker::default(),
             budgets: budgets.clone(),
             breaks: BreakLooks::default(),
             suspects: suspects.clone(),
--- a/crates/dillspool_router/src/fleet_duties.rs
+++ b/crates/dillspool_router/src/fleet_duties.rs
@@ -62,7 +62,7 @@
     loop {
         let hosts = schedule.hosts().or_else(|| peers.count_hosts());
         if let Some(hosts) = hosts {
-            budgets.set_hosts(hosts);
+            budgets.set_host_count(hosts);
             count.set(hosts);
         }
         let pause = if hosts.is_some() { COUNT_EVERY } else { FIRST_COUNT_EVERY };
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use dillspool_forward::BudgetTerms;
+use dillspool_forward::BudgetSettings;
 use dillspool_io::HeldTerms;
 use dillspool_roles::ShareRule;
 use dillspool_scheduler::{CallTerms, LimitTerms};
@@ -97,7 +97,7 @@
     /// Bandwidth of this host's link in Mbit/s, 0 if unknown.
     pub link_mbps: f64,
     /// Budget of repeated sends.
-    pub budget: BudgetTerms,
+    pub budget: BudgetSettings,
     /// How the limits of workspaces are counted.
     pub limits: LimitTerms,
     /// Limits on bytes held for slow peers; `None` where they are not limited.
@@ -162,7 +162,7 @@
         first_start: settings.peers.first_start,
         seeds: seeds.collect::<Result<_, _>>()?,
         link_mbps: not_negative("peers.link_mbps", settings.peers.link_mbps.unwrap_or_default())?,
-        budget: BudgetTerms {
+        budget: BudgetSettings {
             ratio: not_negative("retry.ratio", retry.ratio)?,
             window: seconds("retry.window_s", retry.window_s)?,
             extra: not_negative("retry.extra", retry.extra)?,
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dillspool_forward::{
-    BackendAnswer, BackendCalls, BackendSign, BudgetTerms, CallError, OrderOutcome,
+    BackendAnswer, BackendCalls, BackendSign, BudgetSettings, CallError, OrderOutcome,
 };
 use dillspool_io::{HostClock, full_body};
 use dillspool_keys::{CallerKey, PresentedKey};
@@ -50,7 +50,7 @@
         first_start: false,
         seeds: vec![],
         link_mbps: 0.0,
-        budget: BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
+        budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
         limits: LimitTerms { slack: 0.0, shares: 2 },
         held: None,
         print_key: PrintKey::default(),
--- a/crates/dillspool_routerd/tests/fleet/counted.rs
+++ b/crates/dillspool_routerd/tests/fleet/counted.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dillspool_forward::BudgetTerms;
+use dillspool_forward::BudgetSettings;
 use dillspool_io::{HostClock, MemoryNet, exchange_once, read_body};
 use dillspool_roles::ShareRule;
 use dillspool_router::{RouterConfig, RouterDaemon};
@@ -143,7 +143,7 @@
         first_start: true,
         seeds: seeds.map(|seed| SocketAddr::new(node(1, seed), 8146)).to_vec(),
         link_mbps: if number / DOMAINS < WIDE_HOSTS { 1000.0 } else { 20.0 },
-        budget: BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 1040.0 },
+        budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 1040.0 },
         share_rule: ShareRule::Fixed(0.33),
         ..super::settings_at(node(1, number), store_address())
     }
--- a/crates/dillspool_routerd/tests/fleet/mod.rs
+++ b/crates/dillspool_routerd/tests/fleet/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dillspool_forward::BudgetTerms;
+use dillspool_forward::BudgetSettings;
 use dillspool_io::{HostClock, LinkMode, MemoryNet, exchange_once, read_body};
 use dillspool_roles::ShareRule;
 use dillspool_router::{PolicyConfig, RouterConfig, RouterDaemon};
@@ -413,7 +413,7 @@
         first_start: false,
         seeds: Vec::new(),
         link_mbps: 100.0,
-        budget: BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
+        budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
         limits: LimitTerms { slack: 0.0, shares: 2 },
         held: None,
         print_key: PrintKey::default(),
