--- a/crates/dillspool_forward/src/lib.rs
+++ b/crates/dillspool_forward/src/lib.rs
@@ -5,7 +5,7 @@
 //! is decided here and nowhere else; `docs/design/platform_site.md` has the reasons.
 
 mod backend_probe;
-mod book;
+mod backend_tracker;
 mod budget;
 mod calls;
 mod choose;
@@ -29,8 +29,8 @@
 mod tried;
 
 pub use backend_probe::BackendProbes;
-pub use book::BackendBook;
-pub use budget::{BudgetReading, BudgetTerms, RetryBudgets};
+pub use backend_tracker::BackendTracker;
+pub use budget::{BudgetSettings, BudgetUsage, RetryBudgets};
 pub use calls::{
     BackendCalls, BackendResponse, CallError, ForwardParams, OrderOutcome, PrefillParams,
     PrefilledPrompt, ProbeResult, ReservationParams, StageOrder, WorkPriority,
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -183,7 +183,7 @@
         request.id,
         request.service,
         reading.requests,
-        reading.repeats,
+        reading.retries,
         reading.allowed,
         reading.hosts,
     );
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use dillspool_admission::AdmissionPolicy;
 use dillspool_capacity::DemandMeter;
 use dillspool_forward::{
-    BackendBook, BackendCalls, BackendProbes, BackendResponse, BudgetTerms, CallError,
+    BackendCalls, BackendProbes, BackendResponse, BackendTracker, BudgetSettings, CallError,
     ForwardContext, ForwardMetrics, ForwardParams, OrderOutcome, PrefilledPrompt, ProbeResult,
     RetryBudgets, WorkPriority,
 };
@@ -309,7 +309,7 @@
         let schedule = Self::schedule(&directory);
         let calls = CallDesk::new(CallTerms::default(), 1, HostClock::steady());
         let budget =
-            BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 1_000_000.0 };
+            BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 1_000_000.0 };
         let context = ForwardContext {
             failure_domain: "near".into(),
             calls: self.calls(),
@@ -322,7 +322,7 @@
             )),
             throttle: ThrottleDesk::new(HostClock::steady()),
             backend_limits: LimitClient::new(LimitDesk::of_backend_servers(2, HostClock::steady())),
-            book: BackendBook::default(),
+            backend_tracker: BackendTracker::default(),
             budgets: RetryBudgets::new(budget, HostClock::steady()),
             probes: BackendProbes::default(),
             suspects: SuspectDesk::new(SuspectPolicy::default(), HostClock::steady()),
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use dillspool_capacity::DemandMeter;
-use dillspool_forward::{BackendBook, BackendProbes, ForwardContext, ForwardMetrics, RetryBudgets};
+use dillspool_forward::{
+    BackendProbes, BackendTracker, ForwardContext, ForwardMetrics, RetryBudgets,
+};
 use dillspool_io::{
     ByteBudget, HostClock, NetListener, NetStack, ServerLimits, WallClock, serve_http,
     serve_http_held,
@@ -152,7 +154,7 @@
             limits,
             throttle: site.throttle.clone(),
             backend_limits: backend_limits.clone(),
-            book: BackendBook::default(),
+            backend_tracker: BackendTracker::default(),
             budgets: budgets.clone(),
             probes: BackendProbes::default(),
             suspects: suspects.clone(),
