--- a/crates/dillspool_forward/src/answer.rs
+++ b/crates/dillspool_forward/src/answer.rs
@@ -9,10 +9,10 @@
 
 use crate::context::ForwardContext;
 use crate::generate::answer_stream;
-use crate::limits::admit;
-use crate::plain::{PlainEnd, answer_plain};
+use crate::plain::{PlainResponse, handle_plain};
 use crate::refusal::{Refusal, RefusalCause};
 use crate::trace::{RequestTrace, log_suspect_refused};
+use crate::workspace_limit::spend_workspace_limit;
 
 /// Answers a request; the answer is always final.
 pub async fn answer_request(
@@ -29,7 +29,7 @@
             return refusal.response();
         }
     };
-    let spent = match admit(&context, &request).await {
+    let spent = match spend_workspace_limit(&context, &request).await {
         Ok(spent) => spent,
         Err(refusal) => {
             trace.refused(&refusal);
@@ -38,8 +38,8 @@
     };
     let answered = match request.route.kind {
         RequestKind::Idempotent | RequestKind::NonIdempotent => {
-            match answer_plain(&context, &request, &mut trace).await {
-                Ok(PlainEnd::Whole(answer)) => {
+            match handle_plain(&context, &request, &mut trace).await {
+                Ok(PlainResponse::Complete(answer)) => {
                     drop(copy);
                     let status = answer.status();
                     if status.is_success() {
@@ -49,7 +49,9 @@
                     }
                     Ok(answer)
                 }
-                Ok(PlainEnd::Long(answer)) => Ok(answer.pass_on(&context, &request, trace, copy)),
+                Ok(PlainResponse::Streamed(answer)) => {
+                    Ok(answer.pass_on(&context, &request, trace, copy))
+                }
                 Err(refusal) => Err((refusal, trace)),
             }
         }
--- a/crates/dillspool_forward/src/backend_tracker.rs
+++ b/crates/dillspool_forward/src/backend_tracker.rs
@@ -44,7 +44,7 @@
 
 /// A reading of one backend server's entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct LoadReading {
+pub(crate) struct LoadSnapshot {
     pub(crate) outstanding: u32,
     pub(crate) latency_ms: f64,
     pub(crate) failures: f64,
@@ -66,11 +66,11 @@
         run(loads.entry(backend.clone()).or_default())
     }
 
-    pub(crate) fn read(&self, backend: &StartedBackend) -> LoadReading {
+    pub(crate) fn snapshot(&self, backend: &StartedBackend) -> LoadSnapshot {
         let now = Instant::now();
         let loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         let load = loads.get(backend).cloned().unwrap_or_default();
-        LoadReading {
+        LoadSnapshot {
             outstanding: load.outstanding,
             latency_ms: load.latency_ms,
             failures: load.failures,
@@ -79,13 +79,13 @@
     }
 
     /// Notes work that is sent to a backend server until the ticket is dropped.
-    pub(crate) fn enter(&self, backend: &StartedBackend) -> LoadTicket {
+    pub(crate) fn track_request(&self, backend: &StartedBackend) -> LoadGuard {
         self.with(backend, |load| load.outstanding += 1);
-        LoadTicket { book: self.clone(), backend: backend.clone() }
+        LoadGuard { book: self.clone(), backend: backend.clone() }
     }
 
     /// Notes an answer that came as it should.
-    pub(crate) fn note_success(&self, backend: &StartedBackend, latency: Duration) {
+    pub(crate) fn record_success(&self, backend: &StartedBackend, latency: Duration) {
         let latency_ms = latency.as_secs_f64() * 1000.0;
         self.with(backend, |load| {
             load.latency_ms += NEWEST_WEIGHT * (latency_ms - load.latency_ms);
@@ -96,22 +96,22 @@
     }
 
     /// Notes a failure that the backend server told of.
-    pub(crate) fn note_failure(&self, backend: &StartedBackend) {
+    pub(crate) fn record_failure(&self, backend: &StartedBackend) {
         self.with(backend, |load| load.failures += NEWEST_WEIGHT * (1.0 - load.failures));
     }
 
     /// Notes that no connection could be made; leaves the backend server out at once.
-    pub(crate) fn note_unreachable(&self, backend: &StartedBackend, cause: &str) {
-        self.note_no_answer(backend, 1, cause);
+    pub(crate) fn record_connect_failure(&self, backend: &StartedBackend, cause: &str) {
+        self.record_unanswered(backend, 1, cause);
     }
 
     /// Notes that a backend server did not answer; leaves it out for a while when that repeats.
-    pub(crate) fn note_silence(&self, backend: &StartedBackend, cause: &str) {
-        self.note_no_answer(backend, FAILURES_BEFORE_ASIDE, cause);
+    pub(crate) fn record_no_response(&self, backend: &StartedBackend, cause: &str) {
+        self.record_unanswered(backend, FAILURES_BEFORE_ASIDE, cause);
     }
 
     /// Leaves a backend server out from so many failures in a row on, for longer each time.
-    fn note_no_answer(&self, backend: &StartedBackend, failures_before: u32, cause: &str) {
+    fn record_unanswered(&self, backend: &StartedBackend, failures_before: u32, cause: &str) {
         let now = Instant::now();
         let aside = self.with(backend, |load| {
             load.failures += NEWEST_WEIGHT * (1.0 - load.failures);
@@ -133,12 +133,12 @@
 
 /// Work under way at a backend server; dropping it takes it off the book.
 #[derive(Debug)]
-pub(crate) struct LoadTicket {
+pub(crate) struct LoadGuard {
     book: BackendTracker,
     backend: StartedBackend,
 }
 
-impl Drop for LoadTicket {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         self.book.with(&self.backend, |load| load.outstanding = load.outstanding.saturating_sub(1));
     }
--- a/crates/dillspool_forward/src/context.rs
+++ b/crates/dillspool_forward/src/context.rs
@@ -13,10 +13,10 @@
 
 use crate::backend_tracker::BackendTracker;
 use crate::broken_run::BreakLooks;
-use crate::budget::RetryBudgets;
 use crate::calls::{BackendCalls, CallError};
-use crate::choose::Chooser;
 use crate::metrics::ForwardMetrics;
+use crate::picker::BackendPicker;
+use crate::retry_budget::RetryBudgets;
 use crate::trace::log_overruled;
 
 /// Why something under way at a backend server is lost.
@@ -108,8 +108,8 @@
     }
 
     /// Chooses from this host's place.
-    pub(crate) fn chooser<'a>(&'a self, view: &'a DirectoryView) -> Chooser<'a> {
-        let (book, throttle) = (&self.backend_tracker, &self.throttle);
-        Chooser { view, book, throttle, failure_domain: &self.failure_domain }
+    pub(crate) fn picker<'a>(&'a self, view: &'a DirectoryView) -> BackendPicker<'a> {
+        let (tracker, throttle) = (&self.backend_tracker, &self.throttle);
+        BackendPicker { view, tracker, throttle, failure_domain: &self.failure_domain }
     }
 }
--- a/crates/dillspool_forward/src/generate.rs
+++ b/crates/dillspool_forward/src/generate.rs
@@ -181,7 +181,7 @@
         open.ticket.end_whole(event_gap);
         self.context.suspects.note_whole(self.request.print);
         if open.entry.stage.is_none() {
-            self.context.backend_tracker.note_success(&open.entry.started(), self.request.age());
+            self.context.backend_tracker.record_success(&open.entry.started(), self.request.age());
         }
     }
 
@@ -195,7 +195,7 @@
     /// A model engine is judged where its pool is scheduled, any other backend server here.
     fn note_no_answer(&self, entry: &BackendEntry, ticket: &StreamTicket, cause: &str) {
         if entry.stage.is_none() {
-            self.context.backend_tracker.note_silence(&entry.started(), cause);
+            self.context.backend_tracker.record_no_response(&entry.started(), cause);
         }
         ticket.note_fault(entry, EngineFault::Silent);
     }
--- a/crates/dillspool_forward/src/generate/preparing.rs
+++ b/crates/dillspool_forward/src/generate/preparing.rs
@@ -14,7 +14,9 @@
 use crate::prefill::{PrefillGuard, prefill};
 use crate::refusal::{Refusal, RefusalCause};
 use crate::stages::FirstEventStages;
-use crate::throttle::{choose_permitted, closed_backends, refuse_closed, wait_for_opening};
+use crate::throttle::{
+    blocked_backends, pick_with_permit, refusal_if_blocked, wait_until_unblocked,
+};
 use crate::trace::log_budget_empty;
 
 /// Time without an event after which callers leave: the longest of this, and so many objectives and
@@ -96,12 +98,12 @@
         let (class, patience) = (self.class(), self.patience());
         let placed = loop {
             let mut excluded = self.tried.ids(&view);
-            excluded.extend(closed_backends(&self.context, &self.request));
+            excluded.extend(blocked_backends(&self.context, &self.request));
             let question =
                 placement_request(&self.context, &self.request, class, patience, &excluded);
             let placed = place(&self.context, &self.request, question).await;
             let is_limited = placed.as_ref().is_err_and(Refusal::is_limited);
-            if !is_limited || !Box::pin(wait_for_opening(&self.context, &self.request)).await {
+            if !is_limited || !Box::pin(wait_until_unblocked(&self.context, &self.request)).await {
                 break placed;
             }
         };
@@ -132,11 +134,11 @@
     /// A service whose backend servers play no parts takes its streams like plain requests.
     async fn place_without_parts(&self, view: &DirectoryView) -> Result<Placement, Refusal> {
         let (context, request) = (&self.context, &self.request);
-        let choose = || context.chooser(view).plain(&request.service, &self.tried);
-        if let Some((entry, _permit)) = choose_permitted(context, request, choose).await {
+        let choose = || context.picker(view).pick_plain(&request.service, &self.tried);
+        if let Some((entry, _permit)) = pick_with_permit(context, request, choose).await {
             return Ok(Placement::without_memory(context, entry));
         }
         let none = Refusal::come_back(RefusalCause::NoBackend, NO_ENGINE_RETRY);
-        Err(refuse_closed(context, request).unwrap_or(none))
+        Err(refusal_if_blocked(context, request).unwrap_or(none))
     }
 }
--- a/crates/dillspool_forward/src/generate/sending.rs
+++ b/crates/dillspool_forward/src/generate/sending.rs
@@ -157,7 +157,7 @@
         body: Bytes,
     ) -> OpenEnd {
         if entry.stage.is_none() {
-            self.context.backend_tracker.note_failure(&entry.started());
+            self.context.backend_tracker.record_failure(&entry.started());
         }
         if status.is_server_error() {
             ticket.note_fault(entry, EngineFault::Failed);
@@ -186,7 +186,7 @@
     /// Nothing was sent, so another engine may be.
     fn note_not_sent(&mut self, entry: &BackendEntry, ticket: &StreamTicket, cause: &str) {
         if entry.stage.is_none() {
-            self.context.backend_tracker.note_unreachable(&entry.started(), cause);
+            self.context.backend_tracker.record_connect_failure(&entry.started(), cause);
         }
         ticket.note_fault(entry, EngineFault::Unreachable);
         self.note_failed_send(entry, cause);
--- a/crates/dillspool_forward/src/lib.rs
+++ b/crates/dillspool_forward/src/lib.rs
@@ -7,31 +7,30 @@
 mod answer;
 mod backend_tracker;
 mod broken_run;
-mod budget;
 mod calls;
-mod choose;
 mod context;
-mod decided;
 mod events;
 mod generate;
-mod limits;
 mod long_answer;
 mod metrics;
+mod picker;
 mod placement;
 mod plain;
 mod prefill;
 mod reader;
 mod refusal;
 mod relay;
+mod retry_budget;
+mod scheduled;
 mod stages;
 mod throttle;
 mod trace;
 mod tried;
+mod workspace_limit;
 
 pub use answer::answer_request;
 pub use backend_tracker::BackendTracker;
 pub use broken_run::BreakLooks;
-pub use budget::{BudgetSettings, BudgetUsage, RetryBudgets};
 pub use calls::{
     BackendAnswer, BackendCalls, BackendSign, CallError, ForwardTerms, HoldTerms, OrderOutcome,
     PrefillTerms, PrefilledPrompt, StageOrder, WorkRank,
@@ -40,3 +39,4 @@
 pub use events::{EventSplitter, StreamEvent};
 pub use metrics::{ForwardMetrics, OutcomeLabels};
 pub use refusal::{Refusal, RefusalCause};
+pub use retry_budget::{BudgetSettings, BudgetUsage, RetryBudgets};
--- a/crates/dillspool_forward/src/long_answer.rs
+++ b/crates/dillspool_forward/src/long_answer.rs
@@ -22,7 +22,7 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use tokio::sync::mpsc;
 
-use crate::backend_tracker::LoadTicket;
+use crate::backend_tracker::LoadGuard;
 use crate::broken_run::trace_break;
 use crate::context::{ForwardContext, STARTED_AGAIN};
 use crate::trace::RequestTrace;
@@ -139,7 +139,7 @@
     pub(crate) body: ResponseBody,
     pub(crate) entry: Arc<BackendEntry>,
     /// Kept until the last byte was read.
-    pub(crate) _ticket: LoadTicket,
+    pub(crate) _ticket: LoadGuard,
     /// When the request was sent.
     pub(crate) sent_at: Moment,
     /// The call's place at the host that decides on the calls of the service, kept until the last byte was read.
@@ -265,7 +265,7 @@
         let status = self.answer.status;
         if !status.is_server_error() {
             let took = self.request.clock.since(self.answer.sent_at).saturating_sub(self.waited);
-            self.context.backend_tracker.note_success(&self.answer.entry.started(), took);
+            self.context.backend_tracker.record_success(&self.answer.entry.started(), took);
             if let Some(mut call) = self.answer.call.take() {
                 call.end(CallEnd::Answered, took);
             }
@@ -282,7 +282,7 @@
         let entry = &self.answer.entry;
         // Found out beside the request, which is not sent again whatever is found.
         let _look = trace_break(&self.context, &self.request, entry);
-        self.context.backend_tracker.note_silence(&entry.started(), cause);
+        self.context.backend_tracker.record_no_response(&entry.started(), cause);
         if let Some(mut call) = self.answer.call.take() {
             call.end(CallEnd::Lost, self.request.clock.since(self.answer.sent_at));
         }
--- a/crates/dillspool_forward/src/choose.rs
+++ b/crates/dillspool_forward/src/picker.rs
@@ -18,21 +18,25 @@
 
 /// Chooses among backend servers from the place of one host.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Chooser<'a> {
+pub(crate) struct BackendPicker<'a> {
     pub(crate) view: &'a DirectoryView,
-    pub(crate) book: &'a BackendTracker,
+    pub(crate) tracker: &'a BackendTracker,
     pub(crate) throttle: &'a ThrottleDesk,
     pub(crate) failure_domain: &'a str,
 }
 
-impl Chooser<'_> {
+impl BackendPicker<'_> {
     /// The backend server of a service with the least expected wait, of those that are not closed.
-    pub(crate) fn plain(&self, service: &str, tried: &TriedBackends) -> Option<Arc<BackendEntry>> {
+    pub(crate) fn pick_plain(
+        &self,
+        service: &str,
+        tried: &TriedBackends,
+    ) -> Option<Arc<BackendEntry>> {
         let candidates = self.view.ready(service).filter(|entry| !tried.contains(entry));
         let candidates =
             candidates.filter(|entry| self.throttle.closed_until(&entry.started()).is_none());
         least(candidates, |entry| {
-            let load = self.book.read(&entry.started());
+            let load = self.tracker.snapshot(&entry.started());
             let far = if self.is_near(entry) { 1.0 } else { FAR_FACTOR };
             let queue = f64::from(load.outstanding + 1) * load.latency_ms;
             (load.is_aside, queue * (1.0 + FAILURE_FACTOR * load.failures) * far)
--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -14,11 +14,13 @@
 use dillspool_scheduler::{DeskNote, PlacementTicket};
 use dillspool_schema::Name;
 
-use crate::backend_tracker::LoadTicket;
+use crate::backend_tracker::LoadGuard;
 use crate::calls::{CallError, HoldTerms};
 use crate::context::ForwardContext;
 use crate::refusal::{Refusal, RefusalCause};
-use crate::throttle::{MOST_CLOSED, RESERVED_SEND, may_release, permit_send, refuse_closed};
+use crate::throttle::{
+    MAX_BLOCKED_BACKENDS, RESERVED_REQUEST_COST, acquire_permit, refusal_if_blocked, should_release,
+};
 use crate::trace::log_turned_away;
 
 /// Life of a reservation: a prefill, its move and the first event take well under a second, and
@@ -45,7 +47,7 @@
 impl Drop for HoldGuard {
     fn drop(&mut self) {
         let Some(hold) = self.hold.take() else { return };
-        if !may_release(&self.context, &self.entry) {
+        if !should_release(&self.context, &self.entry) {
             return;
         }
         let release = (self.context.calls.release_hold)(Arc::clone(&self.entry), hold);
@@ -74,7 +76,7 @@
     /// At a backend server that plays no part and reserves nothing.
     pub(crate) fn without_memory(context: &ForwardContext, entry: Arc<BackendEntry>) -> Self {
         let hold = HoldGuard::empty(context, &entry);
-        let load = context.backend_tracker.enter(&entry.started());
+        let load = context.backend_tracker.track_request(&entry.started());
         let ticket = StreamTicket { schedule: None, _load: Some(load) };
         Self { entry, reserved: 0, prefill: None, hold, ticket }
     }
@@ -84,7 +86,7 @@
 pub(crate) struct StreamTicket {
     /// `None` at a backend server that plays no part.
     schedule: Option<PlacementTicket>,
-    _load: Option<LoadTicket>,
+    _load: Option<LoadGuard>,
 }
 
 impl StreamTicket {
@@ -193,8 +195,8 @@
             }
             PlaceTry::Gone => question.excluded.push(Name::clone(&placement.decode)),
         }
-        if closed >= MOST_CLOSED
-            && let Some(refusal) = refuse_closed(context, request)
+        if closed >= MAX_BLOCKED_BACKENDS
+            && let Some(refusal) = refusal_if_blocked(context, request)
         {
             return Err(refusal);
         }
@@ -217,13 +219,13 @@
     let Some(entry) = context.ready_entry(request, &placement.decode) else {
         return PlaceTry::Gone;
     };
-    let Some(permit) = permit_send(context, request, &entry, RESERVED_SEND).await else {
+    let Some(permit) = acquire_permit(context, request, &entry, RESERVED_REQUEST_COST).await else {
         return PlaceTry::Closed;
     };
     match reserve(context, request, ticket, &entry, placement).await {
         Ok(hold) => PlaceTry::Taken(entry, hold),
         Err(CallError::NotSent { .. }) => {
-            permit.give_back();
+            permit.refund();
             PlaceTry::Refused
         }
         Err(CallError::Refused { .. } | CallError::Lost { .. }) => PlaceTry::Refused,
@@ -250,7 +252,7 @@
     cause: TurnAwayCause,
     come_back: Duration,
 ) -> Refusal {
-    let closed = (cause == TurnAwayCause::NoEngine).then(|| refuse_closed(context, request));
+    let closed = (cause == TurnAwayCause::NoEngine).then(|| refusal_if_blocked(context, request));
     closed.flatten().unwrap_or(Refusal::come_back(refusal_cause(cause), come_back))
 }
 
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -16,10 +16,10 @@
 use crate::broken_run::{may_run_again, trace_break};
 use crate::calls::{CallError, ForwardTerms};
 use crate::context::ForwardContext;
-use crate::decided::{SendChoice, choose_decided};
 use crate::long_answer::{AnswerStart, LongAnswer, read_start};
 use crate::refusal::{Refusal, RefusalCause};
-use crate::throttle::{SendPermit, all_closed, choose_permitted, refuse_closed};
+use crate::scheduled::{ScheduleOutcome, choose_scheduled};
+use crate::throttle::{SendPermit, all_blocked, pick_with_permit, refusal_if_blocked};
 use crate::trace::{RequestTrace, log_budget_empty, log_send_failed};
 use crate::tried::TriedBackends;
 
@@ -58,11 +58,11 @@
 }
 
 /// The final answer of a backend server.
-pub(crate) enum PlainEnd {
+pub(crate) enum PlainResponse {
     /// It was read to its end.
-    Whole(Response<ResponseBody>),
+    Complete(Response<ResponseBody>),
     /// It is to be passed on as it arrives.
-    Long(Box<LongAnswer>),
+    Streamed(Box<LongAnswer>),
 }
 
 /// An answer that was read to its end.
@@ -89,7 +89,7 @@
     sends: u32,
     unreachable: usize,
     may_have_run: bool,
-    failure: Option<PlainEnd>,
+    failure: Option<PlainResponse>,
     /// The decision not to send it any more, and when its caller may come back.
     rejected: Option<(RejectCause, Duration)>,
 }
@@ -104,30 +104,30 @@
         entry: &BackendEntry,
         outcome: SendOutcome,
     ) {
-        let (book, backend) = (&context.backend_tracker, &entry.started());
+        let (tracker, backend) = (&context.backend_tracker, &entry.started());
         let cause = match outcome {
             SendOutcome::Whole(answer) => {
                 let status = answer.status;
-                self.note_failed(context, entry, status, PlainEnd::Whole(answer.response()))
+                self.note_failed(context, entry, status, PlainResponse::Complete(answer.response()))
             }
             SendOutcome::Long(answer) => {
-                self.note_failed(context, entry, answer.status, PlainEnd::Long(answer))
+                self.note_failed(context, entry, answer.status, PlainResponse::Streamed(answer))
             }
             SendOutcome::NotSent(cause) => {
-                book.note_unreachable(backend, &cause);
+                tracker.record_connect_failure(backend, &cause);
                 self.unreachable += 1;
                 cause
             }
             SendOutcome::NotRun => {
                 // One that names how much it takes may refuse what is beyond, and is not broken.
                 if context.throttle.read(backend).rate.is_none() {
-                    book.note_failure(backend);
+                    tracker.record_failure(backend);
                 }
                 self.sends += 1;
                 "refused, not run".to_owned()
             }
             SendOutcome::Unclear(cause) => {
-                book.note_silence(backend, &cause);
+                tracker.record_no_response(backend, &cause);
                 self.sends += 1;
                 self.may_have_run = true;
                 cause
@@ -142,9 +142,9 @@
         context: &ForwardContext,
         entry: &BackendEntry,
         status: StatusCode,
-        failure: PlainEnd,
+        failure: PlainResponse,
     ) -> String {
-        context.backend_tracker.note_failure(&entry.started());
+        context.backend_tracker.record_failure(&entry.started());
         self.sends += 1;
         self.may_have_run = true;
         self.failure = Some(failure);
@@ -152,11 +152,11 @@
     }
 }
 
-pub(crate) async fn answer_plain(
+pub(crate) async fn handle_plain(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     trace: &mut RequestTrace,
-) -> Result<PlainEnd, Refusal> {
+) -> Result<PlainResponse, Refusal> {
     let mut record = SendRecord::default();
     let mut look = None;
     // Dropped after a send that is given up, so its place is free once the connection is closed.
@@ -173,25 +173,25 @@
         let outcome = match outcome {
             SendOutcome::Long(mut answer) if !answer.status.is_server_error() => {
                 answer.call = Some(ticket);
-                return Ok(PlainEnd::Long(answer));
+                return Ok(PlainResponse::Streamed(answer));
             }
             outcome => outcome,
         };
         ticket.end(outcome.call_end(), started.elapsed());
         match outcome {
             SendOutcome::Whole(answer) if !answer.status.is_server_error() => {
-                context.backend_tracker.note_success(&entry.started(), started.elapsed());
+                context.backend_tracker.record_success(&entry.started(), started.elapsed());
                 if answer.status.is_success() {
                     context.suspects.note_whole(request.print);
                 }
-                return Ok(PlainEnd::Whole(answer.response()));
+                return Ok(PlainResponse::Complete(answer.response()));
             }
             failed => {
                 if matches!(failed, SendOutcome::Unclear(_)) {
                     look = Some(trace_break(context, request, &entry));
                 }
                 if matches!(failed, SendOutcome::NotSent(_)) {
-                    permit.give_back();
+                    permit.refund();
                 }
                 record.note_failure(context, request, &entry, failed);
             }
@@ -217,26 +217,26 @@
     }
     let decided = if ticket.is_scheduled() {
         // On the heap, since the calls of most services do not come here.
-        Box::pin(choose_decided(context, request, &record.tried, ticket)).await
+        Box::pin(choose_scheduled(context, request, &record.tried, ticket)).await
     } else {
-        SendChoice::Own
+        ScheduleOutcome::Local
     };
     let view = context.view();
     let (entry, permit) = match decided {
-        SendChoice::Send(entry, permit) => (entry, permit),
-        SendChoice::Reject { cause, retry_after } => {
+        ScheduleOutcome::Send(entry, permit) => (entry, permit),
+        ScheduleOutcome::Reject { cause, retry_after } => {
             record.rejected = Some((cause, retry_after));
             return None;
         }
-        SendChoice::Own => {
-            let choose = || context.chooser(&view).plain(&request.service, &record.tried);
-            choose_permitted(context, request, choose).await?
+        ScheduleOutcome::Local => {
+            let choose = || context.picker(&view).pick_plain(&request.service, &record.tried);
+            pick_with_permit(context, request, choose).await?
         }
     };
     if record.sends > 0 {
         if !context.budgets.try_withdraw(&request.service) {
             log_budget_empty(request, &context.budgets);
-            permit.give_back();
+            permit.refund();
             return None;
         }
         context.metrics.note_repeated_send();
@@ -260,7 +260,7 @@
     entry: &Arc<BackendEntry>,
     limit: Duration,
 ) -> SendOutcome {
-    let ticket = context.backend_tracker.enter(&entry.started());
+    let ticket = context.backend_tracker.track_request(&entry.started());
     let sent_at = request.clock.now();
     let terms = ForwardTerms { time_budget: request.remaining(), ..ForwardTerms::default() };
     let exchange = async {
@@ -307,7 +307,7 @@
     context: &ForwardContext,
     request: &RoutedRequest,
     record: SendRecord,
-) -> Result<PlainEnd, Refusal> {
+) -> Result<PlainResponse, Refusal> {
     if let Some(failure) = record.failure {
         return Ok(failure);
     }
@@ -317,8 +317,8 @@
         return Err(Refusal::new(cause));
     }
     if !request.remaining().is_zero()
-        && all_closed(context, request, &record.tried)
-        && let Some(refusal) = refuse_closed(context, request)
+        && all_blocked(context, request, &record.tried)
+        && let Some(refusal) = refusal_if_blocked(context, request)
     {
         return Err(refusal);
     }
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -10,11 +10,13 @@
 use tokio::time::Instant;
 
 use crate::broken_run::{may_run_again, trace_break};
-use crate::budget::BudgetPermit;
 use crate::calls::{CallError, PrefillTerms, PrefilledPrompt, WorkRank};
 use crate::context::ForwardContext;
 use crate::placement::{Placement, placement_request};
-use crate::throttle::{MOST_CLOSED, ONE_SEND, charge_send, may_release, permit_send};
+use crate::retry_budget::RetryReservation;
+use crate::throttle::{
+    MAX_BLOCKED_BACKENDS, REQUEST_COST, acquire_permit, charge_send, should_release,
+};
 use crate::trace::log_budget_empty;
 
 /// Longest wait for a prefill; its engine queues prompts one after another. One that is given up
@@ -39,11 +41,11 @@
 impl Drop for PrefillGuard {
     fn drop(&mut self) {
         let Some(prefilled) = self.prefilled.take() else { return };
-        if !may_release(&self.context, &prefilled.engine) {
+        if !should_release(&self.context, &prefilled.engine) {
             return;
         }
         let (entry, handle) = (prefilled.engine, prefilled.handle);
-        charge_send(&self.context, &entry, ONE_SEND);
+        charge_send(&self.context, &entry, REQUEST_COST);
         let release = (self.context.calls.release_prefill)(Arc::clone(&entry), handle);
         self.context.tasks.spawn(async move {
             if let Err(error) = release.await {
@@ -84,8 +86,8 @@
             next = ask_for_another(context, request, placement, rank, &tried).await;
             continue;
         };
-        let Some(send) = permit_send(context, request, &entry, ONE_SEND).await else {
-            if tried.len() >= MOST_CLOSED {
+        let Some(send) = acquire_permit(context, request, &entry, REQUEST_COST).await else {
+            if tried.len() >= MAX_BLOCKED_BACKENDS {
                 return None;
             }
             next = ask_for_another(context, request, placement, rank, &tried).await;
@@ -93,13 +95,13 @@
         };
         let Some(permit) = context.budgets.reserve(&request.service) else {
             log_budget_empty(request, &context.budgets);
-            send.give_back();
+            send.refund();
             return None;
         };
         let started = Instant::now();
         let error = match ask(context, request, &entry, rank).await {
             Ok(prefilled) => {
-                permit.give_back();
+                permit.release();
                 placement.ticket.note(&DeskNote::Prefilled { took: started.elapsed() });
                 return Some(prefilled);
             }
@@ -113,7 +115,7 @@
         );
         placement.ticket.note_fault(&entry, prefill_fault(&error));
         if matches!(error, CallError::NotSent { .. }) {
-            send.give_back();
+            send.refund();
         }
         if matches!(error, CallError::Lost { .. }) {
             let mut look = Some(trace_break(context, request, &entry));
@@ -175,23 +177,23 @@
     context: &ForwardContext,
     request: &RoutedRequest,
     error: &CallError,
-    permit: BudgetPermit,
+    permit: RetryReservation,
 ) -> bool {
     let in_time = request.age() < LATEST_REPEAT;
     match error {
         CallError::NotSent { .. } => {
-            permit.give_back();
+            permit.release();
             in_time
         }
         CallError::Refused { .. } => {
-            permit.note_refused();
+            permit.record_refusal();
             in_time
         }
         CallError::Lost { .. } => {
             // One of the two counts: this call if it was refused, else the next one.
             let again = in_time && context.budgets.try_withdraw(&request.service);
             if again {
-                permit.give_back();
+                permit.release();
             }
             again
         }
--- a/crates/dillspool_forward/src/budget.rs
+++ b/crates/dillspool_forward/src/retry_budget.rs
@@ -114,7 +114,7 @@
     }
 
     /// What the window holds now and what it allows this host.
-    pub fn read(&self, service: &Name) -> BudgetUsage {
+    pub fn usage(&self, service: &Name) -> BudgetUsage {
         self.with_window(service, |window| self.read_window(window))
     }
 
@@ -135,7 +135,7 @@
     /// `None` when this host's part cannot bear the call. What is kept back for windows that begin
     /// elsewhere may be set aside for such calls, since few of them are refused; once one was
     /// refused within the window, only what is spent otherwise, too.
-    pub(crate) fn reserve(&self, service: &Name) -> Option<BudgetPermit> {
+    pub(crate) fn reserve(&self, service: &Name) -> Option<RetryReservation> {
         let bears = self.with_window(service, |window| {
             let reading = self.read_window(window);
             let refused =
@@ -148,7 +148,7 @@
             bears
         });
         let service = Name::clone(service);
-        bears.then(|| BudgetPermit { budgets: self.clone(), service, is_settled: false })
+        bears.then(|| RetryReservation { budgets: self.clone(), service, is_settled: false })
     }
 
     /// Takes one repeated send from the budget, if this host's part has one left.
@@ -167,27 +167,27 @@
 
 /// A repeated send that is set aside for a call; one whose end never becomes known stays counted.
 #[derive(Debug)]
-pub(crate) struct BudgetPermit {
+pub(crate) struct RetryReservation {
     budgets: RetryBudgets,
     service: Name,
     is_settled: bool,
 }
 
-impl BudgetPermit {
+impl RetryReservation {
     /// The call was taken up, or never sent, and does not count.
-    pub(crate) fn give_back(mut self) {
+    pub(crate) fn release(mut self) {
         self.budgets.with_window(&self.service, |window| window.reserved -= 1);
         self.is_settled = true;
     }
 
     /// The call was refused.
-    pub(crate) fn note_refused(self) {
+    pub(crate) fn record_refusal(self) {
         let now = self.budgets.clock.now();
         self.budgets.with_window(&self.service, |window| window.refused_at = Some(now));
     }
 }
 
-impl Drop for BudgetPermit {
+impl Drop for RetryReservation {
     fn drop(&mut self) {
         if self.is_settled {
             return;
--- a/crates/dillspool_forward/src/decided.rs
+++ b/crates/dillspool_forward/src/scheduled.rs
@@ -10,7 +10,8 @@
 
 use crate::context::ForwardContext;
 use crate::throttle::{
-    MOST_CLOSED, ONE_SEND, SendPermit, closed_backends, permit_send, wait_for_opening,
+    MAX_BLOCKED_BACKENDS, REQUEST_COST, SendPermit, acquire_permit, blocked_backends,
+    wait_until_unblocked,
 };
 use crate::trace::{log_call_overruled, log_call_queued, log_call_rejected};
 use crate::tried::TriedBackends;
@@ -20,7 +21,7 @@
 const MOST_OVERRULED: usize = 8;
 
 /// Where a send goes.
-pub(crate) enum SendChoice {
+pub(crate) enum ScheduleOutcome {
     /// To this backend server.
     Send(Arc<BackendEntry>, SendPermit),
     /// Nowhere.
@@ -30,7 +31,7 @@
         retry_after: Duration,
     },
     /// Wherever this host sends it: each host decides by itself.
-    Own,
+    Local,
 }
 
 /// Why a decision is not followed.
@@ -55,15 +56,18 @@
 }
 
 /// Asks where a call goes that was sent to `tried` already, until its caller's time is over.
-pub(crate) async fn choose_decided(
+pub(crate) async fn choose_scheduled(
     context: &ForwardContext,
     request: &RoutedRequest,
     tried: &TriedBackends,
     ticket: &mut CallTicket,
-) -> SendChoice {
+) -> ScheduleOutcome {
     let asking = ask_until_followed(context, request, tried, ticket);
     let choice = request.clock.timeout_at(request.deadline, asking).await;
-    choice.unwrap_or(SendChoice::Reject { cause: RejectCause::NoRoom, retry_after: Duration::ZERO })
+    choice.unwrap_or(ScheduleOutcome::Reject {
+        cause: RejectCause::NoRoom,
+        retry_after: Duration::ZERO,
+    })
 }
 
 async fn ask_until_followed(
@@ -71,7 +75,7 @@
     request: &RoutedRequest,
     tried: &TriedBackends,
     ticket: &mut CallTicket,
-) -> SendChoice {
+) -> ScheduleOutcome {
     let mut gone = Vec::new();
     let mut closed = 0;
     for _decision in 0..MOST_OVERRULED {
@@ -88,21 +92,21 @@
                 if knows_another(context, request, &question.excluded) =>
             {
                 log_call_overruled(request, "", "no_server");
-                return SendChoice::Own;
+                return ScheduleOutcome::Local;
             }
             Some(CallDecision::Reject { cause: RejectCause::NoServer, .. })
-                if wait_for_opening(context, request).await =>
+                if wait_until_unblocked(context, request).await =>
             {
                 continue;
             }
             Some(CallDecision::Reject { cause, retry_after }) => {
                 log_call_rejected(request, &question, cause, retry_after);
-                return SendChoice::Reject { cause, retry_after };
+                return ScheduleOutcome::Reject { cause, retry_after };
             }
-            Some(CallDecision::Wait) | None => return SendChoice::Own,
+            Some(CallDecision::Wait) | None => return ScheduleOutcome::Local,
         };
         match follow(context, request, ticket, &backend).await {
-            Ok((entry, permit)) => return SendChoice::Send(entry, permit),
+            Ok((entry, permit)) => return ScheduleOutcome::Send(entry, permit),
             Err(why) => {
                 log_call_overruled(request, &backend.id, why.name());
                 ticket.end(CallEnd::Abandoned, Duration::ZERO);
@@ -113,11 +117,11 @@
                 }
             }
         }
-        if closed >= MOST_CLOSED {
+        if closed >= MAX_BLOCKED_BACKENDS {
             break;
         }
     }
-    SendChoice::Own
+    ScheduleOutcome::Local
 }
 
 /// Follows a decision unless this host knows better.
@@ -128,10 +132,11 @@
     backend: &StartedBackend,
 ) -> Result<(Arc<BackendEntry>, SendPermit), Overruled> {
     let entry = known_entry(context, backend).ok_or(Overruled::Gone)?;
-    let permit = permit_send(context, request, &entry, ONE_SEND).await.ok_or(Overruled::Closed)?;
+    let permit =
+        acquire_permit(context, request, &entry, REQUEST_COST).await.ok_or(Overruled::Closed)?;
     // The permit may have been waited for, or this process stopped.
     if !ticket.is_fresh() {
-        permit.give_back();
+        permit.refund();
         return Err(Overruled::Stale);
     }
     Ok((entry, permit))
@@ -157,7 +162,7 @@
     gone: &[BackendId],
 ) -> CallRequest {
     let mut excluded = tried.ids(&context.view());
-    let others = gone.iter().cloned().chain(closed_backends(context, request));
+    let others = gone.iter().cloned().chain(blocked_backends(context, request));
     for id in others {
         if !excluded.contains(&id) {
             excluded.push(id);
--- a/crates/dillspool_forward/src/throttle.rs
+++ b/crates/dillspool_forward/src/throttle.rs
@@ -24,7 +24,7 @@
 
 /// Backend servers that may turn out closed for one request, a round trip each; where many are, the next
 /// caller finds them closed without asking.
-pub(crate) const MOST_CLOSED: usize = 4;
+pub(crate) const MAX_BLOCKED_BACKENDS: usize = 4;
 /// Least time for which a backend server is closed, a few round trips.
 const LEAST_PAUSE: Duration = Duration::from_millis(5);
 /// Part of what is left of the objective for which a request waits for a backend server to open; the rest is for
@@ -39,9 +39,9 @@
 const ELSEWHERE_PART: f64 = 0.3;
 
 /// A prompt to read, or a request to a backend server that reserves nothing.
-pub(crate) const ONE_SEND: f64 = 1.0;
+pub(crate) const REQUEST_COST: f64 = 1.0;
 /// A reservation, and the request or the release that follows it.
-pub(crate) const RESERVED_SEND: f64 = 2.0;
+pub(crate) const RESERVED_REQUEST_COST: f64 = 2.0;
 
 /// Leave to send; dropping it leaves it spent.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
 
 impl SendPermit {
     /// Gives it back, since nothing was sent.
-    pub(crate) fn give_back(self) {
+    pub(crate) fn refund(self) {
         if let Some(spent) = self.spent {
             spent.give_back();
         }
@@ -60,7 +60,7 @@
 }
 
 /// Asks for leave to send what counts for `amount` requests; `None` where what the backend server takes is spent.
-pub(crate) async fn permit_send(
+pub(crate) async fn acquire_permit(
     context: &ForwardContext,
     request: &RoutedRequest,
     entry: &BackendEntry,
@@ -110,19 +110,19 @@
 
 /// The best backend server that takes one request more, of those that `choose` finds in turn: one that is
 /// closed is no candidate any more.
-pub(crate) async fn choose_permitted(
+pub(crate) async fn pick_with_permit(
     context: &ForwardContext,
     request: &RoutedRequest,
     choose: impl Fn() -> Option<Arc<BackendEntry>>,
 ) -> Option<(Arc<BackendEntry>, SendPermit)> {
     loop {
-        for _ask in 0..MOST_CLOSED {
+        for _ask in 0..MAX_BLOCKED_BACKENDS {
             let Some(entry) = choose() else { break };
-            if let Some(permit) = permit_send(context, request, &entry, ONE_SEND).await {
+            if let Some(permit) = acquire_permit(context, request, &entry, REQUEST_COST).await {
                 return Some((entry, permit));
             }
         }
-        if !Box::pin(wait_for_opening(context, request)).await {
+        if !Box::pin(wait_until_unblocked(context, request)).await {
             return None;
         }
     }
@@ -130,7 +130,10 @@
 
 /// Waits for the first backend server of a request's service to open, if that is soon enough for an answer in
 /// time and no other request of this host waits for it; whether it has waited.
-pub(crate) async fn wait_for_opening(context: &ForwardContext, request: &RoutedRequest) -> bool {
+pub(crate) async fn wait_until_unblocked(
+    context: &ForwardContext,
+    request: &RoutedRequest,
+) -> bool {
     let now = context.throttle.now();
     let spent = request.spent_before + request.age();
     let patience = request.route.objective.saturating_sub(spent).mul_f64(WAIT_PART);
@@ -159,12 +162,12 @@
 
 /// Whether what is kept for this host at a backend server is given back; a start that is over keeps nothing, and
 /// where the server wants nothing from this host it lapses by itself within a few seconds.
-pub(crate) fn may_release(context: &ForwardContext, entry: &BackendEntry) -> bool {
+pub(crate) fn should_release(context: &ForwardContext, entry: &BackendEntry) -> bool {
     !context.view().has_restarted(entry) && context.throttle.rests_until(&entry.started()).is_none()
 }
 
 /// Whether each backend server that may still be tried is closed.
-pub(crate) fn all_closed(
+pub(crate) fn all_blocked(
     context: &ForwardContext,
     request: &RoutedRequest,
     tried: &TriedBackends,
@@ -175,7 +178,10 @@
 }
 
 /// Engines of a request's service that are closed now.
-pub(crate) fn closed_backends(context: &ForwardContext, request: &RoutedRequest) -> Vec<BackendId> {
+pub(crate) fn blocked_backends(
+    context: &ForwardContext,
+    request: &RoutedRequest,
+) -> Vec<BackendId> {
     if context.throttle.is_empty() {
         return Vec::new();
     }
@@ -187,7 +193,10 @@
 
 /// The refusal of a request whose service has room again in a while; `None` where no backend server of it is
 /// closed.
-pub(crate) fn refuse_closed(context: &ForwardContext, request: &RoutedRequest) -> Option<Refusal> {
+pub(crate) fn refusal_if_blocked(
+    context: &ForwardContext,
+    request: &RoutedRequest,
+) -> Option<Refusal> {
     let view = context.view();
     let closed =
         view.ready(&request.service).filter_map(|it| come_back_after(context, request, it));
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -10,10 +10,10 @@
 use dillspool_suspects::CopyRefusal;
 use dillspool_version::StoreVersion;
 
-use crate::budget::RetryBudgets;
 use crate::context::ForwardContext;
 use crate::metrics::{ForwardMetrics, OutcomeLabels};
 use crate::refusal::Refusal;
+use crate::retry_budget::RetryBudgets;
 use crate::stages::{FirstEventStages, LateCause, StreamFigures};
 
 /// Reports the end of a request; one that is dropped before reports that the caller left.
@@ -177,7 +177,7 @@
 
 /// Another try was due and the budget did not allow it.
 pub(crate) fn log_budget_empty(request: &RoutedRequest, budgets: &RetryBudgets) {
-    let reading = budgets.read(&request.service);
+    let reading = budgets.usage(&request.service);
     log::info!(
         "event=retry_budget_empty id={} service={} requests={} repeats={} allowed={:.1} hosts={}",
         request.id,
--- a/crates/dillspool_forward/src/limits.rs
+++ b/crates/dillspool_forward/src/workspace_limit.rs
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// A refusal of a request that has not run and will not.
-pub(crate) async fn admit(
+pub(crate) async fn spend_workspace_limit(
     context: &ForwardContext,
     request: &RoutedRequest,
 ) -> Result<Option<SpentAmount>, Refusal> {
