--- a/crates/dillspool_forward/src/lib.rs
+++ b/crates/dillspool_forward/src/lib.rs
@@ -6,16 +6,13 @@
 
 mod backend_probe;
 mod backend_tracker;
-mod budget;
 mod calls;
-mod choose;
 mod context;
-mod decided;
 mod events;
 mod generate;
 mod handle;
-mod limits;
 mod metrics;
+mod picker;
 mod placement;
 mod plain;
 mod prefill;
@@ -23,14 +20,16 @@
 mod refusal;
 mod relay;
 mod response_body;
+mod retry_budget;
+mod scheduled;
 mod stages;
 mod throttle;
 mod trace;
 mod tried;
+mod workspace_limit;
 
 pub use backend_probe::BackendProbes;
 pub use backend_tracker::BackendTracker;
-pub use budget::{BudgetSettings, BudgetUsage, RetryBudgets};
 pub use calls::{
     BackendCalls, BackendResponse, CallError, ForwardParams, OrderOutcome, PrefillParams,
     PrefilledPrompt, ProbeResult, ReservationParams, StageOrder, WorkPriority,
@@ -40,3 +39,4 @@
 pub use handle::handle_request;
 pub use metrics::{ForwardMetrics, OutcomeLabels};
 pub use refusal::{Refusal, RefusalCause};
+pub use retry_budget::{BudgetSettings, BudgetUsage, RetryBudgets};
