--- a/crates/dillspool_calls/src/lib.rs
+++ b/crates/dillspool_calls/src/lib.rs
@@ -20,5 +20,5 @@
 
 pub use policy::CallPolicy;
 pub use queue::CallQueue;
-pub use reading::{CallReading, ServerReading};
-pub use request::{CallDecision, CallEnd, CallId, CallRequest, CallServer, RejectCause};
+pub use reading::{QueueSnapshot, ServerSnapshot};
+pub use request::{CallDecision, CallId, CallOutcome, CallRequest, CallServer, RejectCause};
--- a/crates/dillspool_calls/src/queue.rs
+++ b/crates/dillspool_calls/src/queue.rs
@@ -14,8 +14,8 @@
 use crate::line::{LineKey, LineRank, WaitLine};
 use crate::meter::{DecayedMean, DecayedSum};
 use crate::policy::CallPolicy;
-use crate::reading::CallReading;
-use crate::request::{CallDecision, CallEnd, CallId, CallRequest, CallServer, RejectCause};
+use crate::reading::QueueSnapshot;
+use crate::request::{CallDecision, CallId, CallOutcome, CallRequest, CallServer, RejectCause};
 use crate::retry::RetryPlan;
 use crate::servers::{InFlightCall, ServerSet};
 
@@ -41,9 +41,9 @@
 
 /// Decides where the calls of one plain service go, after which wait, and which are rejected.
 ///
-/// After each change ([`ask`](Self::ask), [`end`](Self::end), [`adopt`](Self::adopt),
+/// After each change ([`submit`](Self::submit), [`complete`](Self::complete), [`adopt`](Self::adopt),
 /// [`forget`](Self::forget), [`set_servers`](Self::set_servers), [`set_share`](Self::set_share)) and at
-/// [`next_due`](Self::next_due), call [`poll`](Self::poll) for what was decided for calls that wait.
+/// [`next_deadline`](Self::next_deadline), call [`poll`](Self::poll) for what was decided for calls that wait.
 #[derive(Clone, Debug)]
 pub struct CallQueue {
     policy: Arc<CallPolicy>,
@@ -110,7 +110,7 @@
     }
 
     /// Decides on a call, or lets it wait. An id that is asked again stands for a new call.
-    pub fn ask(&mut self, id: CallId, request: CallRequest, now: Moment) -> CallDecision {
+    pub fn submit(&mut self, id: CallId, request: CallRequest, now: Moment) -> CallDecision {
         self.forget(id, now);
         self.servers.free_held(now);
         if !self.servers.has_any(&request.excluded) {
@@ -121,7 +121,7 @@
         let opens = now + self.servers.opens_in(&request.excluded, now) + run;
         let (objective, give_up) = (now + request.objective_left, now + request.time_left);
         if opens > give_up || request.time_left.is_zero() {
-            return self.reject(RejectCause::NoRoom, request.time_left, now);
+            return self.reject(RejectCause::NoCapacity, request.time_left, now);
         }
         let is_late = opens > objective;
         if !is_late {
@@ -152,7 +152,7 @@
         let is_hopeless =
             || !forecast.has_spare() || forecast.late_end_at_ask(self.line.ahead(&rank)) > give_up;
         if is_late && is_hopeless() {
-            return self.reject(RejectCause::NoRoom, request.time_left, now);
+            return self.reject(RejectCause::NoCapacity, request.time_left, now);
         }
         let key = self.line.enter(rank, moment, id, due);
         self.ends.insert((give_up, id));
@@ -182,7 +182,7 @@
     }
 
     /// Notes how a call ended, `took` after it was sent.
-    pub fn end(&mut self, id: CallId, end: CallEnd, took: Duration, now: Moment) {
+    pub fn complete(&mut self, id: CallId, end: CallOutcome, took: Duration, now: Moment) {
         self.remove(id, Some((end, took)), now);
     }
 
@@ -192,7 +192,7 @@
         self.remove(id, None, now);
     }
 
-    fn remove(&mut self, id: CallId, end: Option<(CallEnd, Duration)>, now: Moment) {
+    fn remove(&mut self, id: CallId, end: Option<(CallOutcome, Duration)>, now: Moment) {
         match self.calls.remove(&id) {
             Some(CallState::Waiting(call)) => self.leave_line(id, &call),
             Some(CallState::InFlight { call, is_late }) => {
@@ -241,15 +241,15 @@
     }
 
     /// When [`poll`](Self::poll) may decide something by time alone.
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_deadline(&self) -> Option<Moment> {
         let (give_up, _id) = self.ends.first()?;
         let check = self.checked + self.policy.recheck;
         Some(self.offered.unwrap_or(check.min(*give_up)))
     }
 
     /// How the queue stands.
-    pub fn read(&self, now: Moment) -> CallReading {
-        CallReading {
+    pub fn snapshot(&self, now: Moment) -> QueueSnapshot {
+        QueueSnapshot {
             servers: self.servers.read(now),
             waiting: self.line.len(),
             rejected: self.rejected.clone(),
@@ -383,7 +383,7 @@
         if let Some(CallState::Waiting(call)) = self.calls.remove(&id) {
             self.leave_line(id, &call);
             let has_server = self.servers.has_any(&call.request.excluded);
-            let cause = if has_server { RejectCause::NoRoom } else { RejectCause::NoServer };
+            let cause = if has_server { RejectCause::NoCapacity } else { RejectCause::NoServer };
             decided.push((id, self.reject(cause, call.give_up.since(now), now)));
         }
     }
@@ -406,7 +406,7 @@
         let longest = time_left.mul_f64(self.policy.longest_retry_part);
         let (longest, wait, rate) = match cause {
             RejectCause::NoServer => (longest.min(self.policy.no_server_retry), longest, 0.0),
-            RejectCause::NoRoom => {
+            RejectCause::NoCapacity => {
                 let forecast = self.forecast(now);
                 let run = Duration::from_secs_f64(self.servers.latency().mean);
                 (longest, forecast.backlog() + run, forecast.least_spare())
--- a/crates/dillspool_calls/src/reading.rs
+++ b/crates/dillspool_calls/src/reading.rs
@@ -9,7 +9,7 @@
 
 /// How one backend server stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerReading {
+pub struct ServerSnapshot {
     /// Which one, and of which start.
     pub backend: StartedBackend,
     /// Calls that this queue may have in flight there.
@@ -19,14 +19,14 @@
     /// Mean time in which it runs one call.
     pub mean_latency: Duration,
     /// Whether it gets no calls for a while because it failed some.
-    pub is_blocked: bool,
+    pub is_circuit_open: bool,
 }
 
 /// How a call queue stands.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallReading {
+pub struct QueueSnapshot {
     /// The backend servers that take calls, in the order of their ids.
-    pub servers: Vec<ServerReading>,
+    pub servers: Vec<ServerSnapshot>,
     /// Calls that wait.
     pub waiting: usize,
     /// Calls rejected since the queue was made, by cause.
--- a/crates/dillspool_calls/src/request.rs
+++ b/crates/dillspool_calls/src/request.rs
@@ -19,7 +19,7 @@
     /// Calls that it runs at once; `None` where it reports none, and then its limit is learned.
     pub slots: Option<u32>,
     /// Connections that it accepts; it resets those beyond.
-    pub most_connections: u32,
+    pub max_connections: u32,
 }
 
 /// A call that needs a backend server.
@@ -36,7 +36,7 @@
     /// Time until the caller gives up.
     pub time_left: Duration,
     /// Whether it may run more than once.
-    pub is_repeatable: bool,
+    pub is_idempotent: bool,
     /// Backend servers that it must not go to again.
     pub excluded: Vec<Name>,
 }
@@ -47,7 +47,7 @@
     /// There is no backend server that it may go to.
     NoServer,
     /// The backend servers cannot answer it in its time.
-    NoRoom,
+    NoCapacity,
 }
 
 /// What becomes of a call.
@@ -71,7 +71,7 @@
 
 /// How a call ended that was sent or waited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// The backend server answered as it should.
     Answered,
     /// The backend server answered with a failure of its own.
--- a/crates/dillspool_calls/src/server.rs
+++ b/crates/dillspool_calls/src/server.rs
@@ -9,7 +9,7 @@
 use crate::limit::PlaceLimit;
 use crate::meter::{DecayedSum, ServerLatency};
 use crate::policy::CallPolicy;
-use crate::request::{CallEnd, CallServer};
+use crate::request::{CallOutcome, CallServer};
 
 /// What all servers of a queue share.
 #[derive(Clone, Debug)]
@@ -105,8 +105,8 @@
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "limits are small")]
     pub(crate) fn limit(&self, terms: &ServerTerms) -> u32 {
         let limit = self.limit.read(self.server.slots, self.extra, &terms.policy, terms.now);
-        let limit = limit.min(f64::from(self.server.most_connections)) * terms.share;
-        (limit as u32).max(1).min(self.server.most_connections)
+        let limit = limit.min(f64::from(self.server.max_connections)) * terms.share;
+        (limit as u32).max(1).min(self.server.max_connections)
     }
 
     /// Calls that it runs at once of those that may be in flight.
@@ -198,35 +198,35 @@
     pub(crate) fn note_end(
         &mut self,
         sent: &SentCall,
-        end: CallEnd,
+        end: CallOutcome,
         took: Duration,
         elsewhere: Option<f64>,
         terms: &ServerTerms,
     ) -> Option<f64> {
         let (policy, now) = (&terms.policy, terms.now);
-        if matches!(end, CallEnd::Answered | CallEnd::Failed) && self.busy_since.is_some() {
+        if matches!(end, CallOutcome::Answered | CallOutcome::Failed) && self.busy_since.is_some() {
             self.completed.add(1.0, policy.rate_memory, now);
         }
         match end {
-            CallEnd::Answered => {
+            CallOutcome::Answered => {
                 let ran = took.as_secs_f64() / sent.crowding;
                 self.latency.note(ran, policy.latency_memory, now);
                 self.block.note_answered(sent.at, now);
-                let most = f64::from(self.server.most_connections);
+                let most = f64::from(self.server.max_connections);
                 self.refresh(terms);
                 self.limit.note_answered(self.mean, sent.was_full, most, policy, now);
                 return Some(ran);
             }
-            CallEnd::Failed => {
+            CallOutcome::Failed => {
                 let excess = self.block.failures(now) - elsewhere.unwrap_or(1.0);
                 self.block.note_failed(sent.at, excess, policy, now);
             }
-            CallEnd::NotRun => {
+            CallOutcome::NotRun => {
                 self.limit.note_refused(self.mean, policy, now);
                 self.block.note_refused(sent.at, policy, now);
             }
-            CallEnd::NotSent => self.block.note_unreachable(sent.at, policy, now),
-            CallEnd::Lost => {
+            CallOutcome::NotSent => self.block.note_unreachable(sent.at, policy, now),
+            CallOutcome::Lost => {
                 let elsewhere = elsewhere.unwrap_or(0.0);
                 self.block.note_lost(sent.at, elsewhere, policy, now);
                 // A server that reports its slots and gets no more than these loses calls for another reason than
@@ -236,7 +236,7 @@
                     self.limit.note_refused(self.mean, policy, now);
                 }
             }
-            CallEnd::Abandoned => {}
+            CallOutcome::Abandoned => {}
         }
         None
     }
--- a/crates/dillspool_calls/src/servers.rs
+++ b/crates/dillspool_calls/src/servers.rs
@@ -13,8 +13,8 @@
 use crate::block::ServerGate;
 use crate::meter::{LatencyMean, PooledLatency};
 use crate::policy::CallPolicy;
-use crate::reading::ServerReading;
-use crate::request::{CallEnd, CallId, CallRequest, CallServer};
+use crate::reading::ServerSnapshot;
+use crate::request::{CallId, CallOutcome, CallRequest, CallServer};
 use crate::server::{SentCall, ServerState, ServerTerms};
 
 /// What the servers can do together.
@@ -201,7 +201,7 @@
         let is_near = state.server.failure_domain == request.failure_domain;
         let far = if is_near { 1.0 } else { policy.far_factor };
         let failures = 1.0 + policy.failure_factor * state.block.failures(terms.now);
-        let is_risk = state.gate(terms) == ServerGate::Probing && !request.is_repeatable;
+        let is_risk = state.gate(terms) == ServerGate::Probing && !request.is_idempotent;
         let risk = if is_risk { policy.risk_factor } else { 1.0 };
         let spread = 1.0 + random.random_range(0.0..1.0) * policy.spread;
         load * state.mean() * far * failures * risk * spread
@@ -219,7 +219,7 @@
         if !self.states.contains_key(&id) {
             // The directory may name it later; until then it is kept for this call.
             let server =
-                CallServer { backend, failure_domain, slots: None, most_connections: u32::MAX };
+                CallServer { backend, failure_domain, slots: None, max_connections: u32::MAX };
             self.enter_server(server, now).is_present = false;
         } else if BackendStart::differ(self.states[&id].server.backend.start, backend.start) {
             return None;
@@ -234,11 +234,11 @@
     pub(crate) fn end(
         &mut self,
         call: &InFlightCall,
-        end: Option<(CallEnd, Duration)>,
+        end: Option<(CallOutcome, Duration)>,
         now: Moment,
     ) {
         let elsewhere = match end {
-            Some((CallEnd::Failed | CallEnd::Lost, _took)) => {
+            Some((CallOutcome::Failed | CallOutcome::Lost, _took)) => {
                 self.failures_elsewhere(&call.server, now)
             }
             _ => None,
@@ -302,14 +302,14 @@
         (count > 0.0).then(|| total / count)
     }
 
-    pub(crate) fn read(&self, now: Moment) -> Vec<ServerReading> {
+    pub(crate) fn read(&self, now: Moment) -> Vec<ServerSnapshot> {
         let terms = self.terms(now);
-        let reading = |state: &ServerState| ServerReading {
+        let reading = |state: &ServerState| ServerSnapshot {
             backend: state.server.backend.clone(),
             limit: state.limit(&terms),
             in_flight: state.in_flight,
             mean_latency: Duration::from_secs_f64(state.mean()),
-            is_blocked: state.block.gate(now) != ServerGate::Open,
+            is_circuit_open: state.block.gate(now) != ServerGate::Open,
         };
         self.present().map(reading).collect()
     }
--- a/crates/dillspool_calls/tests/decisions.rs
+++ b/crates/dillspool_calls/tests/decisions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dillspool_calls::{
-    CallDecision, CallEnd, CallId, CallPolicy, CallQueue, CallRequest, CallServer,
+    CallDecision, CallId, CallOutcome, CallPolicy, CallQueue, CallRequest, CallServer,
 };
 use dillspool_cases::fixed_cases;
 use dillspool_moment::Moment;
@@ -27,7 +27,7 @@
     },
     End {
         which: usize,
-        end: CallEnd,
+        end: CallOutcome,
         took_ms: u64,
     },
     Forget {
@@ -48,8 +48,8 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let end = prop_oneof![
-        6 => Just(CallEnd::Answered), 1 => Just(CallEnd::Failed), 1 => Just(CallEnd::NotRun),
-        1 => Just(CallEnd::NotSent), 1 => Just(CallEnd::Lost), 1 => Just(CallEnd::Abandoned),
+        6 => Just(CallOutcome::Answered), 1 => Just(CallOutcome::Failed), 1 => Just(CallOutcome::NotRun),
+        1 => Just(CallOutcome::NotSent), 1 => Just(CallOutcome::Lost), 1 => Just(CallOutcome::Abandoned),
     ];
     let slots = || proptest::option::weighted(0.8, 1_u32..8);
     let ask = (0..3_u32, 0..300_u64, 0..1500_u64, proptest::option::of(0..4_u64), any::<bool>())
@@ -118,7 +118,7 @@
                 let count = self.in_flight(&backend);
                 let most = self.servers.get(&backend).expect("sent to a server that is absent");
                 assert!(count <= *most, "{count} in flight of {most}");
-                let reading = self.queue.read(self.now);
+                let reading = self.queue.snapshot(self.now);
                 let limit = reading.servers.iter().find(|it| it.backend == backend).unwrap().limit;
                 assert!(count <= limit, "{count} in flight, limit {limit}");
             }
@@ -131,9 +131,9 @@
             self.note(id.0, decision);
         }
         let waiting = self.calls.values().filter(|call| call.at.is_none());
-        assert_eq!(waiting.clone().count(), self.queue.read(self.now).waiting);
+        assert_eq!(waiting.clone().count(), self.queue.snapshot(self.now).waiting);
         assert!(waiting.clone().all(|call| call.give_up > self.now), "held beyond its time");
-        for server in self.queue.read(self.now).servers {
+        for server in self.queue.snapshot(self.now).servers {
             // Forgotten calls keep their places for a while.
             assert!(server.in_flight >= self.in_flight(&server.backend));
         }
@@ -141,23 +141,26 @@
 
     /// Passes time as a caller does that polls when something is due.
     fn pass(&mut self, until: Moment) {
-        while let Some(due) = self.queue.next_due().filter(|due| *due <= until) {
+        while let Some(due) = self.queue.next_deadline().filter(|due| *due <= until) {
             self.now = due.max(self.now);
             self.poll();
-            assert!(self.queue.next_due().is_none_or(|due| due > self.now), "due without an end");
+            assert!(
+                self.queue.next_deadline().is_none_or(|due| due > self.now),
+                "due without an end"
+            );
         }
         self.now = until;
     }
 
     fn request(step: (u32, u64, u64, Option<u64>, bool)) -> CallRequest {
-        let (priority, objective_ms, time_ms, excluded, is_repeatable) = step;
+        let (priority, objective_ms, time_ms, excluded, is_idempotent) = step;
         CallRequest {
             workspace_priority: priority / 2,
             priority: priority % 2,
             failure_domain: "here".into(),
             objective_left: Duration::from_millis(objective_ms),
             time_left: Duration::from_millis(time_ms),
-            is_repeatable,
+            is_idempotent,
             excluded: excluded.map(|server| backend(server, 0).id).into_iter().collect(),
         }
     }
@@ -180,7 +183,7 @@
             Step::Ask { priority, objective_ms, time_ms, excluded, repeatable } => {
                 let id = self.enter(time_ms, excluded, None);
                 let terms = (priority, objective_ms, time_ms, excluded, repeatable);
-                let decision = self.queue.ask(CallId(id), Self::request(terms), self.now);
+                let decision = self.queue.submit(CallId(id), Self::request(terms), self.now);
                 self.note(id, decision);
             }
             Step::Adopt { server, ran_ms } => {
@@ -195,7 +198,7 @@
             }
             Step::End { which, end, took_ms } => {
                 if let Some(id) = self.remove(which) {
-                    self.queue.end(id, end, Duration::from_millis(took_ms), self.now);
+                    self.queue.complete(id, end, Duration::from_millis(took_ms), self.now);
                 }
             }
             Step::Forget { which } => {
@@ -216,7 +219,7 @@
             backend: backend(server, start),
             failure_domain: if server < 2 { "here".into() } else { "there".into() },
             slots,
-            most_connections: 9,
+            max_connections: 9,
         });
         let servers: Vec<CallServer> = servers.collect();
         let most = |slots: Option<u32>| slots.map_or(9, |it| (2 * it).clamp(2, 9));
@@ -249,7 +252,7 @@
         let end = checker.now + Duration::from_secs(10);
         checker.pass(end);
         checker.poll();
-        for server in checker.queue.read(end).servers {
+        for server in checker.queue.snapshot(end).servers {
             prop_assert_eq!(server.in_flight, checker.in_flight(&server.backend));
         }
         prop_assert!(checker.calls.values().all(|call| call.at.is_some()), "never decided");
--- a/crates/dillspool_calls/tests/holders.rs
+++ b/crates/dillspool_calls/tests/holders.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dillspool_calls::{
-    CallDecision, CallEnd, CallId, CallPolicy, CallQueue, CallRequest, CallServer,
+    CallDecision, CallId, CallOutcome, CallPolicy, CallQueue, CallRequest, CallServer,
 };
 use dillspool_moment::Moment;
 use dillspool_routing::StartedBackend;
@@ -95,7 +95,7 @@
         backend: backend(server),
         failure_domain: "domain".into(),
         slots: Some(SLOTS),
-        most_connections: 410,
+        max_connections: 410,
     };
     queue.set_servers((0..SERVERS).map(server), moment(now));
     queue
@@ -112,7 +112,7 @@
         failure_domain: "domain".into(),
         objective_left: Duration::from_millis(150),
         time_left: Duration::from_millis(1500),
-        is_repeatable: false,
+        is_idempotent: false,
         excluded: Vec::new(),
     }
 }
@@ -243,7 +243,7 @@
             Decider::Holder(holder) => self.mail(host, holder, id, MailKind::Ask),
             Decider::Host(_host) => {
                 let now = moment(self.now);
-                let decision = self.hosts[host].desk.ask(CallId(id), request(), now);
+                let decision = self.hosts[host].desk.submit(CallId(id), request(), now);
                 self.decided(host, id, &decision);
             }
         }
@@ -277,7 +277,7 @@
             MailKind::Ask => {
                 let Some(queue) = self.holders.get_mut(&holder) else { return };
                 self.asked.insert((holder, id), host);
-                let decision = queue.ask(CallId(id), request(), now);
+                let decision = queue.submit(CallId(id), request(), now);
                 self.tell(holder, id, &decision);
             }
             MailKind::Decided { server } if self.now - mail.sent <= STALE_MS => {
@@ -287,8 +287,8 @@
             MailKind::Ended { took } => {
                 self.asked.remove(&(holder, id));
                 let Some(queue) = self.holders.get_mut(&holder) else { return };
-                let end = if took > 0 { CallEnd::Answered } else { CallEnd::Abandoned };
-                queue.end(CallId(id), end, Duration::from_millis(took), now);
+                let end = if took > 0 { CallOutcome::Answered } else { CallOutcome::Abandoned };
+                queue.complete(CallId(id), end, Duration::from_millis(took), now);
             }
         }
     }
@@ -303,7 +303,12 @@
                 Decider::Holder(holder) => self.mail(host, holder, id, MailKind::Ended { took }),
                 Decider::Host(_host) => {
                     let took = Duration::from_millis(took);
-                    self.hosts[host].desk.end(CallId(id), CallEnd::Answered, took, moment(now));
+                    self.hosts[host].desk.complete(
+                        CallId(id),
+                        CallOutcome::Answered,
+                        took,
+                        moment(now),
+                    );
                 }
             }
         }
@@ -342,7 +347,7 @@
         }
         let mut decided = Vec::new();
         for (holder, queue) in &mut self.holders {
-            let limits = queue.read(moment(now)).servers.into_iter().map(|server| server.limit);
+            let limits = queue.snapshot(moment(now)).servers.into_iter().map(|server| server.limit);
             self.limit = limits.fold(self.limit, u32::max);
             let polled = queue.poll(moment(now)).into_iter();
             decided.extend(polled.map(|(id, decision)| (*holder, id.0, decision)));
--- a/crates/dillspool_calls/tests/loads.rs
+++ b/crates/dillspool_calls/tests/loads.rs
@@ -4,7 +4,9 @@
 
 mod model;
 
-use model::{Approach, CallOutcome, CallRecord, LoadCase, ModelServer, Replay, SlowSpell, replay};
+use model::{
+    Approach, CallRecord, CallerOutcome, LoadCase, ModelServer, Replay, SlowSpell, replay,
+};
 
 const SEEDS: std::ops::Range<u64> = 0..5;
 const TABLE_SEEDS: u64 = 3;
@@ -61,8 +63,8 @@
         let calls = replay.asked_in(2.0, 8.0);
         let on_time = calls.clone().filter(|call| call.is_answered_in(150.0)).count();
         let unknown =
-            calls.clone().filter(|call| call.outcome == Some(CallOutcome::Unknown)).count();
-        let rejected = calls.filter(|call| call.outcome == Some(CallOutcome::Rejected));
+            calls.clone().filter(|call| call.outcome == Some(CallerOutcome::Unknown)).count();
+        let rejected = calls.filter(|call| call.outcome == Some(CallerOutcome::Rejected));
         let slowest = rejected.map(CallRecord::took_ms).fold(0.0, f64::max);
         let figures =
             format!("{on_time} of 1200 on time, {unknown} unknown, rejected in {slowest:.1} ms");
@@ -96,7 +98,7 @@
         let replay = replay(&case, Approach::OneQueue, seed);
         let on_time = part(replay.calls.iter(), |call| call.is_answered_in(150.0));
         let rejected =
-            part(replay.calls.iter(), |call| call.outcome == Some(CallOutcome::Rejected));
+            part(replay.calls.iter(), |call| call.outcome == Some(CallerOutcome::Rejected));
         println!("losing servers, {seed}: {on_time:.3} on time, {rejected:.3} rejected");
         // Two thirds of the calls meet a loss of 0.4, so 0.73 can be answered.
         assert!(on_time >= 0.65 && rejected <= 0.05, "{seed}: {on_time:.3} {rejected:.3}");
@@ -113,7 +115,7 @@
         let replays = [&case, &calm].map(|case| replay(case, approach, seed));
         let medians = replays.each_ref().map(|replay| {
             median(replay.asked_in(6.0, 7.0).map(|call| {
-                let is_answered = call.outcome == Some(CallOutcome::Answered);
+                let is_answered = call.outcome == Some(CallerOutcome::Answered);
                 if is_answered { call.took_ms() } else { f64::INFINITY }
             }))
         });
@@ -166,10 +168,10 @@
     let calls = replay.calls.len() as f64 * TABLE_SEEDS as f64;
     let add = |sum: &mut f64, value: f64| *sum += value / calls;
     for call in &replay.calls {
-        let is_answered = call.outcome == Some(CallOutcome::Answered);
+        let is_answered = call.outcome == Some(CallerOutcome::Answered);
         add(&mut outcome.on_time, f64::from(call.is_answered_in(150.0)));
         add(&mut outcome.answered, f64::from(is_answered));
-        add(&mut outcome.rejected, f64::from(call.outcome == Some(CallOutcome::Rejected)));
+        add(&mut outcome.rejected, f64::from(call.outcome == Some(CallerOutcome::Rejected)));
         add(&mut outcome.sends, f64::from(call.sends()));
         add(&mut outcome.before_send_ms, if is_answered { call.before_send_ms() } else { 0.0 });
     }
--- a/crates/dillspool_calls/tests/model/approach.rs
+++ b/crates/dillspool_calls/tests/model/approach.rs
@@ -109,7 +109,7 @@
             backend: StartedBackend { id: server_name(number), start: None },
             failure_domain: "domain".into(),
             slots: Some(server.slots),
-            most_connections: 410,
+            max_connections: 410,
         };
         let members: Vec<CallServer> = numbered.map(server).collect();
         for queue in &mut self.queues {
--- a/crates/dillspool_calls/tests/model/mod.rs
+++ b/crates/dillspool_calls/tests/model/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use dillspool_calls::{CallDecision, CallEnd, CallId, CallRequest};
+use dillspool_calls::{CallDecision, CallId, CallOutcome, CallRequest};
 use dillspool_moment::Moment;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -49,7 +49,7 @@
 
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CallOutcome {
+pub enum CallerOutcome {
     Answered,
     Rejected,
     Unknown,
@@ -63,7 +63,7 @@
     /// In microseconds.
     pub asked: u64,
     pub ended: u64,
-    pub outcome: Option<CallOutcome>,
+    pub outcome: Option<CallerOutcome>,
     /// The server of the last send.
     pub server: usize,
     tried: Vec<usize>,
@@ -89,7 +89,7 @@
     }
 
     pub fn is_answered_in(&self, limit_ms: f64) -> bool {
-        self.outcome == Some(CallOutcome::Answered) && self.took_ms() <= limit_ms
+        self.outcome == Some(CallerOutcome::Answered) && self.took_ms() <= limit_ms
     }
 }
 
@@ -149,7 +149,7 @@
     Report,
 }
 
-/// How a send ended; `CallEnd` without an order.
+/// How a send ended; `CallOutcome` without an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendEnd {
     Answered,
@@ -158,7 +158,7 @@
     Lost,
 }
 
-impl From<SendEnd> for CallEnd {
+impl From<SendEnd> for CallOutcome {
     fn from(end: SendEnd) -> Self {
         match end {
             SendEnd::Answered => Self::Answered,
@@ -264,7 +264,7 @@
                 let decider = self.deciders.of(record.host);
                 let id = call_id(call, record.sends);
                 let request = self.request(record);
-                let decision = self.deciders.queues[decider].ask(id, request, moment(now));
+                let decision = self.deciders.queues[decider].submit(id, request, moment(now));
                 self.tell(id, decision);
                 self.poll(decider);
             }
@@ -283,7 +283,7 @@
             Event::Told { call, send, end, took } => {
                 let decider = self.deciders.of(self.replay.calls[call].host);
                 let (id, took) = (call_id(call, send - 1), Duration::from_micros(took));
-                self.deciders.queues[decider].end(id, end.into(), took, moment(now));
+                self.deciders.queues[decider].complete(id, end.into(), took, moment(now));
                 self.poll(decider);
             }
             Event::Poll { decider } => self.poll(decider),
@@ -319,7 +319,7 @@
             failure_domain: "domain".into(),
             objective_left: left(self.case.objective_ms),
             time_left: left(self.case.time_ms),
-            is_repeatable: false,
+            is_idempotent: false,
             excluded: record.tried.iter().map(|server| server_name(*server)).collect(),
         }
     }
@@ -327,7 +327,7 @@
     fn poll(&mut self, decider: usize) {
         let queue = &mut self.deciders.queues[decider];
         let polled = queue.poll(moment(self.now));
-        let due = queue.next_due().map(|due| due.since(moment(0)));
+        let due = queue.next_deadline().map(|due| due.since(moment(0)));
         for (id, decision) in polled {
             self.tell(id, decision);
         }
@@ -371,7 +371,7 @@
 
     fn reject(&mut self, call: usize, retry_us: u64) {
         let record = &mut self.replay.calls[call];
-        (record.ended, record.outcome) = (self.now, Some(CallOutcome::Rejected));
+        (record.ended, record.outcome) = (self.now, Some(CallerOutcome::Rejected));
         if self.case.retries && !record.is_retry {
             let host = record.host;
             self.arrive(host, true, self.now + retry_us + 2 * TO_CALLER_US);
@@ -407,10 +407,10 @@
         let (host, server, took) = (record.host, record.server, now - record.sent);
         match end {
             SendEnd::Answered => {
-                (record.ended, record.outcome) = (now, Some(CallOutcome::Answered));
+                (record.ended, record.outcome) = (now, Some(CallerOutcome::Answered));
             }
             // None of these calls may be repeated.
-            SendEnd::Lost => (record.ended, record.outcome) = (now, Some(CallOutcome::Unknown)),
+            SendEnd::Lost => (record.ended, record.outcome) = (now, Some(CallerOutcome::Unknown)),
             SendEnd::NotRun | SendEnd::NotSent if send < MOST_SENDS => {
                 self.at(now, Event::Ask { call });
             }
--- a/crates/dillspool_calls/tests/rules.rs
+++ b/crates/dillspool_calls/tests/rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dillspool_calls::{
-    CallDecision, CallEnd, CallId, CallPolicy, CallQueue, CallRequest, CallServer, RejectCause,
+    CallDecision, CallId, CallOutcome, CallPolicy, CallQueue, CallRequest, CallServer, RejectCause,
 };
 use dillspool_moment::Moment;
 use dillspool_routing::{BackendStart, StartedBackend};
@@ -21,7 +21,7 @@
 
 fn server(name: &str, slots: Option<u32>) -> CallServer {
     let backend = StartedBackend { id: name.into(), start: Some(BackendStart(1)) };
-    CallServer { backend, failure_domain: "here".into(), slots, most_connections: 100 }
+    CallServer { backend, failure_domain: "here".into(), slots, max_connections: 100 }
 }
 
 fn request(priority: u32, objective_ms: u64) -> CallRequest {
@@ -31,7 +31,7 @@
         failure_domain: "here".into(),
         objective_left: ms(objective_ms),
         time_left: ms(1500),
-        is_repeatable: true,
+        is_idempotent: true,
         excluded: Vec::new(),
     }
 }
@@ -46,7 +46,7 @@
 
     fn ask(&mut self, request: CallRequest) -> (CallId, CallDecision) {
         self.ids += 1;
-        (CallId(self.ids), self.queue.ask(CallId(self.ids), request, self.now))
+        (CallId(self.ids), self.queue.submit(CallId(self.ids), request, self.now))
     }
 
     /// Sends calls until none is sent; their ids and servers.
@@ -59,16 +59,16 @@
         sent
     }
 
-    fn end(&mut self, id: CallId, end: CallEnd, took: u64) {
+    fn end(&mut self, id: CallId, end: CallOutcome, took: u64) {
         self.now = self.now + ms(took);
-        self.queue.end(id, end, ms(took), self.now);
+        self.queue.complete(id, end, ms(took), self.now);
     }
 
     /// Calls that a server gets until no server gets more.
     fn places(&mut self, name: &str) -> usize {
         let sent = self.fill();
         for (id, _server) in &sent {
-            self.queue.end(*id, CallEnd::Abandoned, ms(0), self.now);
+            self.queue.complete(*id, CallOutcome::Abandoned, ms(0), self.now);
         }
         sent.iter().filter(|(_id, server)| server == name).count()
     }
@@ -76,7 +76,7 @@
 
 struct FaultCase {
     name: &'static str,
-    ends: &'static [CallEnd],
+    ends: &'static [CallOutcome],
     /// Places at once, after 0.6 s when its limit may not have recovered yet, and then once a call was answered.
     places: [usize; 3],
 }
@@ -85,7 +85,7 @@
 /// call that failed.
 #[test]
 fn failing_servers_rest_and_are_tried_again() {
-    use CallEnd::{Answered, Failed, Lost, NotRun, NotSent};
+    use CallOutcome::{Answered, Failed, Lost, NotRun, NotSent};
     let cases = [
         FaultCase { name: "one lost", ends: &[Lost], places: [9, 9, 9] },
         FaultCase { name: "two lost", ends: &[Lost, Lost], places: [0, 1, 9] },
@@ -104,7 +104,7 @@
             for (id, server) in sent {
                 let is_it = server == "bad" && std::mem::take(&mut is_first);
                 let took = if *end == Answered { 30 } else { 2 };
-                let (end, took) = if is_it { (*end, took) } else { (CallEnd::Abandoned, 0) };
+                let (end, took) = if is_it { (*end, took) } else { (CallOutcome::Abandoned, 0) };
                 bench.end(id, end, took);
             }
         }
@@ -113,9 +113,9 @@
         let later = bench.places("bad");
         let sent = bench.fill();
         let (id, _server) = sent.iter().find(|(_id, server)| server == "bad").expect(name).clone();
-        bench.end(id, CallEnd::Answered, 30);
+        bench.end(id, CallOutcome::Answered, 30);
         for (id, _server) in &sent {
-            bench.end(*id, CallEnd::Abandoned, 0);
+            bench.end(*id, CallOutcome::Abandoned, 0);
         }
         assert_eq!([at_once, later, bench.places("bad")], places, "{name}");
     }
@@ -126,7 +126,7 @@
 fn if_all_rest_all_are_tried() {
     let mut bench = Bench::new(&[server("one", Some(6)), server("two", Some(6))]);
     for (id, _server) in bench.fill() {
-        bench.end(id, CallEnd::NotSent, 0);
+        bench.end(id, CallOutcome::NotSent, 0);
     }
     assert_eq!([bench.places("one"), bench.places("two")], [1, 1]);
 }
@@ -144,7 +144,7 @@
     });
     let mut decided = Vec::new();
     for (id, _server) in &sent[..4] {
-        bench.end(*id, CallEnd::Abandoned, 0);
+        bench.end(*id, CallOutcome::Abandoned, 0);
         decided.extend(bench.queue.poll(bench.now).into_iter().map(|(id, _decision)| id));
     }
     assert_eq!(decided, [ids[3], ids[1], ids[2], ids[0]]);
@@ -168,7 +168,7 @@
                 && let Some((id, sent)) = in_flight.pop_front_if(|it| step >= it.1 + 30)
             {
                 credit -= 5;
-                bench.queue.end(id, CallEnd::Answered, ms(step - sent), bench.now);
+                bench.queue.complete(id, CallOutcome::Answered, ms(step - sent), bench.now);
                 answered += u64::from(!on_time_ids.contains(&id));
             }
             if step * per_s / 1000 > on_time {
@@ -199,7 +199,7 @@
     let mut after = Vec::new();
     for _call in 0..200 {
         if let (_id, CallDecision::Reject { cause, retry_after }) = bench.ask(request(0, 150)) {
-            assert_eq!(cause, RejectCause::NoRoom);
+            assert_eq!(cause, RejectCause::NoCapacity);
             assert!(retry_after <= ms(500), "{retry_after:?}");
             after.push(retry_after);
         }
@@ -223,7 +223,7 @@
     assert_eq!(decision, CallDecision::Wait);
     for (left, ids) in [(vec![server("two", Some(6))], vec![lost]), (Vec::new(), vec![other])] {
         bench.queue.set_servers(left.into_iter(), bench.now);
-        assert_eq!(bench.queue.next_due(), Some(bench.now));
+        assert_eq!(bench.queue.next_deadline(), Some(bench.now));
         let rejected = bench.queue.poll(bench.now).into_iter().map(|(id, decision)| {
             let cause = RejectCause::NoServer;
             assert!(matches!(decision, CallDecision::Reject { cause: it, .. } if it == cause));
@@ -244,10 +244,10 @@
             let took = 30 * u64::try_from(sent.len().div_ceil(slots)).unwrap();
             bench.now = bench.now + ms(took);
             for (id, _server) in &sent {
-                bench.queue.end(*id, CallEnd::Answered, ms(took), bench.now);
+                bench.queue.complete(*id, CallOutcome::Answered, ms(took), bench.now);
             }
         }
-        let limit = bench.queue.read(bench.now).servers[0].limit;
+        let limit = bench.queue.snapshot(bench.now).servers[0].limit;
         assert!(limits.contains(&limit), "{slots} slots: {limit}");
     }
 }
--- a/crates/dillspool_forward/src/decided.rs
+++ b/crates/dillspool_forward/src/decided.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_calls::{CallDecision, CallEnd, CallRequest, RejectCause};
+use dillspool_calls::{CallDecision, CallOutcome, CallRequest, RejectCause};
 use dillspool_routing::{BackendEntry, BackendId, BackendStart, RoutedRequest, StartedBackend};
 use dillspool_scheduler::CallTicket;
 use dillspool_schema::Name;
@@ -63,7 +63,10 @@
 ) -> SendChoice {
     let asking = ask_until_followed(context, request, tried, ticket);
     let choice = request.clock.timeout_at(request.deadline, asking).await;
-    choice.unwrap_or(SendChoice::Reject { cause: RejectCause::NoRoom, retry_after: Duration::ZERO })
+    choice.unwrap_or(SendChoice::Reject {
+        cause: RejectCause::NoCapacity,
+        retry_after: Duration::ZERO,
+    })
 }
 
 async fn ask_until_followed(
@@ -105,7 +108,7 @@
             Ok((entry, permit)) => return SendChoice::Send(entry, permit),
             Err(why) => {
                 log_call_overruled(request, &backend.id, why.name());
-                ticket.end(CallEnd::Abandoned, Duration::ZERO);
+                ticket.end(CallOutcome::Abandoned, Duration::ZERO);
                 match why {
                     Overruled::Gone => gone.push(backend.id),
                     Overruled::Closed => closed += 1,
@@ -170,7 +173,7 @@
         failure_domain: Name::clone(&context.failure_domain),
         objective_left: request.route.objective.saturating_sub(spent),
         time_left: request.remaining(),
-        is_repeatable: request.route.is_repeatable(),
+        is_idempotent: request.route.is_repeatable(),
         excluded,
     }
 }
--- a/crates/dillspool_forward/src/long_answer.rs
+++ b/crates/dillspool_forward/src/long_answer.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use dillspool_calls::CallEnd;
+use dillspool_calls::CallOutcome;
 use dillspool_io::{
     BoxError, ByteGuard, ExchangeBytes, ResponseBody, StalledSide, channel_body, read_response_body,
 };
@@ -267,7 +267,7 @@
             let took = self.request.clock.since(self.answer.sent_at).saturating_sub(self.waited);
             self.context.book.note_success(&self.answer.entry.started(), took);
             if let Some(mut call) = self.answer.call.take() {
-                call.end(CallEnd::Answered, took);
+                call.end(CallOutcome::Answered, took);
             }
         }
         if status.is_success() {
@@ -284,7 +284,7 @@
         let _look = trace_break(&self.context, &self.request, entry);
         self.context.book.note_silence(&entry.started(), cause);
         if let Some(mut call) = self.answer.call.take() {
-            call.end(CallEnd::Lost, self.request.clock.since(self.answer.sent_at));
+            call.end(CallOutcome::Lost, self.request.clock.since(self.answer.sent_at));
         }
         self.trace.broken_off(cause);
     }
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dillspool_calls::{CallEnd, RejectCause};
+use dillspool_calls::{CallOutcome, RejectCause};
 use dillspool_io::{MomentPassed, ResponseBody, full_body};
 use dillspool_routing::{BackendEntry, RoutedRequest};
 use dillspool_scheduler::CallTicket;
@@ -45,14 +45,14 @@
 
 impl SendOutcome {
     /// What the host that decides on the calls of the service is told of it.
-    fn call_end(&self) -> CallEnd {
+    fn call_end(&self) -> CallOutcome {
         match self {
-            Self::Whole(answer) if !answer.status.is_server_error() => CallEnd::Answered,
-            Self::Long(answer) if !answer.status.is_server_error() => CallEnd::Answered,
-            Self::Whole(_) | Self::Long(_) => CallEnd::Failed,
-            Self::NotSent(_) => CallEnd::NotSent,
-            Self::NotRun => CallEnd::NotRun,
-            Self::Unclear(_) => CallEnd::Lost,
+            Self::Whole(answer) if !answer.status.is_server_error() => CallOutcome::Answered,
+            Self::Long(answer) if !answer.status.is_server_error() => CallOutcome::Answered,
+            Self::Whole(_) | Self::Long(_) => CallOutcome::Failed,
+            Self::NotSent(_) => CallOutcome::NotSent,
+            Self::NotRun => CallOutcome::NotRun,
+            Self::Unclear(_) => CallOutcome::Lost,
         }
     }
 }
@@ -322,7 +322,7 @@
     {
         return Err(refusal);
     }
-    if let Some((RejectCause::NoRoom, retry_after)) = record.rejected
+    if let Some((RejectCause::NoCapacity, retry_after)) = record.rejected
         && !request.remaining().is_zero()
     {
         return Err(Refusal::come_back(RefusalCause::NoRoom, retry_after));
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -234,7 +234,7 @@
 ) {
     let cause = match cause {
         RejectCause::NoServer => "no_server",
-        RejectCause::NoRoom => "no_room",
+        RejectCause::NoCapacity => "no_room",
     };
     log::info!(
         "event=call_rejected id={} service={} cause={cause} objective_left_ms={} time_left_ms={} excluded={} after_ms={} retry_after_ms={}",
--- a/crates/dillspool_forward/tests/decided.rs
+++ b/crates/dillspool_forward/tests/decided.rs
@@ -178,7 +178,7 @@
             let _answer = answer_request(host.context.clone(), routed).await;
         }
         let (_service, reading) = host.desk.read().pop().expect("a queue");
-        assert_eq!(reading.servers[0].is_blocked, expected, "{step:?} {calls} times");
+        assert_eq!(reading.servers[0].is_circuit_open, expected, "{step:?} {calls} times");
     }
 }
 
--- a/crates/dillspool_router/src/call_metrics.rs
+++ b/crates/dillspool_router/src/call_metrics.rs
@@ -89,7 +89,7 @@
             for (cause, count) in reading.rejected {
                 let cause = match cause {
                     RejectCause::NoServer => "no_server",
-                    RejectCause::NoRoom => "no_room",
+                    RejectCause::NoCapacity => "no_room",
                 };
                 let labels = RejectLabels { service: Name::clone(&service), cause };
                 let counter = self.rejected.get_or_create(&labels);
--- a/crates/dillspool_scheduler/src/call_client.rs
+++ b/crates/dillspool_scheduler/src/call_client.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use dillspool_calls::{CallDecision, CallEnd, CallRequest};
+use dillspool_calls::{CallDecision, CallOutcome, CallRequest};
 use dillspool_io::NetStack;
 use dillspool_moment::Moment;
 use dillspool_schema::Name;
@@ -234,7 +234,7 @@
 
     /// The number of a new question; the one before is over.
     fn begin(&mut self) -> u64 {
-        self.end(CallEnd::Abandoned, Duration::ZERO);
+        self.end(CallOutcome::Abandoned, Duration::ZERO);
         let ticket = self.client.state.next_ticket.fetch_add(1, Ordering::Relaxed) + 1;
         self.current = Some(ticket);
         ticket
@@ -251,7 +251,7 @@
     }
 
     /// Tells how the call ended, `took` after it was sent.
-    pub fn end(&mut self, end: CallEnd, took: Duration) {
+    pub fn end(&mut self, end: CallOutcome, took: Duration) {
         let (Some(ticket), Some(link)) = (self.current.take(), &self.link) else { return };
         link.end_call(ticket, end, took);
         self.client.state.desk.end(CallDesk::id_on_link(0, ticket), end, took);
@@ -260,6 +260,6 @@
 
 impl Drop for CallTicket {
     fn drop(&mut self) {
-        self.end(CallEnd::Abandoned, Duration::ZERO);
+        self.end(CallOutcome::Abandoned, Duration::ZERO);
     }
 }
--- a/crates/dillspool_scheduler/src/call_desk.rs
+++ b/crates/dillspool_scheduler/src/call_desk.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use dillspool_calls::{CallDecision, CallEnd, CallId, CallPolicy, CallReading, CallRequest};
+use dillspool_calls::{CallDecision, CallId, CallOutcome, CallPolicy, CallRequest, QueueSnapshot};
 use dillspool_io::HostClock;
 use dillspool_routing::{DirectoryView, RoutingConfig, StartedBackend};
 use dillspool_schema::Name;
@@ -275,20 +275,22 @@
     }
 
     /// Notes how a call ended; one that waits is taken off.
-    pub(crate) fn end(&self, id: CallId, end: CallEnd, took: Duration) {
+    pub(crate) fn end(&self, id: CallId, end: CallOutcome, took: Duration) {
         let Some(service) = self.with(|state| Some(Name::clone(&state.calls.get(&id)?.service)))
         else {
             return;
         };
-        self.change(&service, |state| state.remove(id, |queue, now| queue.end(id, end, took, now)));
+        self.change(&service, |state| {
+            state.remove(id, |queue, now| queue.complete(id, end, took, now))
+        });
     }
 
     /// What is believed now of each service whose calls were decided here.
-    pub fn read(&self) -> Vec<(Name, CallReading)> {
+    pub fn read(&self) -> Vec<(Name, QueueSnapshot)> {
         self.with(|state| {
             let now = state.clock.now();
             let read =
-                |(name, desk): (&Name, &ServiceDesk)| (Name::clone(name), desk.queue.read(now));
+                |(name, desk): (&Name, &ServiceDesk)| (Name::clone(name), desk.queue.snapshot(now));
             state.services.iter().map(read).collect()
         })
     }
--- a/crates/dillspool_scheduler/src/call_desk/state.rs
+++ b/crates/dillspool_scheduler/src/call_desk/state.rs
@@ -102,12 +102,12 @@
     }
 
     pub(super) fn next_due(&self) -> Option<Moment> {
-        self.services.values().filter_map(|service| service.queue.next_due()).min()
+        self.services.values().filter_map(|service| service.queue.next_deadline()).min()
     }
 
     /// Whether the task that serves those who wait sleeps beyond what is due next.
     pub(super) fn oversleeps(&self, name: &Name) -> bool {
-        let due = self.services.get(name).and_then(|service| service.queue.next_due());
+        let due = self.services.get(name).and_then(|service| service.queue.next_deadline());
         due.is_some_and(|due| self.sleeps_until.is_none_or(|until| due < until))
     }
 
@@ -119,7 +119,7 @@
         waiter: DecisionFn,
     ) -> Option<(CallDecision, Decided)> {
         let now = self.clock.now();
-        let mut decision = self.service(name)?.queue.ask(id, request, now);
+        let mut decision = self.service(name)?.queue.submit(id, request, now);
         let mut decided = Vec::new();
         if decision == CallDecision::Wait {
             // A call that comes before others may leave these no time.
@@ -234,11 +234,11 @@
     views
 }
 
-fn call_server(entry: &BackendEntry, most_connections: u32) -> CallServer {
+fn call_server(entry: &BackendEntry, max_connections: u32) -> CallServer {
     CallServer {
         backend: entry.started(),
         failure_domain: Name::clone(&entry.failure_domain),
         slots: entry.slots,
-        most_connections,
+        max_connections,
     }
 }
--- a/crates/dillspool_scheduler/src/call_wire.rs
+++ b/crates/dillspool_scheduler/src/call_wire.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use dillspool_calls::{CallDecision, CallEnd, CallRequest, RejectCause};
+use dillspool_calls::{CallDecision, CallOutcome, CallRequest, RejectCause};
 use dillspool_routing::{BackendStart, StartedBackend};
 use dillspool_schema::Name;
 use dillspool_schema::schedule::{
@@ -30,7 +30,7 @@
         failure_domain: Name::clone(&request.failure_domain),
         objective_left_ms: millis(request.objective_left),
         time_left_ms: millis(request.time_left),
-        repeatable: request.is_repeatable,
+        repeatable: request.is_idempotent,
         excluded: request.excluded.clone(),
     }
 }
@@ -42,7 +42,7 @@
         failure_domain: request.failure_domain,
         objective_left: Duration::from_millis(request.objective_left_ms),
         time_left: Duration::from_millis(request.time_left_ms),
-        is_repeatable: request.repeatable,
+        is_idempotent: request.repeatable,
         excluded: request.excluded,
     }
 }
@@ -70,7 +70,7 @@
         CallDecision::Reject { cause, retry_after } => {
             message.rejected = Some(match cause {
                 RejectCause::NoServer => ScheduleCallReject::NoServer,
-                RejectCause::NoRoom => ScheduleCallReject::NoRoom,
+                RejectCause::NoCapacity => ScheduleCallReject::NoRoom,
             });
             message.retry_after_ms = Some(millis(retry_after));
         }
@@ -86,7 +86,7 @@
     if let Some(rejected) = message.rejected {
         let cause = match rejected {
             ScheduleCallReject::NoServer => RejectCause::NoServer,
-            ScheduleCallReject::NoRoom => RejectCause::NoRoom,
+            ScheduleCallReject::NoRoom => RejectCause::NoCapacity,
         };
         let retry_after = Duration::from_millis(message.retry_after_ms.unwrap_or_default());
         return Some(CallDecision::Reject { cause, retry_after });
@@ -115,26 +115,26 @@
     (request_from_wire(held.request), backend, Duration::from_millis(held.ran_ms))
 }
 
-pub(crate) fn end_to_wire(ticket: u64, end: CallEnd, took: Duration) -> ScheduleMessage {
+pub(crate) fn end_to_wire(ticket: u64, end: CallOutcome, took: Duration) -> ScheduleMessage {
     let end = match end {
-        CallEnd::Answered => ScheduleCallOutcome::Answered,
-        CallEnd::Failed => ScheduleCallOutcome::Failed,
-        CallEnd::NotRun => ScheduleCallOutcome::NotRun,
-        CallEnd::NotSent => ScheduleCallOutcome::NotSent,
-        CallEnd::Lost => ScheduleCallOutcome::Lost,
-        CallEnd::Abandoned => ScheduleCallOutcome::Abandoned,
+        CallOutcome::Answered => ScheduleCallOutcome::Answered,
+        CallOutcome::Failed => ScheduleCallOutcome::Failed,
+        CallOutcome::NotRun => ScheduleCallOutcome::NotRun,
+        CallOutcome::NotSent => ScheduleCallOutcome::NotSent,
+        CallOutcome::Lost => ScheduleCallOutcome::Lost,
+        CallOutcome::Abandoned => ScheduleCallOutcome::Abandoned,
     };
     ScheduleMessage::CallEnded(ScheduleCallEnd { ticket, end, took_ms: millis(took) })
 }
 
-pub(crate) fn end_from_wire(message: &ScheduleCallEnd) -> (CallEnd, Duration) {
+pub(crate) fn end_from_wire(message: &ScheduleCallEnd) -> (CallOutcome, Duration) {
     let end = match message.end {
-        ScheduleCallOutcome::Answered => CallEnd::Answered,
-        ScheduleCallOutcome::Failed => CallEnd::Failed,
-        ScheduleCallOutcome::NotRun => CallEnd::NotRun,
-        ScheduleCallOutcome::NotSent => CallEnd::NotSent,
-        ScheduleCallOutcome::Lost => CallEnd::Lost,
-        ScheduleCallOutcome::Abandoned => CallEnd::Abandoned,
+        ScheduleCallOutcome::Answered => CallOutcome::Answered,
+        ScheduleCallOutcome::Failed => CallOutcome::Failed,
+        ScheduleCallOutcome::NotRun => CallOutcome::NotRun,
+        ScheduleCallOutcome::NotSent => CallOutcome::NotSent,
+        ScheduleCallOutcome::Lost => CallOutcome::Lost,
+        ScheduleCallOutcome::Abandoned => CallOutcome::Abandoned,
     };
     (end, Duration::from_millis(message.took_ms))
 }
--- a/crates/dillspool_scheduler/src/link/calls.rs
+++ b/crates/dillspool_scheduler/src/link/calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dillspool_calls::{CallDecision, CallEnd, CallRequest};
+use dillspool_calls::{CallDecision, CallOutcome, CallRequest};
 use dillspool_io::HostClock;
 use dillspool_moment::Moment;
 use dillspool_routing::StartedBackend;
@@ -124,7 +124,7 @@
 
     /// Tells the deciding host that a call is over. A place that it is not told of would stay taken, so a link
     /// that carries no more is left: its end frees all places of this host.
-    pub(crate) fn end_call(&self, ticket: u64, end: CallEnd, took: Duration) {
+    pub(crate) fn end_call(&self, ticket: u64, end: CallOutcome, took: Duration) {
         self.with(|state| {
             state.held_calls.remove(&ticket);
             let message = call_wire::end_to_wire(ticket, end, took);
--- a/crates/dillspool_scheduler/tests/call_fleet/mod.rs
+++ b/crates/dillspool_scheduler/tests/call_fleet/mod.rs
@@ -72,7 +72,7 @@
         failure_domain: "domain".into(),
         objective_left: Duration::from_secs(5),
         time_left: Duration::from_secs(5),
-        is_repeatable: false,
+        is_idempotent: false,
         excluded: Vec::new(),
     }
 }
--- a/crates/dillspool_scheduler/tests/call_links.rs
+++ b/crates/dillspool_scheduler/tests/call_links.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_calls::{CallDecision, CallEnd, CallRequest, RejectCause};
+use dillspool_calls::{CallDecision, CallOutcome, CallRequest, RejectCause};
 use dillspool_cases::run_paused;
 use dillspool_io::{LinkMode, MemoryNet};
 use dillspool_routing::{BackendEntry, BackendStart, BackendState};
@@ -280,12 +280,12 @@
 #[test]
 fn places_are_free_after_each_kind_of_end() {
     let ends = [
-        CallEnd::Answered,
-        CallEnd::Failed,
-        CallEnd::NotRun,
-        CallEnd::NotSent,
-        CallEnd::Lost,
-        CallEnd::Abandoned,
+        CallOutcome::Answered,
+        CallOutcome::Failed,
+        CallOutcome::NotRun,
+        CallOutcome::NotSent,
+        CallOutcome::Lost,
+        CallOutcome::Abandoned,
     ];
     run_paused(async {
         let fleet = TestFleet::start().await;
