--- a/crates/dillspool_roles/src/lease.rs
+++ b/crates/dillspool_roles/src/lease.rs
@@ -113,7 +113,7 @@
 
     /// Lets a host of a fleet that starts for the first time begin at once.
     #[must_use]
-    pub fn at_first_start(self, is_first_start: bool) -> Self {
+    pub fn with_first_start(self, is_first_start: bool) -> Self {
         Self { is_first_start, ..self }
     }
 
@@ -152,7 +152,7 @@
     ///
     /// [`PlatformError`] when the store does not answer; a write that may have been done gives
     /// no term, and the next try finds its row.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         engines: &[Name],
         targets: &BTreeMap<Name, usize>,
--- a/crates/dillspool_roles/src/lib.rs
+++ b/crates/dillspool_roles/src/lib.rs
@@ -6,12 +6,14 @@
 //! Orders come from the holder of a lease: a row of the store that is written under a condition
 //! before each round of orders. See `docs/design/platform_site.md`.
 
-mod keeper;
 mod lease;
 mod plan;
+mod reconciler;
 mod targets;
 
-pub use keeper::{DelayFn, KeeperSettings, RestFn, keep_stages};
 pub use lease::{LeaseRow, OrderLease, OrderTerm};
-pub use plan::{StageChange, engines_at_first, engines_for_share, stage_changes};
+pub use plan::{
+    StageChange, initial_prefill_engines, plan_stage_changes, prefill_engines_for_share,
+};
+pub use reconciler::{BackoffFn, DelayFn, ReconcilerSettings, reconcile_stages};
 pub use targets::{PoolTargets, ShareRule};
--- a/crates/dillspool_roles/src/plan.rs
+++ b/crates/dillspool_roles/src/plan.rs
@@ -30,7 +30,7 @@
     clippy::cast_sign_loss,
     reason = "engines are counted in thousands and the share lies between 0 and 1"
 )]
-pub fn engines_for_share(engines: usize, share: f64) -> usize {
+pub fn prefill_engines_for_share(engines: usize, share: f64) -> usize {
     let part = (engines as f64 * share.clamp(0.0, 1.0)).ceil() as usize;
     part.clamp(1, engines.max(1))
 }
@@ -43,7 +43,7 @@
     clippy::cast_sign_loss,
     reason = "engines are counted in thousands and the share lies between 0 and 1"
 )]
-pub fn engines_at_first(engines: usize, share: f64) -> usize {
+pub fn initial_prefill_engines(engines: usize, share: f64) -> usize {
     let part = (engines as f64 * share.clamp(0.0, 1.0) + LEAST_SPARE).ceil() as usize;
     part.clamp(1, engines.max(1))
 }
@@ -62,7 +62,7 @@
 /// An engine that decodes is turned only if enough others go on decoding; until it has changed,
 /// prompts beyond the prefill engines' pace are read at decode engines. The result is the same on
 /// every host with the same view.
-pub fn stage_changes(view: &DirectoryView, service: &str, keep: usize) -> Vec<StageChange> {
+pub fn plan_stage_changes(view: &DirectoryView, service: &str, keep: usize) -> Vec<StageChange> {
     let (prefill, decode) = pool_engines(view, service);
     if prefill.len() >= keep {
         let spare = prefill.len() - keep;
@@ -72,7 +72,7 @@
         return Vec::new();
     }
     let short = keep - prefill.len();
-    let at_once = engines_for_share(decode.len(), TURNED_AT_ONCE);
+    let at_once = prefill_engines_for_share(decode.len(), TURNED_AT_ONCE);
     turn(decode, short.min(at_once), EngineStage::Prefill)
 }
 
--- a/crates/dillspool_roles/src/keeper.rs
+++ b/crates/dillspool_roles/src/reconciler.rs
@@ -15,34 +15,34 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::lease::{LeaseRow, OrderLease, OrderTerm};
-use crate::plan::{StageChange, pool_engines, stage_changes};
+use crate::plan::{StageChange, plan_stage_changes, pool_engines};
 use crate::targets::PoolTargets;
 
 /// How stages are kept.
-pub struct KeeperSettings {
+pub struct ReconcilerSettings {
     /// This host.
     pub host: Name,
     /// How pools are divided.
     pub targets: PoolTargets,
     /// Time that must lie between the orders of two holders.
-    pub apart: Duration,
+    pub handover_gap: Duration,
     /// Whether the fleet starts for the first time.
     pub is_first_start: bool,
     /// The clock by which terms end.
     pub clock: HostClock,
-    /// Time before this host acts on a change that is due; see [`keep_stages`].
+    /// Time before this host acts on a change that is due; see [`reconcile_stages`].
     pub delay: DelayFn,
     /// Whether a start of an engine wants nothing from this host for now.
-    pub rests: RestFn,
+    pub is_backing_off: BackoffFn,
 }
 
 /// Time that a host waits before it acts, as things are now.
 pub type DelayFn = Arc<dyn Fn() -> Duration + Send + Sync>;
 
 /// Whether a start of a backend server wants nothing from this host for now.
-pub type RestFn = Arc<dyn Fn(&StartedBackend) -> bool + Send + Sync>;
+pub type BackoffFn = Arc<dyn Fn(&StartedBackend) -> bool + Send + Sync>;
 
-impl fmt::Debug for KeeperSettings {
+impl fmt::Debug for ReconcilerSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("KeeperSettings").field("host", &self.host).finish_non_exhaustive()
     }
@@ -62,17 +62,21 @@
 ///
 /// Every host runs this. Each waits its own `delay` before it acts, least the one that schedules the
 /// pools, so mostly one tries for the lease; the lease alone decides.
-pub async fn keep_stages(
-    settings: KeeperSettings,
+pub async fn reconcile_stages(
+    settings: ReconcilerSettings,
     store: TableStore,
     calls: BackendCalls,
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     directory: watch::Receiver<Arc<DirectoryView>>,
     cancel: CancellationToken,
 ) {
-    let lease =
-        OrderLease::new(store, Name::clone(&settings.host), settings.apart, settings.clock.clone())
-            .at_first_start(settings.is_first_start);
+    let lease = OrderLease::new(
+        store,
+        Name::clone(&settings.host),
+        settings.handover_gap,
+        settings.clock.clone(),
+    )
+    .with_first_start(settings.is_first_start);
     let mut keeper = StageKeeper {
         settings,
         lease,
@@ -90,7 +94,7 @@
 }
 
 struct StageKeeper {
-    settings: KeeperSettings,
+    settings: ReconcilerSettings,
     lease: OrderLease,
     calls: BackendCalls,
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
@@ -142,14 +146,14 @@
             let Some(pool) = &service.engine else { continue };
             let keep = self.settings.targets.update(&service.name, pool, &view, now);
             if self.may_order(&service.name, &view, keep, now) {
-                due.extend(stage_changes(&view, &service.name, keep));
+                due.extend(plan_stage_changes(&view, &service.name, keep));
             }
         }
         due.retain(|change| {
             let engine = change.entry.started();
             let was_ordered =
                 self.ordered.get(&engine).is_some_and(|at| at.elapsed() <= ORDER_AGAIN);
-            !was_ordered && !(self.settings.rests)(&engine)
+            !was_ordered && !(self.settings.is_backing_off)(&engine)
         });
         due
     }
@@ -173,7 +177,7 @@
         let engines = wanted.iter().map(|change| change.entry.started().label());
         let engines: Vec<Name> = engines.collect();
         let (targets, token) = (self.settings.targets.decided(), write_token(&self.settings.host));
-        let term = match self.lease.take(&engines, &targets, token).await {
+        let term = match self.lease.acquire(&engines, &targets, token).await {
             Ok(Some(term)) => term,
             Ok(None) => return,
             Err(error) => {
@@ -181,7 +185,7 @@
                 return;
             }
         };
-        self.settings.targets.note_written(&targets);
+        self.settings.targets.record_written(&targets);
         self.seen_fence = term.fence;
         for change in wanted {
             self.send(change, &term).await;
--- a/crates/dillspool_roles/src/targets.rs
+++ b/crates/dillspool_roles/src/targets.rs
@@ -9,7 +9,7 @@
 use dillspool_schema::Name;
 use tokio::time::Instant;
 
-use crate::plan::{engines_at_first, engines_for_share, pool_engines};
+use crate::plan::{initial_prefill_engines, pool_engines, prefill_engines_for_share};
 
 /// Answers that a host must have seen end, and prompts come, before its readings count: the
 /// fewest from which lengths that vary by half of their mean give a mean within a fifth.
@@ -30,7 +30,7 @@
     /// What is observed.
     Observed {
         /// Part of a pool that prefills before anything is known, beside a margin.
-        at_first: f64,
+        initial_share: f64,
     },
 }
 
@@ -102,8 +102,8 @@
         let (prefill, decode) = pool_engines(view, service);
         let (prefill, decode) = (prefill.len(), decode.len());
         let share = match self.rule {
-            ShareRule::Fixed(share) => return engines_for_share(prefill + decode, share),
-            ShareRule::Observed { at_first } => at_first,
+            ShareRule::Fixed(share) => return prefill_engines_for_share(prefill + decode, share),
+            ShareRule::Observed { initial_share } => initial_share,
         };
         let found = self.found.entry(Name::clone(service)).or_default();
         *found = prefill.max(*found);
@@ -132,7 +132,7 @@
         let ObservedPool { service, engines, memory, reading, view } = *pool;
         let most = self.most_seen.entry(Name::clone(service)).or_default();
         *most = engines.max(*most);
-        let at_first = engines_at_first(*most, share);
+        let at_first = initial_prefill_engines(*most, share);
         let Some(reading) = reading else {
             let decided = self.learnt.get(service).filter(|learnt| learnt.is_decided);
             return decided.map_or(at_first, |learnt| learnt.target.engines);
@@ -179,7 +179,7 @@
     }
 
     /// Notes that this host wrote its targets into the lease's row.
-    pub fn note_written(&mut self, targets: &BTreeMap<Name, usize>) {
+    pub fn record_written(&mut self, targets: &BTreeMap<Name, usize>) {
         for (service, engines) in targets {
             if let Some(learnt) = self.learnt.get_mut(service) {
                 learnt.agreed = Some(*engines);
--- a/crates/dillspool_roles/tests/keeper.rs
+++ b/crates/dillspool_roles/tests/keeper.rs
@@ -8,7 +8,7 @@
 use dillspool_forward::{BackendCalls, BackendSign, CallError, OrderOutcome};
 use dillspool_io::HostClock;
 use dillspool_platform::MemoryTable;
-use dillspool_roles::{KeeperSettings, PoolTargets, RestFn, ShareRule, keep_stages};
+use dillspool_roles::{BackoffFn, PoolTargets, ReconcilerSettings, ShareRule, reconcile_stages};
 use dillspool_routing::{
     BackendEntry, BackendStart, BackendState, ClientLimits, DirectoryView, EnginePool, EngineStage,
     RouteTable, RoutingConfig, ServiceEntry, StartedBackend,
@@ -113,7 +113,7 @@
         orders,
         config,
         listed,
-        &(Arc::new(|_engine: &StartedBackend| false) as RestFn),
+        &(Arc::new(|_engine: &StartedBackend| false) as BackoffFn),
         cancel,
     );
 }
@@ -124,20 +124,20 @@
     orders: &Arc<Mutex<Vec<String>>>,
     config: &watch::Receiver<Option<Arc<RoutingConfig>>>,
     listed: &watch::Receiver<Arc<DirectoryView>>,
-    rests: &RestFn,
+    rests: &BackoffFn,
     cancel: &CancellationToken,
 ) {
     for host in 0..HOSTS {
-        let settings = KeeperSettings {
+        let settings = ReconcilerSettings {
             host: format!("host-{host}").into(),
             targets: PoolTargets::new(ShareRule::Fixed(0.33), DemandMeter::default()),
-            apart: Duration::from_secs(3),
+            handover_gap: Duration::from_secs(3),
             is_first_start: true,
             clock: HostClock::steady(),
             delay: Arc::new(move || Duration::from_secs(host)),
-            rests: Arc::clone(rests),
+            is_backing_off: Arc::clone(rests),
         };
-        tokio::spawn(keep_stages(
+        tokio::spawn(reconcile_stages(
             settings,
             table.store(),
             calls(orders),
@@ -247,7 +247,7 @@
     let (_directory, listed) = watch::channel(view(4, 5));
     let cancel = CancellationToken::new();
     let rested = tokio::time::Instant::now() + Duration::from_secs(20);
-    let rests: RestFn =
+    let rests: BackoffFn =
         Arc::new(move |engine| &*engine.id == "p0" && tokio::time::Instant::now() < rested);
     start_keepers_with(&table, &orders, &config, &listed, &rests, &cancel);
     tokio::time::sleep_until(rested).await;
--- a/crates/dillspool_roles/tests/lease.rs
+++ b/crates/dillspool_roles/tests/lease.rs
@@ -13,7 +13,7 @@
 const APART: Duration = Duration::from_secs(3);
 
 fn lease(table: &MemoryTable, host: &str) -> OrderLease {
-    OrderLease::new(table.store(), host.into(), APART, HostClock::steady()).at_first_start(true)
+    OrderLease::new(table.store(), host.into(), APART, HostClock::steady()).with_first_start(true)
 }
 
 #[tokio::test(start_paused = true)]
@@ -21,9 +21,9 @@
     let table = MemoryTable::new();
     let a = lease(&table, "a");
     let first =
-        a.take(&["e1".into()], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
+        a.acquire(&["e1".into()], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
     let second =
-        a.take(&["e2".into()], &BTreeMap::new(), 2).await.expect("an answer").expect("a term");
+        a.acquire(&["e2".into()], &BTreeMap::new(), 2).await.expect("an answer").expect("a term");
     assert_eq!((first.fence, second.fence), (1, 2));
     let (row, _version) = a.read().await.expect("an answer").expect("a row");
     assert_eq!(row.ordered, ["e1".into(), "e2".into()]);
@@ -33,10 +33,10 @@
 #[tokio::test(start_paused = true)]
 async fn another_host_takes_over_only_after_a_rest() {
     let table = MemoryTable::new();
-    lease(&table, "a").take(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
+    lease(&table, "a").acquire(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
     let started = Instant::now();
     let term = lease(&table, "b")
-        .take(&[], &BTreeMap::new(), 2)
+        .acquire(&[], &BTreeMap::new(), 2)
         .await
         .expect("an answer")
         .expect("a term");
@@ -48,21 +48,21 @@
 async fn a_holder_that_goes_on_keeps_others_away() {
     let table = MemoryTable::new();
     let a = lease(&table, "a");
-    a.take(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
+    a.acquire(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
     let b = lease(&table, "b");
-    let waiting = tokio::spawn(async move { b.take(&[], &BTreeMap::new(), 2).await });
+    let waiting = tokio::spawn(async move { b.acquire(&[], &BTreeMap::new(), 2).await });
     tokio::time::sleep(APART).await;
-    a.take(&[], &BTreeMap::new(), 3).await.expect("an answer").expect("a term");
+    a.acquire(&[], &BTreeMap::new(), 3).await.expect("an answer").expect("a term");
     assert!(waiting.await.expect("no panic").expect("an answer").is_none());
 }
 
 #[tokio::test(start_paused = true)]
 async fn of_two_hosts_that_take_over_one_gets_it() {
     let table = MemoryTable::new();
-    lease(&table, "a").take(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
+    lease(&table, "a").acquire(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
     let (b, c) = (lease(&table, "b"), lease(&table, "c"));
     let targets = BTreeMap::new();
-    let (b, c) = tokio::join!(b.take(&[], &targets, 2), c.take(&[], &targets, 3));
+    let (b, c) = tokio::join!(b.acquire(&[], &targets, 2), c.acquire(&[], &targets, 3));
     let taken = [b, c].into_iter().filter(|it| matches!(it, Ok(Some(_)))).count();
     assert_eq!(taken, 1);
 }
@@ -71,7 +71,7 @@
 async fn a_term_ends_before_another_host_may_begin() {
     let table = MemoryTable::new();
     let term = lease(&table, "a")
-        .take(&[], &BTreeMap::new(), 1)
+        .acquire(&[], &BTreeMap::new(), 1)
         .await
         .expect("an answer")
         .expect("a term");
@@ -85,9 +85,9 @@
     let table = MemoryTable::new();
     table.fail_commits([StoreFault::LoseAnswer]);
     let a = lease(&table, "a");
-    let lost = a.take(&[], &BTreeMap::new(), 1).await;
+    let lost = a.acquire(&[], &BTreeMap::new(), 1).await;
     assert!(matches!(lost, Err(PlatformError::Unknown { .. })));
-    let term = a.take(&[], &BTreeMap::new(), 2).await.expect("an answer").expect("a term");
+    let term = a.acquire(&[], &BTreeMap::new(), 2).await.expect("an answer").expect("a term");
     assert_eq!(term.fence, 2);
 }
 
@@ -96,8 +96,8 @@
     let table = MemoryTable::new();
     table.fail_commits([StoreFault::Late(Duration::from_secs(2))]);
     let a = lease(&table, "a");
-    assert!(a.take(&[], &BTreeMap::new(), 1).await.is_err());
-    let term = a.take(&[], &BTreeMap::new(), 2).await.expect("an answer").expect("a term");
+    assert!(a.acquire(&[], &BTreeMap::new(), 1).await.is_err());
+    let term = a.acquire(&[], &BTreeMap::new(), 2).await.expect("an answer").expect("a term");
     tokio::time::sleep(Duration::from_secs(5)).await;
     let (row, _version) = a.read().await.expect("an answer").expect("a row");
     assert_eq!((row.fence, row.token), (term.fence, 2));
@@ -113,7 +113,7 @@
     };
     table.store().commit(vec![write]).await.expect("written");
     let term = lease(&table, "a")
-        .take(&[], &BTreeMap::new(), 1)
+        .acquire(&[], &BTreeMap::new(), 1)
         .await
         .expect("an answer")
         .expect("a term");
@@ -128,7 +128,7 @@
         (0..200).map(|number| format!("engine-{round}-{number}").into()).collect()
     };
     for round in 0..10 {
-        a.take(&ids(round), &BTreeMap::new(), round).await.expect("an answer").expect("a term");
+        a.acquire(&ids(round), &BTreeMap::new(), round).await.expect("an answer").expect("a term");
     }
     let (row, _version) = a.read().await.expect("an answer").expect("a row");
     assert!(row.ordered.len() < 1000, "{}", row.ordered.len());
@@ -140,9 +140,9 @@
     let table = MemoryTable::new();
     let targets = |pool: &str, engines| BTreeMap::from([(pool.into(), engines)]);
     let a = lease(&table, "a");
-    a.take(&[], &targets("one", 3), 1).await.expect("an answer").expect("a term");
-    a.take(&[], &targets("two", 5), 2).await.expect("an answer").expect("a term");
-    a.take(&[], &targets("one", 2), 3).await.expect("an answer").expect("a term");
+    a.acquire(&[], &targets("one", 3), 1).await.expect("an answer").expect("a term");
+    a.acquire(&[], &targets("two", 5), 2).await.expect("an answer").expect("a term");
+    a.acquire(&[], &targets("one", 2), 3).await.expect("an answer").expect("a term");
     let (row, _version) = a.read().await.expect("an answer").expect("a row");
     let expected = BTreeMap::from([("one".into(), 2), ("two".into(), 5)]);
     assert_eq!(row.targets, expected);
@@ -159,7 +159,7 @@
 async fn the_term_of_a_host_that_was_suspended_is_over() {
     let (table, jumps) = (MemoryTable::new(), ClockJumps::default());
     let lease = OrderLease::new(table.store(), "a".into(), APART, jumps.clock());
-    let term = lease.take(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
+    let term = lease.acquire(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
     assert!(term.is_valid());
     // Long enough for another host to have the lease; no timer of this one has run meanwhile.
     jumps.suspend(2 * APART);
--- a/crates/dillspool_roles/tests/plan.rs
+++ b/crates/dillspool_roles/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dillspool_roles::{engines_at_first, engines_for_share, stage_changes};
+use dillspool_roles::{initial_prefill_engines, plan_stage_changes, prefill_engines_for_share};
 use dillspool_routing::{BackendEntry, BackendState, DirectoryView, EngineStage};
 
 fn engine(id: String, domain: &str, part: EngineStage, state: BackendState) -> Arc<BackendEntry> {
@@ -64,8 +64,8 @@
             .map(|at| part(at + 50, EngineStage::Prefill, BackendState::Draining));
         let decode = (0..case.decode).map(|at| part(at, EngineStage::Decode, ready));
         let view = view(prefill.chain(leaving).chain(decode));
-        let keep = engines_for_share(case.prefill + case.decode, case.share);
-        let changes = stage_changes(&view, "pool", keep);
+        let keep = prefill_engines_for_share(case.prefill + case.decode, case.share);
+        let changes = plan_stage_changes(&view, "pool", keep);
         assert_eq!(changes.len(), case.turned, "{}", case.name);
         let short = case.prefill < keep;
         let stage = if short { EngineStage::Prefill } else { EngineStage::Decode };
@@ -77,6 +77,6 @@
 fn the_first_part_leaves_something_to_spare() {
     let cases = [(1, 1), (3, 1), (6, 2), (9, 3), (13, 3), (36, 8), (90, 19), (2_700, 541)];
     for (engines, prefill) in cases {
-        assert_eq!(engines_at_first(engines, 0.2), prefill, "of {engines}");
+        assert_eq!(initial_prefill_engines(engines, 0.2), prefill, "of {engines}");
     }
 }
--- a/crates/dillspool_roles/tests/restored_lease.rs
+++ b/crates/dillspool_roles/tests/restored_lease.rs
@@ -19,7 +19,7 @@
 }
 
 async fn take(lease: &OrderLease) -> Option<OrderTerm> {
-    lease.take(&[], &BTreeMap::new(), 1).await.ok().flatten()
+    lease.acquire(&[], &BTreeMap::new(), 1).await.ok().flatten()
 }
 
 struct RestoredCase {
--- a/crates/dillspool_roles/tests/targets.rs
+++ b/crates/dillspool_roles/tests/targets.rs
@@ -61,7 +61,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_rule_decides() {
-    let observed = ShareRule::Observed { at_first: 0.2 };
+    let observed = ShareRule::Observed { initial_share: 0.2 };
     let cases = [
         RuleCase {
             name: "nothing is known",
@@ -118,7 +118,7 @@
 async fn what_another_host_agreed_on_goes_first() {
     let demand = DemandMeter::default();
     play(&demand, 60).await;
-    let mut targets = PoolTargets::new(ShareRule::Observed { at_first: 0.2 }, demand);
+    let mut targets = PoolTargets::new(ShareRule::Observed { initial_share: 0.2 }, demand);
     let look = |targets: &mut PoolTargets, at_s: u64| {
         let now = Instant::now() + Duration::from_secs(at_s);
         targets.update(&"pool".into(), &POOL, &view(9), now)
@@ -134,14 +134,14 @@
     assert_eq!(look(&mut targets, 4), 4);
     assert_eq!(look(&mut targets, 6), 2);
     // Once written, one's own target is what was agreed on.
-    targets.note_written(&BTreeMap::from([("pool".into(), 2)]));
+    targets.record_written(&BTreeMap::from([("pool".into(), 2)]));
     targets.adopt(&BTreeMap::from([("pool".into(), 2)]));
     assert_eq!(look(&mut targets, 7), 2);
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_first_part_of_a_pool_is_not_agreed_on() {
-    let rule = ShareRule::Observed { at_first: 0.2 };
+    let rule = ShareRule::Observed { initial_share: 0.2 };
     let demand = DemandMeter::default();
     let mut targets = PoolTargets::new(rule, demand.clone());
     let look = |targets: &mut PoolTargets, engines| {
@@ -159,7 +159,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn crashed_engines_do_not_lower_the_first_part() {
-    let rule = ShareRule::Observed { at_first: 0.2 };
+    let rule = ShareRule::Observed { initial_share: 0.2 };
     let mut targets = PoolTargets::new(rule, DemandMeter::default());
     let mut look = |engines| targets.update(&"pool".into(), &POOL, &view(engines), Instant::now());
     assert_eq!([look(9), look(7), look(9)], [3, 3, 3]);
@@ -225,7 +225,7 @@
         if let Some(per_s) = case.per_s {
             play_at(&demand, per_s).await;
         }
-        let mut targets = PoolTargets::new(ShareRule::Observed { at_first: 0.2 }, demand);
+        let mut targets = PoolTargets::new(ShareRule::Observed { initial_share: 0.2 }, demand);
         let view = view_of(case.found, case.engines);
         let mut keep = 0;
         for look in 0..=4 {
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -11,7 +11,7 @@
     ByteBudget, HostClock, NetListener, NetStack, ServerLimits, WallClock, serve_http,
     serve_http_held,
 };
-use dillspool_roles::{KeeperSettings, PoolTargets, keep_stages};
+use dillspool_roles::{PoolTargets, ReconcilerSettings, reconcile_stages};
 use dillspool_routing::RoutingConfig;
 use dillspool_scheduler::{
     CallDesk, FleetNews, LimitClient, LimitDesk, PoolDesk, ScheduleClient, ScheduleDesks,
@@ -264,16 +264,16 @@
             self.background.clone(),
         ));
         let throttle = site.throttle.clone();
-        let settings = KeeperSettings {
+        let settings = ReconcilerSettings {
             host: Name::clone(&self.config.host),
             targets: PoolTargets::new(self.config.share_rule, demand),
-            apart: self.config.orders_apart,
+            handover_gap: self.config.orders_apart,
             is_first_start: self.config.first_start,
             clock: clock.clone(),
             delay: order_delay(&self.config.host, beliefs.config.clone(), schedule),
-            rests: Arc::new(move |engine| throttle.rests_until(engine).is_some()),
+            is_backing_off: Arc::new(move |engine| throttle.rests_until(engine).is_some()),
         };
-        tokio::spawn(keep_stages(
+        tokio::spawn(reconcile_stages(
             settings,
             site.store.clone(),
             site.calls.clone(),
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -227,7 +227,7 @@
 /// The rule for an optional part of a pool.
 fn share_rule(share: Option<f64>) -> Result<ShareRule, SettingsError> {
     match share {
-        None => Ok(ShareRule::Observed { at_first: FIRST_SHARE }),
+        None => Ok(ShareRule::Observed { initial_share: FIRST_SHARE }),
         Some(share) if share > 0.0 && share < 1.0 => Ok(ShareRule::Fixed(share)),
         Some(share) => {
             let remedy = "give a part between 0 and 1, or leave it out so that it follows the load";
