--- a/crates/dillspool_calls/src/reading.rs
+++ b/crates/dillspool_calls/src/reading.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use dillspool_routing::StartedBackend;
+use dillspool_routing::BackendInstance;
 
 use crate::request::RejectCause;
 
 /// How one backend server stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerReading {
+pub struct ServerSnapshot {
     /// Which one, and of which start.
-    pub backend: StartedBackend,
+    pub backend: BackendInstance,
     /// Calls that this queue may have in flight there.
     pub limit: u32,
     /// Calls in flight there.
@@ -19,14 +19,14 @@
     /// Mean time in which it runs one call.
     pub mean_latency: Duration,
     /// Whether it gets no calls for a while because it failed some.
-    pub is_blocked: bool,
+    pub is_circuit_open: bool,
 }
 
 /// How a call queue stands.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallReading {
+pub struct QueueSnapshot {
     /// The backend servers that take calls, in the order of their ids.
-    pub servers: Vec<ServerReading>,
+    pub servers: Vec<ServerSnapshot>,
     /// Calls that wait.
     pub waiting: usize,
     /// Calls rejected since the queue was made, by cause.
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dillspool_calls::{CallEnd, RejectCause};
+use dillspool_calls::{CallOutcome, RejectCause};
 use dillspool_io::{MomentPassed, ResponseBody, full_body};
 use dillspool_routing::{BackendEntry, RoutedRequest};
 use dillspool_scheduler::CallTicket;
@@ -45,14 +45,14 @@
 
 impl SendOutcome {
     /// What the host that decides on the calls of the service is told of it.
-    fn call_end(&self) -> CallEnd {
+    fn call_end(&self) -> CallOutcome {
         match self {
-            Self::Whole(answer) if !answer.status.is_server_error() => CallEnd::Answered,
-            Self::Long(answer) if !answer.status.is_server_error() => CallEnd::Answered,
-            Self::Whole(_) | Self::Long(_) => CallEnd::Failed,
-            Self::NotSent(_) => CallEnd::NotSent,
-            Self::NotRun => CallEnd::NotRun,
-            Self::Unclear(_) => CallEnd::Lost,
+            Self::Whole(answer) if !answer.status.is_server_error() => CallOutcome::Answered,
+            Self::Long(answer) if !answer.status.is_server_error() => CallOutcome::Answered,
+            Self::Whole(_) | Self::Long(_) => CallOutcome::Failed,
+            Self::NotSent(_) => CallOutcome::NotSent,
+            Self::NotRun => CallOutcome::NotRun,
+            Self::Unclear(_) => CallOutcome::Lost,
         }
     }
 }
@@ -104,7 +104,7 @@
         entry: &BackendEntry,
         outcome: SendOutcome,
     ) {
-        let (tracker, backend) = (&context.backend_tracker, &entry.started());
+        let (tracker, backend) = (&context.backend_tracker, &entry.instance());
         let cause = match outcome {
             SendOutcome::Whole(answer) => {
                 let status = answer.status;
@@ -144,7 +144,7 @@
         status: StatusCode,
         failure: PlainResponse,
     ) -> String {
-        context.backend_tracker.record_failure(&entry.started());
+        context.backend_tracker.record_failure(&entry.instance());
         self.sends += 1;
         self.may_have_run = true;
         self.failure = Some(failure);
@@ -180,9 +180,9 @@
         ticket.end(outcome.call_end(), started.elapsed());
         match outcome {
             SendOutcome::Whole(answer) if !answer.status.is_server_error() => {
-                context.backend_tracker.record_success(&entry.started(), started.elapsed());
+                context.backend_tracker.record_success(&entry.instance(), started.elapsed());
                 if answer.status.is_success() {
-                    context.suspects.note_whole(request.print);
+                    context.suspects.note_whole(request.fingerprint);
                 }
                 return Ok(PlainResponse::Complete(answer.response()));
             }
@@ -210,7 +210,7 @@
 ) -> Option<(Arc<BackendEntry>, StoreVersion, SendPermit)> {
     if record.sends >= request.route.max_attempts
         || record.unreachable > MOST_UNREACHABLE
-        || (record.may_have_run && !request.route.is_repeatable())
+        || (record.may_have_run && !request.route.is_idempotent())
         || request.remaining().is_zero()
     {
         return None;
@@ -248,7 +248,7 @@
 fn send_limit(request: &RoutedRequest, record: &SendRecord) -> Duration {
     let remaining = request.remaining();
     let is_last = record.sends + 1 >= request.route.max_attempts;
-    if is_last || !request.route.is_repeatable() {
+    if is_last || !request.route.is_idempotent() {
         return remaining;
     }
     remaining.min((remaining / 2).max(request.route.objective))
@@ -260,7 +260,7 @@
     entry: &Arc<BackendEntry>,
     limit: Duration,
 ) -> SendOutcome {
-    let ticket = context.backend_tracker.track_request(&entry.started());
+    let ticket = context.backend_tracker.track_request(&entry.instance());
     let sent_at = request.clock.now();
     let terms = ForwardParams { time_budget: request.remaining(), ..ForwardParams::default() };
     let exchange = async {
@@ -322,7 +322,7 @@
     {
         return Err(refusal);
     }
-    if let Some((RejectCause::NoRoom, retry_after)) = record.rejected
+    if let Some((RejectCause::NoCapacity, retry_after)) = record.rejected
         && !request.remaining().is_zero()
     {
         return Err(Refusal::with_retry_after(RefusalCause::NoRoom, retry_after));
--- a/crates/dillspool_forward/src/response_body.rs
+++ b/crates/dillspool_forward/src/response_body.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use dillspool_calls::CallEnd;
+use dillspool_calls::CallOutcome;
 use dillspool_io::{
     BoxError, ByteGuard, ExchangeBytes, ResponseBody, StalledSide, channel_body, read_response_body,
 };
@@ -45,19 +45,19 @@
     request: &RoutedRequest,
     body: ResponseBody,
 ) -> Result<BufferedBody, BoxError> {
-    let Some(terms) = request.held.terms() else {
+    let Some(terms) = request.held_bytes.terms() else {
         return read_response_body(body, LARGEST_WHOLE).await.map(BufferedBody::Complete);
     };
-    if !request.takes_chunks && body.size_hint().exact().is_none() {
+    if !request.accepts_chunked && body.size_hint().exact().is_none() {
         // Nothing would show the caller that the answer ended early.
-        return read_within_budget(&request.held, body, LARGEST_WHOLE)
+        return read_within_budget(&request.held_bytes, body, LARGEST_WHOLE)
             .await
             .map(BufferedBody::Complete);
     }
     let mut body = body;
     let mut parts = HeldParts::default();
     while parts.length <= terms.answer_bytes {
-        match next_part(&request.held, &mut body).await? {
+        match next_part(&request.held_bytes, &mut body).await? {
             Some((bytes, guard)) => parts.push(bytes, guard),
             None => return Ok(BufferedBody::Complete(parts.join())),
         }
@@ -222,10 +222,10 @@
     async fn pass(&mut self, sender: &PartSender) -> PassEnd {
         let (context, request) = (self.context.clone(), Arc::clone(&self.request));
         let entry = Arc::clone(&self.answer.entry);
-        let stall = request.held.terms().map_or(Duration::MAX, |terms| terms.stall);
+        let stall = request.held_bytes.terms().map_or(Duration::MAX, |terms| terms.stall);
         let mut over = std::pin::pin!(async {
             tokio::select! {
-                () = request.until_deadline() => "the time limit",
+                () = request.wait_for_deadline() => "the time limit",
                 () = context.wait_for_restart(&entry) => RESTARTED_CAUSE,
             }
         });
@@ -246,9 +246,9 @@
                 biased;
                 cause = &mut over => return PassEnd::Broken(cause.to_owned()),
                 () = sender.closed() => return PassEnd::CallerGone,
-                part = next_part(&request.held, &mut self.answer.body) => part,
+                part = next_part(&request.held_bytes, &mut self.answer.body) => part,
                 () = tokio::time::sleep(stall) => {
-                    request.held.note_stalled(StalledSide::Backend);
+                    request.held_bytes.note_stalled(StalledSide::Backend);
                     return PassEnd::Broken(format!("nothing more came for {stall:?}"));
                 }
             };
@@ -267,13 +267,13 @@
         let status = self.answer.status;
         if !status.is_server_error() {
             let took = self.request.clock.since(self.answer.sent_at).saturating_sub(self.waited);
-            self.context.backend_tracker.record_success(&self.answer.entry.started(), took);
+            self.context.backend_tracker.record_success(&self.answer.entry.instance(), took);
             if let Some(mut call) = self.answer.call.take() {
-                call.end(CallEnd::Answered, took);
+                call.end(CallOutcome::Answered, took);
             }
         }
         if status.is_success() {
-            self.context.suspects.note_whole(self.request.print);
+            self.context.suspects.note_whole(self.request.fingerprint);
             self.trace.answered(status.as_u16());
         } else {
             self.trace.failed(status.as_u16());
@@ -284,9 +284,9 @@
         let entry = &self.answer.entry;
         // Found out beside the request, which is not sent again whatever is found.
         let _look = spawn_failure_probe(&self.context, &self.request, entry);
-        self.context.backend_tracker.record_no_response(&entry.started(), cause);
+        self.context.backend_tracker.record_no_response(&entry.instance(), cause);
         if let Some(mut call) = self.answer.call.take() {
-            call.end(CallEnd::Lost, self.request.clock.since(self.answer.sent_at));
+            call.end(CallOutcome::Lost, self.request.clock.since(self.answer.sent_at));
         }
         self.trace.response_broken(cause);
     }
--- a/crates/dillspool_forward/src/scheduled.rs
+++ b/crates/dillspool_forward/src/scheduled.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_calls::{CallDecision, CallEnd, CallRequest, RejectCause};
-use dillspool_routing::{BackendEntry, BackendId, BackendStart, RoutedRequest, StartedBackend};
+use dillspool_calls::{CallDecision, CallOutcome, CallRequest, RejectCause};
+use dillspool_routing::{BackendEntry, BackendId, BackendInstance, BackendStart, RoutedRequest};
 use dillspool_scheduler::CallTicket;
 use dillspool_schema::Name;
 
@@ -65,7 +65,7 @@
     let asking = ask_until_followed(context, request, tried, ticket);
     let choice = request.clock.timeout_at(request.deadline, asking).await;
     choice.unwrap_or(ScheduleOutcome::Reject {
-        cause: RejectCause::NoRoom,
+        cause: RejectCause::NoCapacity,
         retry_after: Duration::ZERO,
     })
 }
@@ -109,7 +109,7 @@
             Ok((entry, permit)) => return ScheduleOutcome::Send(entry, permit),
             Err(why) => {
                 log_call_overruled(request, &backend.id, why.name());
-                ticket.end(CallEnd::Abandoned, Duration::ZERO);
+                ticket.end(CallOutcome::Abandoned, Duration::ZERO);
                 match why {
                     Overruled::Gone => gone.push(backend.id),
                     Overruled::Closed => closed += 1,
@@ -129,7 +129,7 @@
     context: &ForwardContext,
     request: &RoutedRequest,
     ticket: &CallTicket,
-    backend: &StartedBackend,
+    backend: &BackendInstance,
 ) -> Result<(Arc<BackendEntry>, SendPermit), Overruled> {
     let entry = known_entry(context, backend).ok_or(Overruled::Gone)?;
     let permit =
@@ -143,10 +143,10 @@
 }
 
 /// A start of a backend server, if it takes new requests as far as this host knows.
-fn known_entry(context: &ForwardContext, backend: &StartedBackend) -> Option<Arc<BackendEntry>> {
+fn known_entry(context: &ForwardContext, backend: &BackendInstance) -> Option<Arc<BackendEntry>> {
     let view = context.view();
-    let entry = view.entries.get(&backend.id).filter(|entry| view.takes_new(entry))?;
-    (!BackendStart::differ(entry.start, backend.start)).then(|| Arc::clone(entry))
+    let entry = view.entries.get(&backend.id).filter(|entry| view.accepts_requests(entry))?;
+    (!BackendStart::are_different(entry.start, backend.start)).then(|| Arc::clone(entry))
 }
 
 /// Whether this host knows a backend server for a request beside these: the deciding host may have lost its
@@ -175,7 +175,7 @@
         failure_domain: Name::clone(&context.failure_domain),
         objective_left: request.route.objective.saturating_sub(spent),
         time_left: request.remaining(),
-        is_repeatable: request.route.is_repeatable(),
+        is_idempotent: request.route.is_idempotent(),
         excluded,
     }
 }
--- a/crates/dillspool_scheduler/src/call_desk/state.rs
+++ b/crates/dillspool_scheduler/src/call_desk/state.rs
@@ -102,12 +102,12 @@
     }
 
     pub(super) fn next_due(&self) -> Option<Moment> {
-        self.services.values().filter_map(|service| service.queue.next_due()).min()
+        self.services.values().filter_map(|service| service.queue.next_deadline()).min()
     }
 
     /// Whether the task that serves those who wait sleeps beyond what is due next.
     pub(super) fn oversleeps(&self, name: &Name) -> bool {
-        let due = self.services.get(name).and_then(|service| service.queue.next_due());
+        let due = self.services.get(name).and_then(|service| service.queue.next_deadline());
         due.is_some_and(|due| self.sleeps_until.is_none_or(|until| due < until))
     }
 
@@ -119,7 +119,7 @@
         waiter: DecisionFn,
     ) -> Option<(CallDecision, Decided)> {
         let now = self.clock.now();
-        let mut decision = self.service(name)?.queue.ask(id, request, now);
+        let mut decision = self.service(name)?.queue.submit(id, request, now);
         let mut decided = Vec::new();
         if decision == CallDecision::Wait {
             // A call that comes before others may leave these no time.
@@ -213,7 +213,7 @@
     directory: &DirectoryView,
 ) -> BTreeMap<Name, ServiceView> {
     let is_part =
-        |name: &Name| directory.part.as_ref().is_some_and(|part| part.of_class(name).bits > 0);
+        |name: &Name| directory.subset.as_ref().is_some_and(|part| part.of_class(name).bits > 0);
     let plain = config.services.values().filter(|service| service.engine.is_none());
     let mut views: BTreeMap<_, _> = plain
         .map(|service| {
@@ -221,7 +221,7 @@
             (Name::clone(&service.name), view)
         })
         .collect();
-    for entry in directory.entries.values().filter(|entry| directory.takes_new(entry)) {
+    for entry in directory.entries.values().filter(|entry| directory.accepts_requests(entry)) {
         if entry.stage.is_some() {
             views.remove(&entry.service);
         }
@@ -234,11 +234,11 @@
     views
 }
 
-fn call_server(entry: &BackendEntry, most_connections: u32) -> CallServer {
+fn call_server(entry: &BackendEntry, max_connections: u32) -> CallServer {
     CallServer {
-        backend: entry.started(),
+        backend: entry.instance(),
         failure_domain: Name::clone(&entry.failure_domain),
         slots: entry.slots,
-        most_connections,
+        max_connections,
     }
 }
