--- a/crates/dillspool_forward/src/backend_probe.rs
+++ b/crates/dillspool_forward/src/backend_probe.rs
@@ -24,7 +24,7 @@
 
 /// Time for which the directory is watched for a word on a backend server that does not answer: its row
 /// lapses after three heartbeats of about a second, and one that starts again is listed some seconds later.
-const WATCHED_FOR: Duration = Duration::from_secs(10);
+const ROW_WATCH_TIME: Duration = Duration::from_secs(10);
 
 /// Why a run broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -35,7 +35,7 @@
     Alive,
     /// Its backend server was known to leave before.
     Leaving,
-    /// It cannot be told.
+    /// It cannot be changed.
     Unknown,
 }
 
@@ -51,12 +51,12 @@
     }
 }
 
-type SharedLook = Shared<BoxFuture<ProbeResult>>;
+type SharedProbe = Shared<BoxFuture<ProbeResult>>;
 
 /// Looks at backend servers, one at a time for each start, however many runs broke off there.
 #[derive(Clone, Default)]
 pub struct BackendProbes {
-    under_way: Arc<Mutex<HashMap<BackendInstance, SharedLook>>>,
+    in_progress: Arc<Mutex<HashMap<BackendInstance, SharedProbe>>>,
 }
 
 impl fmt::Debug for BackendProbes {
@@ -66,29 +66,29 @@
 }
 
 impl BackendProbes {
-    async fn look(&self, context: &ForwardContext, entry: &Arc<BackendEntry>) -> ProbeResult {
-        let look = self.with(|looks| {
+    async fn probe(&self, context: &ForwardContext, entry: &Arc<BackendEntry>) -> ProbeResult {
+        let probe = self.with(|probes| {
             let begin = || (context.calls.probe)(Arc::clone(entry)).shared();
-            looks.entry(entry.instance()).or_insert_with(begin).clone()
+            probes.entry(entry.instance()).or_insert_with(begin).clone()
         });
-        let sign = look.await;
-        self.with(|looks| looks.remove(&entry.instance()));
-        sign
+        let result = probe.await;
+        self.with(|probes| probes.remove(&entry.instance()));
+        result
     }
 
-    fn with<T>(&self, run: impl FnOnce(&mut HashMap<BackendInstance, SharedLook>) -> T) -> T {
-        run(&mut self.under_way.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with<T>(&self, run: impl FnOnce(&mut HashMap<BackendInstance, SharedProbe>) -> T) -> T {
+        run(&mut self.in_progress.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 /// Time for which a request that may be sent once more waits for a look at the backend server before. A
 /// machine that answers does so within a round trip; one that does not has gone, or is cut off.
-const LOOK_WAIT: Duration = Duration::from_millis(300);
+const PROBE_WAIT: Duration = Duration::from_millis(300);
 
 /// A look at the backend server of a run that broke off.
 #[derive(Debug)]
 pub(crate) struct ProbeHandle {
-    looked: oneshot::Receiver<()>,
+    finished: oneshot::Receiver<()>,
 }
 
 /// Whether a request that may have run may be sent to another backend server.
@@ -98,13 +98,13 @@
 pub(crate) async fn may_retry(
     context: &ForwardContext,
     request: &RoutedRequest,
-    look: &mut Option<ProbeHandle>,
+    probe: &mut Option<ProbeHandle>,
 ) -> bool {
-    if let Some(look) = look.take()
+    if let Some(probe) = probe.take()
         && context.suspects.should_wait(request.fingerprint)
     {
         // Its sender is dropped once the look is over.
-        let _looked = tokio::time::timeout(LOOK_WAIT, look.looked).await;
+        let _finished = tokio::time::timeout(PROBE_WAIT, probe.finished).await;
     }
     !matches!(context.suspects.decide(request.fingerprint), SuspectDecision::Refused { .. })
 }
@@ -116,26 +116,26 @@
     request: &RoutedRequest,
     entry: &Arc<BackendEntry>,
 ) -> ProbeHandle {
-    let (looking, looked) = oneshot::channel();
+    let (running, finished) = oneshot::channel();
     let (context, entry) = (context.clone(), Arc::clone(entry));
     // Not the request itself: its body would be kept for as long as the row is watched.
     let (id, print) = (Name::clone(&request.id), request.fingerprint);
     let tasks = context.tasks.clone();
     tasks.spawn(async move {
-        let mut looking = Some(looking);
-        let cause = match look_at(&context, &entry).await {
-            FirstLook::Cause(cause) => cause,
-            FirstLook::Sign(sign) => {
+        let mut running = Some(running);
+        let cause = match probe_backend(&context, &entry).await {
+            ProbeVerdict::Known(cause) => cause,
+            ProbeVerdict::Undecided(result) => {
                 // The request does not wait for the row.
-                drop(looking.take());
-                watch_row(&context, &entry, sign).await
+                drop(running.take());
+                watch_directory_row(&context, &entry, result).await
             }
         };
         if cause == FailureCause::Crashed {
             context.suspects.note_end(print, entry.instance().label());
         }
-        drop(looking);
-        context.metrics.note_broken_run(cause.name());
+        drop(running);
+        context.metrics.record_failed_attempt(cause.name());
         log::info!(
             "event=break_traced id={id} print={print} backend={} start={} found={}",
             entry.id,
@@ -143,65 +143,69 @@
             cause.name(),
         );
     });
-    ProbeHandle { looked }
+    ProbeHandle { finished }
 }
 
 /// What a first look says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FirstLook {
+enum ProbeVerdict {
     /// All there is to know.
-    Cause(FailureCause),
+    Known(FailureCause),
     /// What its row shows later decides.
-    Sign(ProbeResult),
+    Undecided(ProbeResult),
 }
 
-async fn look_at(context: &ForwardContext, entry: &Arc<BackendEntry>) -> FirstLook {
-    match row_sign(&context.view(), entry) {
-        RowSign::Ready => {}
-        RowSign::Restarted => return FirstLook::Cause(FailureCause::Crashed),
-        RowSign::Leaving | RowSign::Gone => return FirstLook::Cause(FailureCause::Leaving),
+async fn probe_backend(context: &ForwardContext, entry: &Arc<BackendEntry>) -> ProbeVerdict {
+    match row_state(&context.view(), entry) {
+        RowState::Ready => {}
+        RowState::Restarted => return ProbeVerdict::Known(FailureCause::Crashed),
+        RowState::Leaving | RowState::Gone => return ProbeVerdict::Known(FailureCause::Leaving),
     }
-    match context.probes.look(context, entry).await {
-        ProbeResult::Refused => FirstLook::Cause(FailureCause::Crashed),
-        sign @ (ProbeResult::Reachable | ProbeResult::NoResponse) => FirstLook::Sign(sign),
+    match context.probes.probe(context, entry).await {
+        ProbeResult::Refused => ProbeVerdict::Known(FailureCause::Crashed),
+        result @ (ProbeResult::Reachable | ProbeResult::NoResponse) => {
+            ProbeVerdict::Undecided(result)
+        }
     }
 }
 
 /// Watches the row of a backend server that takes connections, or does not answer.
-async fn watch_row(
+async fn watch_directory_row(
     context: &ForwardContext,
     entry: &Arc<BackendEntry>,
-    sign: ProbeResult,
+    result: ProbeResult,
 ) -> FailureCause {
     let mut directory = context.directory.clone();
-    let told = directory.wait_for(|view| row_sign(view, entry) != RowSign::Ready);
-    let row = match tokio::time::timeout(WATCHED_FOR, told).await {
-        Ok(Ok(view)) => row_sign(&view, entry),
-        Ok(Err(_closed)) => RowSign::Ready,
-        Err(_elapsed) => RowSign::Ready,
+    let changed = directory.wait_for(|view| row_state(view, entry) != RowState::Ready);
+    let row = match tokio::time::timeout(ROW_WATCH_TIME, changed).await {
+        Ok(Ok(view)) => row_state(&view, entry),
+        Ok(Err(_closed)) => RowState::Ready,
+        Err(_elapsed) => RowState::Ready,
     };
-    match (row, sign) {
-        (RowSign::Restarted, _) | (RowSign::Gone, ProbeResult::NoResponse) => FailureCause::Crashed,
+    match (row, result) {
+        (RowState::Restarted, _) | (RowState::Gone, ProbeResult::NoResponse) => {
+            FailureCause::Crashed
+        }
         (_, ProbeResult::Reachable) => FailureCause::Alive,
-        (RowSign::Leaving, _) => FailureCause::Leaving,
-        (RowSign::Ready | RowSign::Gone, _) => FailureCause::Unknown,
+        (RowState::Leaving, _) => FailureCause::Leaving,
+        (RowState::Ready | RowState::Gone, _) => FailureCause::Unknown,
     }
 }
 
 /// What the directory shows of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RowSign {
+enum RowState {
     Ready,
     Restarted,
     Leaving,
     Gone,
 }
 
-fn row_sign(view: &DirectoryView, entry: &BackendEntry) -> RowSign {
+fn row_state(view: &DirectoryView, entry: &BackendEntry) -> RowState {
     match view.entries.get(&entry.id) {
-        None => RowSign::Gone,
-        Some(known) if BackendStart::are_different(known.start, entry.start) => RowSign::Restarted,
-        Some(known) if known.is_ready() => RowSign::Ready,
-        Some(_draining) => RowSign::Leaving,
+        None => RowState::Gone,
+        Some(known) if BackendStart::are_different(known.start, entry.start) => RowState::Restarted,
+        Some(known) if known.is_ready() => RowState::Ready,
+        Some(_draining) => RowState::Leaving,
     }
 }
--- a/crates/dillspool_forward/src/context.rs
+++ b/crates/dillspool_forward/src/context.rs
@@ -17,7 +17,7 @@
 use crate::metrics::ForwardMetrics;
 use crate::picker::BackendPicker;
 use crate::retry_budget::RetryBudgets;
-use crate::trace::log_overruled;
+use crate::trace::log_decision_overruled;
 
 /// Why something under way at a backend server is lost.
 pub(crate) const RESTARTED_CAUSE: &str = "it started again";
@@ -75,8 +75,8 @@
         let view = self.view();
         let ready = view.entries.get(id).filter(|entry| view.accepts_requests(entry)).cloned();
         if ready.is_none() {
-            self.metrics.note_overruled();
-            log_overruled(request, id, &view);
+            self.metrics.record_overruled_decision();
+            log_decision_overruled(request, id, &view);
         }
         ready
     }
--- a/crates/dillspool_forward/src/events.rs
+++ b/crates/dillspool_forward/src/events.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Longest event that is taken, in bytes; one of 64 tokens has some hundred.
-const LONGEST_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// A whole event, with the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 pub struct EventSplitter {
     buffer: BytesMut,
     /// Bytes of the buffer that hold no end of an event.
-    searched: usize,
+    scanned: usize,
 }
 
 impl EventSplitter {
@@ -34,7 +34,7 @@
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         let bytes = self.buffer.split_to(end).freeze();
-        self.searched = 0;
+        self.scanned = 0;
         Some(StreamEvent { id: event_id(&bytes), bytes })
     }
 
@@ -49,14 +49,14 @@
     }
 
     /// Whether an event is longer than any real one.
-    pub fn is_overlong(&self) -> bool {
-        self.buffer.len() > LONGEST_EVENT
+    pub fn is_too_long(&self) -> bool {
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
     /// End of the first event: a line end followed by an empty line.
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
-        let mut at = self.searched;
+        let mut at = self.scanned;
         while let Some(offset) = bytes[at..].iter().position(|byte| *byte == b'\n') {
             let line_end = at + offset + 1;
             match bytes.get(line_end..) {
@@ -66,7 +66,7 @@
                 Some([_, ..]) => at = line_end,
             }
         }
-        self.searched = at;
+        self.scanned = at;
         None
     }
 }
--- a/crates/dillspool_forward/src/generate.rs
+++ b/crates/dillspool_forward/src/generate.rs
@@ -25,20 +25,20 @@
 use crate::tried::TriedBackends;
 
 /// When to come back after an engine's refusal of a request that had its memory.
-const NOT_RUN_RETRY_MS: std::ops::Range<u64> = 100..400;
+const NOT_RUN_RETRY_AFTER_MS: std::ops::Range<u64> = 100..400;
 /// Answers a streaming request.
-pub(crate) async fn answer_stream(
+pub(crate) async fn handle_stream(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     copy: CopyGuard,
     trace: RequestTrace,
 ) -> Result<Response<ResponseBody>, (Refusal, RequestTrace)> {
-    let mut generation = Generation::new(context, request, copy);
+    let mut model_request = ModelRequest::new(context, request, copy);
     let mut trace = trace;
-    match generation.open(None).await {
-        Ok(OpenEnd::Stream(open, headers)) => {
+    match model_request.open(None).await {
+        Ok(OpenOutcome::Stream(open, headers)) => {
             let status = open.status;
-            let relay = StreamRelay::new(generation, open, trace);
+            let relay = StreamRelay::new(model_request, open, trace);
             let mut response = Response::new(relay.into_body());
             *response.status_mut() = status;
             *response.headers_mut() = headers;
@@ -46,7 +46,7 @@
             response.headers_mut().remove(hyper::header::CONTENT_LENGTH);
             Ok(response)
         }
-        Ok(OpenEnd::Failure(response)) => {
+        Ok(OpenOutcome::Failure(response)) => {
             trace.failed(response.status().as_u16());
             Ok(response)
         }
@@ -65,14 +65,14 @@
 }
 
 /// How opening ended, if not by a refusal.
-enum OpenEnd {
+enum OpenOutcome {
     Stream(OpenStream, HeaderMap),
     /// An engine's own failure, for the caller.
     Failure(Response<ResponseBody>),
 }
 
 /// A request that a decode engine took.
-struct SentRequest {
+struct AcceptedRequest {
     entry: Arc<BackendEntry>,
     ticket: StreamTicket,
     /// Whether the engine reads the prompt itself.
@@ -81,87 +81,87 @@
 
 /// A decode engine with memory and, if there is one, the prefill's result; given back unless
 /// the request is sent there.
-pub(crate) struct PreparedSend {
+pub(crate) struct PreparedAttempt {
     placement: Placement,
     prefill: PrefillGuard,
 }
 
 /// One model request and its sends so far.
-pub(crate) struct Generation {
+pub(crate) struct ModelRequest {
     /// Counts among the copies of the request that run here.
     _copy: CopyGuard,
     context: ForwardContext,
     pub(crate) request: Arc<RoutedRequest>,
-    sends: u32,
+    attempts: u32,
     prefills: u32,
     tried: TriedBackends,
     may_have_run: bool,
     /// Finds out why the last run broke off.
-    look: Option<ProbeHandle>,
+    probe: Option<ProbeHandle>,
     /// Until when an answer under way waits for other engines.
-    wait_until: Option<Instant>,
+    engine_wait_deadline: Option<Instant>,
     /// How the stream came to its first event.
     pub(crate) stages: FirstEventStages,
     /// Last event that the caller has.
     pub(crate) last_event: Option<u64>,
 }
 
-impl Generation {
+impl ModelRequest {
     fn new(context: &ForwardContext, request: &Arc<RoutedRequest>, copy: CopyGuard) -> Self {
         Self {
             _copy: copy,
-            look: None,
+            probe: None,
             context: context.clone(),
             request: Arc::clone(request),
-            sends: 0,
+            attempts: 0,
             prefills: 0,
             tried: TriedBackends::default(),
             may_have_run: false,
-            wait_until: None,
+            engine_wait_deadline: None,
             stages: FirstEventStages::default(),
             last_event: request.resume_after,
         }
     }
 
     /// Whether the stream may go on at another engine.
-    pub(crate) fn can_reopen(&self) -> bool {
+    pub(crate) fn can_resume(&self) -> bool {
         let route = &self.request.route;
-        route.resumable && self.sends < route.max_attempts
+        route.resumable && self.attempts < route.max_attempts
     }
 
     /// Waits for other engines until then, if that is later than before.
-    pub(crate) fn wait_for_engines_until(&mut self, until: Instant) {
-        self.wait_until = self.wait_until.max(Some(until));
+    pub(crate) fn extend_engine_wait(&mut self, until: Instant) {
+        self.engine_wait_deadline = self.engine_wait_deadline.max(Some(until));
     }
 
     /// Prepares another engine while one that is silent still has the stream.
-    pub(crate) async fn prepare_beside(
+    pub(crate) async fn prepare_replacement(
         &mut self,
         silent: &BackendEntry,
-    ) -> Result<PreparedSend, Refusal> {
+    ) -> Result<PreparedAttempt, Refusal> {
         self.tried.push(silent);
         let deadline = self.request.clock.wake_at(self.request.deadline);
-        self.wait_for_engines_until(deadline);
+        self.extend_engine_wait(deadline);
         self.prepare().await
     }
 
     /// Opens the rest of the stream behind the last event that the caller has.
-    pub(crate) async fn reopen(
+    pub(crate) async fn resume(
         &mut self,
-        prepared: Option<PreparedSend>,
+        prepared: Option<PreparedAttempt>,
     ) -> Result<OpenStream, Refusal> {
-        if !self.can_reopen() {
+        if !self.can_resume() {
             return Err(Refusal::new(RefusalCause::Unknown));
         }
         match self.open(prepared).await? {
-            OpenEnd::Stream(open, _headers) => Ok(open),
-            OpenEnd::Failure(_response) => Err(Refusal::new(RefusalCause::Unknown)),
+            OpenOutcome::Stream(open, _headers) => Ok(open),
+            OpenOutcome::Failure(_response) => Err(Refusal::new(RefusalCause::Unknown)),
         }
     }
 
     /// Ends when a stream is over whatever still comes: at the request's deadline, or once its engine is known
     /// to have started again, and a moment longer.
-    pub(crate) fn stream_over(&self, entry: &Arc<BackendEntry>) -> BoxFuture<&'static str> {
+    pub(crate) fn wait_for_cutoff(&self, entry: &Arc<BackendEntry>) -> BoxFuture<&'static str> {
         let (context, request) = (self.context.clone(), Arc::clone(&self.request));
         let entry = Arc::clone(entry);
         Box::pin(async move {
@@ -172,12 +172,12 @@
         })
     }
 
-    pub(crate) fn note_first_event(&self, after: Duration) {
-        self.context.metrics.note_first_part(after);
+    pub(crate) fn record_first_event(&self, after: Duration) {
+        self.context.metrics.record_first_part(after);
     }
 
     /// Notes a whole answer, with the mean gap between two of its events.
-    pub(crate) fn note_success(&self, open: &mut OpenStream, event_gap: Option<Duration>) {
+    pub(crate) fn record_success(&self, open: &mut OpenStream, event_gap: Option<Duration>) {
         open.ticket.end_whole(event_gap);
         self.context.suspects.note_whole(self.request.fingerprint);
         if open.entry.stage.is_none() {
@@ -185,15 +185,15 @@
         }
     }
 
-    pub(crate) fn note_broken(&mut self, open: &OpenStream, cause: &str) {
+    pub(crate) fn record_broken_stream(&mut self, open: &OpenStream, cause: &str) {
         self.may_have_run = true;
-        self.look = Some(spawn_failure_probe(&self.context, &self.request, &open.entry));
-        self.note_no_answer(&open.entry, &open.ticket, cause);
+        self.probe = Some(spawn_failure_probe(&self.context, &self.request, &open.entry));
+        self.record_no_response(&open.entry, &open.ticket, cause);
         self.tried.push(&open.entry);
     }
 
     /// A model engine is judged where its pool is scheduled, any other backend server here.
-    fn note_no_answer(&self, entry: &BackendEntry, ticket: &StreamTicket, cause: &str) {
+    fn record_no_response(&self, entry: &BackendEntry, ticket: &StreamTicket, cause: &str) {
         if entry.stage.is_none() {
             self.context.backend_tracker.record_no_response(&entry.instance(), cause);
         }
@@ -201,7 +201,7 @@
     }
 
     /// Opens the stream, at the prepared engine first.
-    async fn open(&mut self, prepared: Option<PreparedSend>) -> Result<OpenEnd, Refusal> {
+    async fn open(&mut self, prepared: Option<PreparedAttempt>) -> Result<OpenOutcome, Refusal> {
         let mut next = prepared;
         loop {
             let prepared = match next.take() {
@@ -215,7 +215,7 @@
     }
 
     /// The final answer when no more sends are possible.
-    fn conclude(&self) -> Refusal {
+    fn final_refusal(&self) -> Refusal {
         let decision = self.context.suspects.decide(self.request.fingerprint);
         if !self.may_have_run && matches!(decision, SuspectDecision::Refused { .. }) {
             return Refusal::new(RefusalCause::Deadly);
@@ -225,12 +225,12 @@
             (true, true) => Refusal::new(RefusalCause::TimedOut),
             (true, false) => Refusal::new(RefusalCause::Unknown),
             (false, true) => Refusal::new(RefusalCause::TooLateNotRun),
-            (false, false) => come_back(RefusalCause::NotRun, NOT_RUN_RETRY_MS),
+            (false, false) => retry_after_random(RefusalCause::NotRun, NOT_RUN_RETRY_AFTER_MS),
         }
     }
 }
 
-fn come_back(cause: RefusalCause, range: std::ops::Range<u64>) -> Refusal {
+fn retry_after_random(cause: RefusalCause, range: std::ops::Range<u64>) -> Refusal {
     let after = rand::rng().random_range(range);
     Refusal::with_retry_after(cause, Duration::from_millis(after))
 }
--- a/crates/dillspool_forward/src/generate/send.rs
+++ b/crates/dillspool_forward/src/generate/send.rs
@@ -10,7 +10,7 @@
 use dillspool_scheduler::DeskNote;
 use hyper::{HeaderMap, Response, StatusCode};
 
-use super::{Generation, OpenEnd, OpenStream, PreparedSend, SentRequest};
+use super::{AcceptedRequest, ModelRequest, OpenOutcome, OpenStream, PreparedAttempt};
 use crate::backend_probe::spawn_failure_probe;
 use crate::calls::{BackendResponse, CallError, ForwardParams};
 use crate::context::RESTARTED_CAUSE;
@@ -20,52 +20,52 @@
 use crate::trace::log_send_failed;
 
 /// Largest failure body that is passed on, in bytes.
-const LARGEST_FAILURE: usize = 1024 * 1024;
+const MAX_FAILURE_BODY_BYTES: usize = 1024 * 1024;
 
-impl Generation {
+impl ModelRequest {
     /// Sends to the prepared engine; `None` when another one should be prepared.
     pub(super) async fn send(
         &mut self,
-        prepared: PreparedSend,
-    ) -> Result<Option<OpenEnd>, Refusal> {
-        if !self.still_stands(&prepared) {
+        prepared: PreparedAttempt,
+    ) -> Result<Option<OpenOutcome>, Refusal> {
+        if !self.is_still_valid(&prepared) {
             return Ok(None);
         }
-        let PreparedSend { placement, mut prefill } = prepared;
-        let Placement { entry, reserved, mut hold, ticket, prefill: _ } = placement;
+        let PreparedAttempt { placement, mut prefill } = prepared;
+        let Placement { entry, reserved_tokens, mut reservation, ticket, prefill: _ } = placement;
         let terms = ForwardParams {
             time_budget: self.request.remaining(),
-            reservation: hold.hold.clone(),
+            reservation: reservation.reservation.clone(),
             prefilled: prefill.prefilled.clone(),
             resume_after: self.last_event,
         };
-        self.log_placed(&entry, reserved, &terms);
+        self.log_placed(&entry, reserved_tokens, &terms);
         let sent = self.forward(&entry, terms).await;
         let read_at_decode = prefill.prefilled.is_none() && entry.stage.is_some();
         if let Err(CallError::NotSent { reason }) = &sent {
-            self.note_not_sent(&entry, &ticket, reason);
+            self.record_not_sent(&entry, &ticket, reason);
             return Ok(None);
         }
-        self.sends += 1;
-        hold.hold = None;
+        self.attempts += 1;
+        reservation.reservation = None;
         prefill.prefilled = None;
         match sent {
             Ok(answer) => {
-                let taken = SentRequest { entry, ticket, read_at_decode };
-                self.take_head(taken, answer).await
+                let taken = AcceptedRequest { entry, ticket, read_at_decode };
+                self.handle_response_head(taken, answer).await
             }
             Err(CallError::Refused { status }) => {
-                self.note_refused_reserved(&entry, &ticket, status);
+                self.record_refused_reservation(&entry, &ticket, status);
                 Ok(None)
             }
             Err(CallError::NotSent { reason } | CallError::Lost { reason }) => {
-                self.note_unclear(&entry, &ticket, &reason)
+                self.record_ambiguous(&entry, &ticket, &reason)
             }
         }
     }
 
     /// Whether the engines are as they were when they were prepared, as far as this host knows.
-    fn still_stands(&mut self, prepared: &PreparedSend) -> bool {
+    fn is_still_valid(&mut self, prepared: &PreparedAttempt) -> bool {
         let decode = &prepared.placement.entry;
         // It began to leave, or asked another request of this host for rest, while the prompt was prefilled.
         let is_ready = self.context.ready_entry(&self.request, &decode.id).is_some();
@@ -84,13 +84,13 @@
         lost.is_none()
     }
 
-    fn log_placed(&self, entry: &BackendEntry, reserved: u64, terms: &ForwardParams) {
+    fn log_placed(&self, entry: &BackendEntry, reserved_tokens: u64, terms: &ForwardParams) {
         let generation = self.request.generation.as_ref();
         let (prompt, guess) = generation.map_or((0, 0), |terms| {
             (terms.prompt_tokens, terms.expected_output_tokens.unwrap_or(terms.max_output_tokens))
         });
         log::info!(
-            "event=stream_placed id={} backend={} directory={} reserved={reserved} prompt={prompt} guess={guess} prefill={} after_ms={} resume_after={}",
+            "event=stream_placed id={} backend={} directory={} reserved={reserved_tokens} prompt={prompt} guess={guess} prefill={} after_ms={} resume_after={}",
             self.request.id,
             entry.id,
             self.context.view().version,
@@ -113,14 +113,14 @@
         self.request.clock.timeout_at(self.request.deadline, call).await.map_err(silent)?
     }
 
-    async fn take_head(
+    async fn handle_response_head(
         &mut self,
-        sent: SentRequest,
+        sent: AcceptedRequest,
         answer: BackendResponse,
-    ) -> Result<Option<OpenEnd>, Refusal> {
-        let SentRequest { entry, ticket, read_at_decode } = sent;
+    ) -> Result<Option<OpenOutcome>, Refusal> {
+        let AcceptedRequest { entry, ticket, read_at_decode } = sent;
         if answer.did_not_run {
-            self.note_refused_reserved(&entry, &ticket, answer.status);
+            self.record_refused_reservation(&entry, &ticket, answer.status);
             return Ok(None);
         }
         let (status, headers) = (answer.status, answer.headers.clone());
@@ -131,31 +131,32 @@
             }
             let body = answer.body;
             let open = OpenStream { entry, status, body, read_at_decode, ticket };
-            return Ok(Some(OpenEnd::Stream(open, headers)));
+            return Ok(Some(OpenOutcome::Stream(open, headers)));
         }
         if !answer.is_verified_failure() {
             let cause = format!("status {} without proof of its origin", status.as_u16());
-            return self.note_unclear(&entry, &ticket, &cause);
+            return self.record_ambiguous(&entry, &ticket, &cause);
         }
-        let reading = read_within_budget(&self.request.held_bytes, answer.body, LARGEST_FAILURE);
+        let reading =
+            read_within_budget(&self.request.held_bytes, answer.body, MAX_FAILURE_BODY_BYTES);
         match self.request.clock.timeout_at(self.request.deadline, reading).await {
-            Ok(Ok(body)) => Ok(Some(self.pass_failure(&entry, &ticket, status, headers, body))),
-            Ok(Err(error)) => self.note_unclear(&entry, &ticket, &error.to_string()),
+            Ok(Ok(body)) => Ok(Some(self.relay_failure(&entry, &ticket, status, headers, body))),
+            Ok(Err(error)) => self.record_ambiguous(&entry, &ticket, &error.to_string()),
             Err(MomentPassed) => {
-                self.note_unclear(&entry, &ticket, "the failure did not come whole")
+                self.record_ambiguous(&entry, &ticket, "the failure did not come whole")
             }
         }
     }
 
     /// An engine's own failure, for the caller.
-    fn pass_failure(
+    fn relay_failure(
         &self,
         entry: &BackendEntry,
         ticket: &StreamTicket,
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
-    ) -> OpenEnd {
+    ) -> OpenOutcome {
         if entry.stage.is_none() {
             self.context.backend_tracker.record_failure(&entry.instance());
         }
@@ -166,44 +167,44 @@
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         response.headers_mut().remove(hyper::header::CONTENT_LENGTH);
-        OpenEnd::Failure(response)
+        OpenOutcome::Failure(response)
     }
 
     /// It may have run: only a stream that can be resumed goes on.
-    fn note_unclear(
+    fn record_ambiguous(
         &mut self,
         entry: &Arc<BackendEntry>,
         ticket: &StreamTicket,
         cause: &str,
-    ) -> Result<Option<OpenEnd>, Refusal> {
+    ) -> Result<Option<OpenOutcome>, Refusal> {
         self.may_have_run = true;
-        self.look = Some(spawn_failure_probe(&self.context, &self.request, entry));
-        self.note_no_answer(entry, ticket, cause);
-        self.note_failed_send(entry, cause);
-        if self.request.route.is_idempotent() { Ok(None) } else { Err(self.conclude()) }
+        self.probe = Some(spawn_failure_probe(&self.context, &self.request, entry));
+        self.record_no_response(entry, ticket, cause);
+        self.record_failed_send(entry, cause);
+        if self.request.route.is_idempotent() { Ok(None) } else { Err(self.final_refusal()) }
     }
 
     /// Nothing was sent, so another engine may be.
-    fn note_not_sent(&mut self, entry: &BackendEntry, ticket: &StreamTicket, cause: &str) {
+    fn record_not_sent(&mut self, entry: &BackendEntry, ticket: &StreamTicket, cause: &str) {
         if entry.stage.is_none() {
             self.context.backend_tracker.record_connect_failure(&entry.instance(), cause);
         }
         ticket.note_fault(entry, EngineFault::Unreachable);
-        self.note_failed_send(entry, cause);
+        self.record_failed_send(entry, cause);
     }
 
     /// It did not run: an engine that reserves memory and refuses the request changes its part.
-    fn note_refused_reserved(
+    fn record_refused_reservation(
         &mut self,
         entry: &BackendEntry,
         ticket: &StreamTicket,
         status: StatusCode,
     ) {
         ticket.note_fault(entry, EngineFault::ReservedRefused);
-        self.note_failed_send(entry, &format!("refused with {status}, not run"));
+        self.record_failed_send(entry, &format!("refused with {status}, not run"));
     }
 
-    fn note_failed_send(&mut self, entry: &BackendEntry, cause: &str) {
+    fn record_failed_send(&mut self, entry: &BackendEntry, cause: &str) {
         self.tried.push(entry);
         log_send_failed(&self.request, &entry.id, cause);
     }
--- a/crates/dillspool_forward/src/handle.rs
+++ b/crates/dillspool_forward/src/handle.rs
@@ -8,7 +8,7 @@
 use hyper::Response;
 
 use crate::context::ForwardContext;
-use crate::generate::answer_stream;
+use crate::generate::handle_stream;
 use crate::plain::{PlainResponse, handle_plain};
 use crate::refusal::{Refusal, RefusalCause};
 use crate::trace::{RequestTrace, log_suspect_refused};
@@ -22,7 +22,7 @@
     let request = Arc::new(request);
     let mut trace = RequestTrace::new(&request, &context.metrics);
     context.budgets.record_request(&request.service);
-    let copy = match enter(&context, &request) {
+    let copy = match admit_copy(&context, &request) {
         Ok(copy) => copy,
         Err(refusal) => {
             trace.refused(&refusal);
@@ -56,7 +56,7 @@
             }
         }
         // On the heap, so that plain requests do not take the room of a stream.
-        RequestKind::Streaming => Box::pin(answer_stream(&context, &request, copy, trace)).await,
+        RequestKind::Streaming => Box::pin(handle_stream(&context, &request, copy, trace)).await,
     };
     match answered {
         Ok(response) => response,
@@ -74,7 +74,7 @@
 ///
 /// A request that crashes what runs it comes again under another id and at any host: where each copy is
 /// taken for a new request, every one of them ends an engine, with all that runs there.
-fn enter(context: &ForwardContext, request: &RoutedRequest) -> Result<CopyGuard, Refusal> {
+fn admit_copy(context: &ForwardContext, request: &RoutedRequest) -> Result<CopyGuard, Refusal> {
     context.suspects.enter(request.fingerprint).map_err(|refused| {
         log_suspect_refused(request, refused);
         match refused {
--- a/crates/dillspool_forward/src/metrics.rs
+++ b/crates/dillspool_forward/src/metrics.rs
@@ -31,12 +31,12 @@
 
 /// What became of the backend server of a run that broke off.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct BreakLabels {
+struct FailureLabels {
     /// `ended`, `lives`, `leaving` or `unclear`.
     found: &'static str,
 }
 
-impl EncodeLabelSet for BreakLabels {
+impl EncodeLabelSet for FailureLabels {
     fn encode(&self, encoder: &mut LabelSetEncoder<'_>) -> Result<(), std::fmt::Error> {
         write_labels(encoder, &[("found", self.found)])
     }
@@ -49,13 +49,13 @@
     in_flight: Gauge,
     first_part: Histogram,
     whole: Histogram,
-    repeated_sends: Counter,
+    retries: Counter,
     prefills: Counter,
     prefill_time: Histogram,
-    holds_refused: Counter,
-    overruled: Counter,
+    reservations_refused: Counter,
+    overruled_decisions: Counter,
     throttled: Counter,
-    broken_runs: Family<BreakLabels, Counter>,
+    failed_attempts: Family<FailureLabels, Counter>,
 }
 
 impl Default for ForwardMetrics {
@@ -67,19 +67,19 @@
             in_flight: Gauge::default(),
             first_part: Histogram::new(buckets()),
             whole: Histogram::new(buckets()),
-            repeated_sends: Counter::default(),
+            retries: Counter::default(),
             prefills: Counter::default(),
             prefill_time: Histogram::new(buckets()),
-            holds_refused: Counter::default(),
-            overruled: Counter::default(),
+            reservations_refused: Counter::default(),
+            overruled_decisions: Counter::default(),
             throttled: Counter::default(),
-            broken_runs: Family::default(),
+            failed_attempts: Family::default(),
         }
     }
 }
 
 impl ForwardMetrics {
-    /// Registers all figures.
+    /// Registers all stats.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("forward_requests", "Requests by outcome", self.requests.clone());
         registry.register("forward_in_flight", "Requests in flight", self.in_flight.clone());
@@ -98,7 +98,7 @@
         registry.register(
             "forward_repeated_sends",
             "Sends to another backend server",
-            self.repeated_sends.clone(),
+            self.retries.clone(),
         );
         registry.register("forward_prefills", "Prefills asked for", self.prefills.clone());
         registry.register_with_unit(
@@ -110,12 +110,12 @@
         registry.register(
             "forward_holds_refused",
             "Reservations that an engine refused",
-            self.holds_refused.clone(),
+            self.reservations_refused.clone(),
         );
         registry.register(
             "forward_overruled_decisions",
             "Decisions for a backend server that this host knows to leave or to be gone",
-            self.overruled.clone(),
+            self.overruled_decisions.clone(),
         );
         registry.register(
             "forward_throttled_sends",
@@ -125,15 +125,15 @@
         registry.register(
             "forward_broken_runs",
             "Runs that broke off, by what became of their backend servers",
-            self.broken_runs.clone(),
+            self.failed_attempts.clone(),
         );
     }
 
-    pub(crate) fn enter(&self) {
+    pub(crate) fn record_start(&self) {
         self.in_flight.inc();
     }
 
-    pub(crate) fn leave(&self, labels: &OutcomeLabels, lasted: Duration) {
+    pub(crate) fn record_end(&self, labels: &OutcomeLabels, lasted: Duration) {
         self.in_flight.dec();
         if labels.outcome == "answered" {
             self.whole.observe(lasted.as_secs_f64());
@@ -141,35 +141,35 @@
         self.requests.get_or_create(labels).inc();
     }
 
-    pub(crate) fn note_first_part(&self, after: Duration) {
+    pub(crate) fn record_first_part(&self, after: Duration) {
         self.first_part.observe(after.as_secs_f64());
     }
 
-    pub(crate) fn note_repeated_send(&self) {
-        self.repeated_sends.inc();
+    pub(crate) fn record_retry(&self) {
+        self.retries.inc();
     }
 
-    pub(crate) fn note_prefill(&self) {
+    pub(crate) fn record_prefill(&self) {
         self.prefills.inc();
     }
 
-    pub(crate) fn note_prefill_end(&self, took: Duration) {
+    pub(crate) fn record_prefill_duration(&self, took: Duration) {
         self.prefill_time.observe(took.as_secs_f64());
     }
 
-    pub(crate) fn note_hold_refused(&self) {
-        self.holds_refused.inc();
+    pub(crate) fn record_reservation_refused(&self) {
+        self.reservations_refused.inc();
     }
 
-    pub(crate) fn note_broken_run(&self, found: &'static str) {
-        self.broken_runs.get_or_create(&BreakLabels { found }).inc();
+    pub(crate) fn record_failed_attempt(&self, found: &'static str) {
+        self.failed_attempts.get_or_create(&FailureLabels { found }).inc();
     }
 
-    pub(crate) fn note_throttled(&self) {
+    pub(crate) fn record_throttled(&self) {
         self.throttled.inc();
     }
 
-    pub(crate) fn note_overruled(&self) {
-        self.overruled.inc();
+    pub(crate) fn record_overruled_decision(&self) {
+        self.overruled_decisions.inc();
     }
 }
--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -25,32 +25,33 @@
 
 /// Life of a reservation: a prefill, its move and the first event take well under a second, and
 /// a longer one keeps memory from others.
-const HOLD_LIFE: Duration = Duration::from_secs(2);
+const RESERVATION_TTL: Duration = Duration::from_secs(2);
 /// When to come back if a pool is not known yet; directories and configurations come within
 /// seconds.
-const UNKNOWN_POOL_RETRY: Duration = Duration::from_secs(1);
+const UNKNOWN_POOL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Memory reserved at an engine, given back unless it was used.
-pub(crate) struct HoldGuard {
+pub(crate) struct ReservationGuard {
     context: ForwardContext,
     entry: Arc<BackendEntry>,
-    pub(crate) hold: Option<Name>,
+    pub(crate) reservation: Option<Name>,
 }
 
-impl HoldGuard {
+impl ReservationGuard {
     /// For a backend server that reserves nothing.
     pub(crate) fn empty(context: &ForwardContext, entry: &Arc<BackendEntry>) -> Self {
-        Self { context: context.clone(), entry: Arc::clone(entry), hold: None }
+        Self { context: context.clone(), entry: Arc::clone(entry), reservation: None }
     }
 }
 
-impl Drop for HoldGuard {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
-        let Some(hold) = self.hold.take() else { return };
+        let Some(reservation) = self.reservation.take() else { return };
         if !should_release(&self.context, &self.entry) {
             return;
         }
-        let release = (self.context.calls.release_reservation)(Arc::clone(&self.entry), hold);
+        let release =
+            (self.context.calls.release_reservation)(Arc::clone(&self.entry), reservation);
         let id = BackendId::clone(&self.entry.id);
         self.context.tasks.spawn(async move {
             // A reservation that is not given back lapses by itself.
@@ -65,20 +66,20 @@
 pub(crate) struct Placement {
     pub(crate) entry: Arc<BackendEntry>,
     /// Tokens reserved there; 0 at a backend server that reserves nothing.
-    pub(crate) reserved: u64,
+    pub(crate) reserved_tokens: u64,
     /// Engine that reads the prompt; `None` when the decode engine does.
     pub(crate) prefill: Option<Name>,
-    pub(crate) hold: HoldGuard,
+    pub(crate) reservation: ReservationGuard,
     pub(crate) ticket: StreamTicket,
 }
 
 impl Placement {
     /// At a backend server that plays no part and reserves nothing.
-    pub(crate) fn without_memory(context: &ForwardContext, entry: Arc<BackendEntry>) -> Self {
-        let hold = HoldGuard::empty(context, &entry);
+    pub(crate) fn without_reservation(context: &ForwardContext, entry: Arc<BackendEntry>) -> Self {
+        let reservation = ReservationGuard::empty(context, &entry);
         let load = context.backend_tracker.track_request(&entry.instance());
         let ticket = StreamTicket { schedule: None, _load: Some(load) };
-        Self { entry, reserved: 0, prefill: None, hold, ticket }
+        Self { entry, reserved_tokens: 0, prefill: None, reservation, ticket }
     }
 }
 
@@ -153,15 +154,15 @@
 }
 
 /// What became of a decision for an engine.
-enum PlaceTry {
+enum PlacementAttempt {
     /// It has reserved memory.
-    Taken(Arc<BackendEntry>, Name),
+    Reserved(Arc<BackendEntry>, Name),
     /// It has none, or does not answer.
     Refused,
     /// What it takes is spent, so it was not asked.
-    Closed,
+    Blocked,
     /// It takes no new requests as far as this host knows.
-    Gone,
+    Unavailable,
 }
 
 /// Finds engines for a request: asks where it runs and reserves memory there, once more where an
@@ -173,33 +174,36 @@
 ) -> Result<Placement, Refusal> {
     let ticket = context.schedule.open(&request.service);
     let class = question.class;
-    let mut closed = 0;
+    let mut blocked = 0;
     loop {
         let decided = ticket.ask(&question).await;
         let placement = match decided {
             Some(PlacementDecision::Place(placement)) => placement,
             Some(PlacementDecision::TurnAway { cause, come_back }) => {
                 log_placement_rejected(context, request, &question, cause, come_back);
-                return Err(turned_away(context, request, cause, come_back));
+                return Err(placement_refusal(context, request, cause, come_back));
             }
             Some(PlacementDecision::Wait) | None => {
-                return Err(Refusal::with_retry_after(RefusalCause::NoBackend, UNKNOWN_POOL_RETRY));
+                return Err(Refusal::with_retry_after(
+                    RefusalCause::NoBackend,
+                    UNKNOWN_POOL_RETRY_AFTER,
+                ));
             }
         };
         let mut refusals = question.refusals + 1;
         match try_place(context, request, &ticket, &placement).await {
-            PlaceTry::Taken(entry, hold) => {
-                return Ok(taken(context, entry, placement, hold, ticket));
+            PlacementAttempt::Reserved(entry, reservation) => {
+                return Ok(build_placement(context, entry, placement, reservation, ticket));
             }
-            PlaceTry::Refused => {}
-            PlaceTry::Closed => {
+            PlacementAttempt::Refused => {}
+            PlacementAttempt::Blocked => {
                 refusals = question.refusals;
                 question.excluded.push(Name::clone(&placement.decode));
-                closed += 1;
+                blocked += 1;
             }
-            PlaceTry::Gone => question.excluded.push(Name::clone(&placement.decode)),
+            PlacementAttempt::Unavailable => question.excluded.push(Name::clone(&placement.decode)),
         }
-        if closed >= MAX_BLOCKED_BACKENDS
+        if blocked >= MAX_BLOCKED_BACKENDS
             && let Some(refusal) = refusal_if_blocked(context, request)
         {
             return Err(refusal);
@@ -219,45 +223,49 @@
     request: &RoutedRequest,
     ticket: &PlacementTicket,
     placement: &StreamPlacement,
-) -> PlaceTry {
+) -> PlacementAttempt {
     let Some(entry) = context.ready_entry(request, &placement.decode) else {
-        return PlaceTry::Gone;
+        return PlacementAttempt::Unavailable;
     };
     let Some(permit) = acquire_permit(context, request, &entry, RESERVED_REQUEST_COST).await else {
-        return PlaceTry::Closed;
+        return PlacementAttempt::Blocked;
     };
     match reserve(context, request, ticket, &entry, placement).await {
-        Ok(hold) => PlaceTry::Taken(entry, hold),
+        Ok(reservation) => PlacementAttempt::Reserved(entry, reservation),
         Err(CallError::NotSent { .. }) => {
             permit.refund();
-            PlaceTry::Refused
+            PlacementAttempt::Refused
         }
-        Err(CallError::Refused { .. } | CallError::Lost { .. }) => PlaceTry::Refused,
+        Err(CallError::Refused { .. } | CallError::Lost { .. }) => PlacementAttempt::Refused,
     }
 }
 
-fn taken(
+fn build_placement(
     context: &ForwardContext,
     entry: Arc<BackendEntry>,
     placement: StreamPlacement,
-    hold: Name,
+    reservation: Name,
     ticket: PlacementTicket,
 ) -> Placement {
-    let reserved = placement.reserve_tokens;
-    let hold = HoldGuard { context: context.clone(), entry: Arc::clone(&entry), hold: Some(hold) };
+    let reserved_tokens = placement.reserve_tokens;
+    let reservation = ReservationGuard {
+        context: context.clone(),
+        entry: Arc::clone(&entry),
+        reservation: Some(reservation),
+    };
     let ticket = StreamTicket { schedule: Some(ticket), _load: None };
-    Placement { entry, reserved, prefill: placement.prefill, hold, ticket }
+    Placement { entry, reserved_tokens, prefill: placement.prefill, reservation, ticket }
 }
 
 /// The refusal of a request for which there is no engine; where some are closed, until those take requests.
-fn turned_away(
+fn placement_refusal(
     context: &ForwardContext,
     request: &RoutedRequest,
     cause: TurnAwayCause,
     come_back: Duration,
 ) -> Refusal {
-    let closed = (cause == TurnAwayCause::NoEngine).then(|| refusal_if_blocked(context, request));
-    closed.flatten().unwrap_or(Refusal::with_retry_after(refusal_cause(cause), come_back))
+    let blocked = (cause == TurnAwayCause::NoEngine).then(|| refusal_if_blocked(context, request));
+    blocked.flatten().unwrap_or(Refusal::with_retry_after(refusal_cause(cause), come_back))
 }
 
 fn refusal_cause(cause: TurnAwayCause) -> RefusalCause {
@@ -277,14 +285,14 @@
     entry: &Arc<BackendEntry>,
     placement: &StreamPlacement,
 ) -> Result<Name, CallError> {
-    let terms = ReservationParams { tokens: placement.reserve_tokens, ttl: HOLD_LIFE };
+    let terms = ReservationParams { tokens: placement.reserve_tokens, ttl: RESERVATION_TTL };
     let error = match (context.calls.reserve)(Arc::clone(entry), terms).await {
-        Ok(hold) => return Ok(hold),
+        Ok(reservation) => return Ok(reservation),
         Err(error) => error,
     };
     let fault = match &error {
         CallError::Refused { .. } => {
-            context.metrics.note_hold_refused();
+            context.metrics.record_reservation_refused();
             EngineFault::NoMemory
         }
         CallError::NotSent { .. } => EngineFault::Unreachable,
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -239,7 +239,7 @@
             permit.refund();
             return None;
         }
-        context.metrics.note_repeated_send();
+        context.metrics.record_retry();
     }
     Some((entry, view.version, permit))
 }
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -21,10 +21,10 @@
 
 /// Longest wait for a prefill; its engine queues prompts one after another. One that is given up
 /// may be read for nothing, at nearly the worth of its answer.
-const PREFILL_LIMIT: Duration = Duration::from_millis(2500);
+const PREFILL_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Age of a request from which no other engine is asked after a failed prefill; the first event
 /// would be late then.
-const LATEST_REPEAT: Duration = Duration::from_millis(700);
+const MAX_AGE_FOR_RETRY: Duration = Duration::from_millis(700);
 /// A prefill's result, given up unless it was used.
 pub(crate) struct PrefillGuard {
     context: ForwardContext,
@@ -61,10 +61,10 @@
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     placement: &Placement,
-    rank: WorkPriority,
+    priority: WorkPriority,
 ) -> PrefillGuard {
     let mut guard = PrefillGuard::empty(context);
-    guard.prefilled = prefill_at(context, request, placement, rank).await;
+    guard.prefilled = try_prefill_engines(context, request, placement, priority).await;
     if guard.prefilled.is_none() && placement.prefill.is_some() {
         placement.ticket.note(&DeskNote::ReadsItself);
     }
@@ -72,25 +72,25 @@
 }
 
 /// A prefill's result, of the engine that was decided on or, where that failed, of another one.
-async fn prefill_at(
+async fn try_prefill_engines(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     placement: &Placement,
-    rank: WorkPriority,
+    priority: WorkPriority,
 ) -> Option<PrefilledPrompt> {
     let mut next = placement.prefill.clone();
     let mut tried = Vec::new();
     while let Some(id) = next.take() {
         tried.push(BackendId::clone(&id));
         let Some(entry) = context.ready_entry(request, &id) else {
-            next = ask_for_another(context, request, placement, rank, &tried).await;
+            next = next_prefill_engine(context, request, placement, priority, &tried).await;
             continue;
         };
         let Some(send) = acquire_permit(context, request, &entry, REQUEST_COST).await else {
             if tried.len() >= MAX_BLOCKED_BACKENDS {
                 return None;
             }
-            next = ask_for_another(context, request, placement, rank, &tried).await;
+            next = next_prefill_engine(context, request, placement, priority, &tried).await;
             continue;
         };
         let Some(permit) = context.budgets.reserve(&request.service) else {
@@ -99,7 +99,7 @@
             return None;
         };
         let started = Instant::now();
-        let error = match ask(context, request, &entry, rank).await {
+        let error = match request_prefill(context, request, &entry, priority).await {
             Ok(prefilled) => {
                 permit.release();
                 placement.ticket.note(&DeskNote::Prefilled { took: started.elapsed() });
@@ -118,28 +118,28 @@
             send.refund();
         }
         if matches!(error, CallError::Lost { .. }) {
-            let mut look = Some(spawn_failure_probe(context, request, &entry));
-            if !may_retry(context, request, &mut look).await {
+            let mut probe = Some(spawn_failure_probe(context, request, &entry));
+            if !may_retry(context, request, &mut probe).await {
                 return None;
             }
         }
-        if !may_ask_again(context, request, &error, permit) {
+        if !settle_failed_prefill(context, request, &error, permit) {
             return None;
         }
-        next = ask_for_another(context, request, placement, rank, &tried).await;
+        next = next_prefill_engine(context, request, placement, priority, &tried).await;
     }
     None
 }
 
 /// Another prefill engine than those that were tried.
-async fn ask_for_another(
+async fn next_prefill_engine(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     placement: &Placement,
-    rank: WorkPriority,
+    priority: WorkPriority,
     tried: &[BackendId],
 ) -> Option<BackendId> {
-    let class = if rank == WorkPriority::Late { WorkClass::Late } else { WorkClass::InTime };
+    let class = if priority == WorkPriority::Late { WorkClass::Late } else { WorkClass::InTime };
     let question = placement_request(context, request, class, request.remaining(), tried);
     placement.ticket.ask_prefill(&question).await
 }
@@ -153,33 +153,33 @@
 }
 
 /// Asks one engine for a prefill.
-async fn ask(
+async fn request_prefill(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     entry: &Arc<BackendEntry>,
-    rank: WorkPriority,
+    priority: WorkPriority,
 ) -> Result<PrefilledPrompt, CallError> {
-    context.metrics.note_prefill();
-    let limit = request.remaining().min(PREFILL_LIMIT);
-    let terms = PrefillParams { limit, priority: rank };
+    context.metrics.record_prefill();
+    let limit = request.remaining().min(PREFILL_TIMEOUT);
+    let terms = PrefillParams { limit, priority };
     let call = (context.calls.prefill)(Arc::clone(entry), Arc::clone(request), terms);
     let call = context.cancel_on_restart(entry, call);
     let started = Instant::now();
     let ended = request.clock.timeout(limit, call).await;
     let took = started.elapsed();
-    context.metrics.note_prefill_end(took);
+    context.metrics.record_prefill_duration(took);
     let silent = |MomentPassed| CallError::Lost { reason: format!("no prefill within {limit:?}") };
     ended.map_err(silent)?
 }
 
 /// Settles the budget of a failed prefill and tells whether another engine may be asked.
-fn may_ask_again(
+fn settle_failed_prefill(
     context: &ForwardContext,
     request: &RoutedRequest,
     error: &CallError,
     permit: RetryReservation,
 ) -> bool {
-    let in_time = request.age() < LATEST_REPEAT;
+    let in_time = request.age() < MAX_AGE_FOR_RETRY;
     match error {
         CallError::NotSent { .. } => {
             permit.release();
--- a/crates/dillspool_forward/src/reader.rs
+++ b/crates/dillspool_forward/src/reader.rs
@@ -32,7 +32,7 @@
     pub(crate) last_at: Instant,
     /// Ends with the cause for which the stream is over, whatever still comes. One for all events, since each
     /// would set up its timer and its watches anew.
-    over: BoxFuture<&'static str>,
+    cutoff: BoxFuture<&'static str>,
     held: ExchangeBytes,
     /// Charges the part of an event that has come.
     partial: ByteGuard,
@@ -43,42 +43,42 @@
     pub(crate) fn new(
         open: OpenStream,
         last_event: Option<u64>,
-        over: BoxFuture<&'static str>,
+        cutoff: BoxFuture<&'static str>,
         held: ExchangeBytes,
     ) -> Self {
         let (splitter, last_at) = (EventSplitter::default(), Instant::now());
         let partial = held.guard();
-        Self { open, splitter, last_event, last_at, over, held, partial }
+        Self { open, splitter, last_event, last_at, cutoff, held, partial }
     }
 
     /// The caller takes events again. Where it may pause the stream, the silence that its pause caused is
     /// not the engine's.
-    pub(crate) fn resume(&mut self) {
+    pub(crate) fn reset_stall_timer(&mut self) {
         if self.held.terms().is_some() {
             self.last_at = Instant::now();
         }
     }
 
-    /// Reads until at least one event is whole; `None` if nothing came until `look_at`, and the stream is as
+    /// Reads until at least one event is whole; `None` if nothing came until `until`, and the stream is as
     /// good as before.
     ///
     /// Dropping the future loses nothing that was read.
-    pub(crate) async fn read(&mut self, look_at: Option<Instant>) -> Option<ReadPart> {
-        let look = async {
-            match look_at {
-                Some(look_at) => tokio::time::sleep_until(look_at).await,
+    pub(crate) async fn read(&mut self, until: Option<Instant>) -> Option<ReadPart> {
+        let timer = async {
+            match until {
+                Some(until) => tokio::time::sleep_until(until).await,
                 None => std::future::pending().await,
             }
         };
-        let mut look = pin!(look);
+        let mut timer = pin!(timer);
         loop {
             let frame = tokio::select! {
                 biased;
                 frame = self.open.body.frame() => frame,
-                cause = &mut self.over => return Some(ReadPart::Broken(cause.to_owned())),
-                () = &mut look => return None,
+                cause = &mut self.cutoff => return Some(ReadPart::Broken(cause.to_owned())),
+                () = &mut timer => return None,
             };
-            let part = self.take_frame(frame);
+            let part = self.handle_frame(frame);
             let partial = self.splitter.len() as u64;
             if part.is_some() || !self.partial.try_set(partial) {
                 self.partial.set(partial);
@@ -91,7 +91,7 @@
     }
 
     /// Takes what came; `None` while no event is whole.
-    fn take_frame(&mut self, frame: Option<Result<Frame<Bytes>, BoxError>>) -> Option<ReadPart> {
+    fn handle_frame(&mut self, frame: Option<Result<Frame<Bytes>, BoxError>>) -> Option<ReadPart> {
         let frame = match frame {
             Some(Ok(frame)) => frame,
             Some(Err(error)) => return Some(ReadPart::Broken(error.to_string())),
@@ -99,7 +99,7 @@
             None => return Some(ReadPart::Broken("it ended within an event".to_owned())),
         };
         self.splitter.push(&frame.into_data().ok()?);
-        if self.splitter.is_overlong() {
+        if self.splitter.is_too_long() {
             return Some(ReadPart::Broken("an event without end".to_owned()));
         }
         match self.take_events() {
--- a/crates/dillspool_forward/src/refusal.rs
+++ b/crates/dillspool_forward/src/refusal.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether its backend servers have room again in a while.
-    pub(crate) fn is_limited(&self) -> bool {
+    pub(crate) fn is_backends_limited(&self) -> bool {
         self.cause == RefusalCause::BackendsLimited
     }
 
--- a/crates/dillspool_forward/src/relay.rs
+++ b/crates/dillspool_forward/src/relay.rs
@@ -10,22 +10,22 @@
 use hyper::body::Frame;
 use tokio::time::Instant;
 
-use crate::generate::{Generation, OpenStream, PreparedSend};
+use crate::generate::{ModelRequest, OpenStream, PreparedAttempt};
 use crate::reader::{ReadPart, StreamReader};
 use crate::refusal::Refusal;
-use crate::stages::StreamFigures;
+use crate::stages::StreamStats;
 use crate::trace::RequestTrace;
 
 /// Silence after which another engine is looked for. Callers give up after two seconds at the
 /// earliest, and a new prefill takes some hundred milliseconds.
-const STALL_LIMIT: Duration = Duration::from_millis(1300);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1300);
 /// Pause before another engine is looked for once more for a stream that is still silent.
-const LOOK_AGAIN: Duration = Duration::from_secs(1);
+const SEARCH_INTERVAL: Duration = Duration::from_secs(1);
 /// Time since the last event for which memory is waited for after a stream broke; callers give
 /// up after two seconds without an event at the earliest.
-const REOPEN_PATIENCE: Duration = Duration::from_secs(2);
+const RESUME_MAX_WAIT: Duration = Duration::from_secs(2);
 /// Pause before a broken answer's connection is closed, so that events handed over are written.
-const BREAK_PAUSE: Duration = Duration::from_millis(20);
+const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
 /// What comes next for the caller.
 enum NextPart {
@@ -34,37 +34,37 @@
     /// The engine's stream is of no more use.
     Broken(String),
     /// Another engine can go on in place of one that is silent.
-    Elsewhere(Box<PreparedSend>),
+    Replacement(Box<PreparedAttempt>),
 }
 
 /// A stream under way; dropping it closes the engine's connection.
 pub(crate) struct StreamRelay {
-    generation: Generation,
+    model_request: ModelRequest,
     reader: Option<StreamReader>,
     trace: RequestTrace,
     status: u16,
-    figures: StreamFigures,
+    stats: StreamStats,
     /// When the stream was opened.
     opened_at: Instant,
     /// When another engine may be looked for at the earliest.
-    next_look: Instant,
+    next_search_at: Instant,
 }
 
 impl StreamRelay {
-    pub(crate) fn new(generation: Generation, open: OpenStream, trace: RequestTrace) -> Self {
+    pub(crate) fn new(model_request: ModelRequest, open: OpenStream, trace: RequestTrace) -> Self {
         let status = open.status.as_u16();
-        let last_event = generation.last_event;
+        let last_event = model_request.last_event;
         let read_at_decode = open.read_at_decode;
-        let over = generation.stream_over(&open.entry);
-        let held = generation.request.held_bytes.clone();
+        let cutoff = model_request.wait_for_cutoff(&open.entry);
+        let held = model_request.request.held_bytes.clone();
         Self {
-            generation,
-            reader: Some(StreamReader::new(open, last_event, over, held)),
+            model_request,
+            reader: Some(StreamReader::new(open, last_event, cutoff, held)),
             trace,
             status,
-            figures: StreamFigures { read_at_decode, ..StreamFigures::default() },
+            stats: StreamStats { read_at_decode, ..StreamStats::default() },
             opened_at: Instant::now(),
-            next_look: Instant::now(),
+            next_search_at: Instant::now(),
         }
     }
 
@@ -76,36 +76,38 @@
 
     async fn next(&mut self) -> Result<Option<Bytes>, BoxError> {
         if let Some(reader) = &mut self.reader {
-            reader.resume();
+            reader.reset_stall_timer();
         }
         loop {
             match self.read().await {
                 NextPart::Events(bytes) => {
                     // From here on the caller's connection charges what its caller leaves unread.
-                    drop(self.generation.request.held_bytes.hold(bytes.len() as u64).await);
+                    drop(self.model_request.request.held_bytes.hold(bytes.len() as u64).await);
                     return Ok(Some(bytes));
                 }
                 NextPart::End => {
-                    self.end_well();
+                    self.finish();
                     return Ok(None);
                 }
                 NextPart::Broken(cause) => {
-                    let last_at = self.figures.last_at.unwrap_or(self.opened_at);
-                    let patience = last_at + REOPEN_PATIENCE;
-                    self.generation.wait_for_engines_until(patience);
-                    self.go_on(&cause, None).await?;
+                    let last_at = self.stats.last_at.unwrap_or(self.opened_at);
+                    let resume_deadline = last_at + RESUME_MAX_WAIT;
+                    self.model_request.extend_engine_wait(resume_deadline);
+                    self.resume_elsewhere(&cause, None).await?;
+                }
+                NextPart::Replacement(prepared) => {
+                    self.resume_elsewhere("silence", Some(*prepared)).await?
                 }
-                NextPart::Elsewhere(prepared) => self.go_on("silence", Some(*prepared)).await?,
             }
         }
     }
 
-    fn end_well(&mut self) {
-        let event_gap = self.figures.mean_gap();
+    fn finish(&mut self) {
+        let event_gap = self.stats.mean_event_gap();
         if let Some(reader) = &mut self.reader {
-            self.generation.note_success(&mut reader.open, event_gap);
+            self.model_request.record_success(&mut reader.open, event_gap);
         }
-        self.trace.streamed(self.status, &self.generation.stages, &self.figures);
+        self.trace.streamed(self.status, &self.model_request.stages, &self.stats);
     }
 
     /// Reads on; a silent engine keeps its stream until another one is ready to take it over,
@@ -115,29 +117,30 @@
             let Some(reader) = &mut self.reader else {
                 return NextPart::Broken("no stream is open".to_owned());
             };
-            let may_look = self.generation.can_reopen();
-            let look_at = may_look.then(|| self.next_look.max(reader.last_at + STALL_LIMIT));
-            if let Some(part) = reader.read(look_at).await {
-                return self.take(part);
+            let can_resume = self.model_request.can_resume();
+            let search_at =
+                can_resume.then(|| self.next_search_at.max(reader.last_at + STALL_TIMEOUT));
+            if let Some(part) = reader.read(search_at).await {
+                return self.deliver(part);
             }
-            if let Some(part) = self.look_elsewhere().await {
+            if let Some(part) = self.find_replacement().await {
                 return part;
             }
         }
     }
 
     /// Looks for another engine until the silent one's events come; `None` when there is none.
-    async fn look_elsewhere(&mut self) -> Option<NextPart> {
+    async fn find_replacement(&mut self) -> Option<NextPart> {
         let reader = self.reader.as_mut()?;
         let silent = Arc::clone(&reader.open.entry);
         tokio::select! {
             biased;
-            part = reader.read(None) => part.map(|part| self.take(part)),
-            prepared = self.generation.prepare_beside(&silent) => match prepared {
-                Ok(prepared) => Some(NextPart::Elsewhere(Box::new(prepared))),
+            part = reader.read(None) => part.map(|part| self.deliver(part)),
+            prepared = self.model_request.prepare_replacement(&silent) => match prepared {
+                Ok(prepared) => Some(NextPart::Replacement(Box::new(prepared))),
                 Err(refusal) => {
-                    log_no_other(&self.generation, refusal);
-                    self.next_look = Instant::now() + LOOK_AGAIN;
+                    log_no_replacement(&self.model_request, refusal);
+                    self.next_search_at = Instant::now() + SEARCH_INTERVAL;
                     None
                 }
             },
@@ -145,10 +148,10 @@
     }
 
     /// What a part of the engine's stream is for the caller.
-    fn take(&mut self, part: ReadPart) -> NextPart {
+    fn deliver(&mut self, part: ReadPart) -> NextPart {
         match part {
             ReadPart::Events(bytes, count) => {
-                self.note_events(count);
+                self.record_events(count);
                 NextPart::Events(bytes)
             }
             ReadPart::End => NextPart::End,
@@ -156,18 +159,18 @@
         }
     }
 
-    fn note_events(&mut self, count: u64) {
-        let age = self.generation.request.age();
-        match self.figures.note_events(count, age) {
-            None => self.generation.note_first_event(age),
-            Some(pause) => self.log_pause(pause),
+    fn record_events(&mut self, count: u64) {
+        let age = self.model_request.request.age();
+        match self.stats.record_events(count, age) {
+            None => self.model_request.record_first_event(age),
+            Some(pause) => self.log_long_pause(pause),
         }
     }
 
     /// A pause that makes an answer late is told with its moment, since its cause lies in what else
     /// its engine did then.
-    fn log_pause(&self, pause: Duration) {
-        let request = &self.generation.request;
+    fn log_long_pause(&self, pause: Duration) {
+        let request = &self.model_request.request;
         if request.route.max_event_gap.is_none_or(|target| pause <= target) {
             return;
         }
@@ -176,48 +179,53 @@
             request.id,
             self.reader.as_ref().map_or("", |reader| &*reader.open.entry.id),
             pause.as_millis(),
-            self.figures.events,
+            self.stats.events,
             request.age().as_millis(),
         );
     }
 
     /// Goes on at another engine, or ends the answer as broken.
-    async fn go_on(&mut self, cause: &str, prepared: Option<PreparedSend>) -> Result<(), BoxError> {
+    async fn resume_elsewhere(
+        &mut self,
+        cause: &str,
+        prepared: Option<PreparedAttempt>,
+    ) -> Result<(), BoxError> {
         let failed = self.reader.take();
-        let request = Arc::clone(&self.generation.request);
+        let request = Arc::clone(&self.model_request.request);
         log::info!(
             "event=stream_broke id={} backend={} events={} after_ms={} cause=\"{cause}\"",
             request.id,
             failed.as_ref().map_or("", |reader| &*reader.open.entry.id),
-            self.figures.events,
+            self.stats.events,
             request.age().as_millis(),
         );
         if let Some(failed) = failed {
-            self.generation.last_event = failed.last_event;
-            self.generation.note_broken(&failed.open, cause);
+            self.model_request.last_event = failed.last_event;
+            self.model_request.record_broken_stream(&failed.open, cause);
         }
-        match self.generation.reopen(prepared).await {
+        match self.model_request.resume(prepared).await {
             Ok(open) => {
-                self.figures.reopened += 1;
-                let over = self.generation.stream_over(&open.entry);
-                let (last_event, held) = (self.generation.last_event, request.held_bytes.clone());
-                self.reader = Some(StreamReader::new(open, last_event, over, held));
+                self.stats.resumes += 1;
+                let cutoff = self.model_request.wait_for_cutoff(&open.entry);
+                let (last_event, held) =
+                    (self.model_request.last_event, request.held_bytes.clone());
+                self.reader = Some(StreamReader::new(open, last_event, cutoff, held));
                 Ok(())
             }
             Err(refusal) => {
                 let detail = format!("{cause}; not resumed: {}", refusal.cause.name());
-                self.trace.stream_broken(&detail, &self.generation.stages, &self.figures);
+                self.trace.stream_broken(&detail, &self.model_request.stages, &self.stats);
                 Err(detail.into())
             }
         }
     }
 }
 
-fn log_no_other(generation: &Generation, refusal: Refusal) {
+fn log_no_replacement(model_request: &ModelRequest, refusal: Refusal) {
     log::info!(
         "event=stream_silent id={} after_ms={} cause=\"no other engine: {}\"",
-        generation.request.id,
-        generation.request.age().as_millis(),
+        model_request.request.id,
+        model_request.request.age().as_millis(),
         refusal.cause.name(),
     );
 }
@@ -232,7 +240,7 @@
             Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
             Ok(None) => None,
             Err(error) => {
-                tokio::time::sleep(BREAK_PAUSE).await;
+                tokio::time::sleep(CLOSE_DELAY).await;
                 Some((Err(error), None))
             }
         }
--- a/crates/dillspool_forward/src/response_body.rs
+++ b/crates/dillspool_forward/src/response_body.rs
@@ -28,9 +28,9 @@
 use crate::trace::RequestTrace;
 
 /// Largest answer that is read whole where bytes held are not limited, in bytes.
-const LARGEST_WHOLE: usize = 16 * 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 16 * 1024 * 1024;
 /// Pause before a broken answer's connection is closed, so that parts handed over are written.
-const BREAK_PAUSE: Duration = Duration::from_millis(20);
+const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
 /// The body of an answer as far as it was read before any of it is passed on.
 pub(crate) enum BufferedBody {
@@ -46,18 +46,18 @@
     body: ResponseBody,
 ) -> Result<BufferedBody, BoxError> {
     let Some(terms) = request.held_bytes.terms() else {
-        return read_response_body(body, LARGEST_WHOLE).await.map(BufferedBody::Complete);
+        return read_response_body(body, MAX_BUFFERED_BYTES).await.map(BufferedBody::Complete);
     };
     if !request.accepts_chunked && body.size_hint().exact().is_none() {
         // Nothing would show the caller that the answer ended early.
-        return read_within_budget(&request.held_bytes, body, LARGEST_WHOLE)
+        return read_within_budget(&request.held_bytes, body, MAX_BUFFERED_BYTES)
             .await
             .map(BufferedBody::Complete);
     }
     let mut body = body;
-    let mut parts = HeldParts::default();
+    let mut parts = ChargedChunks::default();
     while parts.length <= terms.answer_bytes {
-        match next_part(&request.held_bytes, &mut body).await? {
+        match next_chunk(&request.held_bytes, &mut body).await? {
             Some((bytes, guard)) => parts.push(bytes, guard),
             None => return Ok(BufferedBody::Complete(parts.join())),
         }
@@ -65,7 +65,7 @@
     if body.is_end_stream() {
         return Ok(BufferedBody::Complete(parts.join()));
     }
-    Ok(BufferedBody::Partial(parts.separate(), body))
+    Ok(BufferedBody::Partial(parts.into_chunks(), body))
 }
 
 /// Reads the whole body of a response of at most `limit` bytes, charged as it comes.
@@ -77,8 +77,8 @@
     if held.terms().is_none() {
         return read_response_body(body, limit).await;
     }
-    let mut parts = HeldParts::default();
-    while let Some((bytes, guard)) = next_part(held, &mut body).await? {
+    let mut parts = ChargedChunks::default();
+    while let Some((bytes, guard)) = next_chunk(held, &mut body).await? {
         parts.push(bytes, guard);
         if parts.length > limit {
             return Err(format!("the body is over {limit} bytes").into());
@@ -88,7 +88,7 @@
 }
 
 /// The next part of a body, once it fits into the budget.
-async fn next_part(
+async fn next_chunk(
     held: &ExchangeBytes,
     body: &mut ResponseBody,
 ) -> Result<Option<(Bytes, ByteGuard)>, BoxError> {
@@ -103,18 +103,18 @@
 }
 
 #[derive(Default)]
-struct HeldParts {
+struct ChargedChunks {
     parts: VecDeque<(Bytes, ByteGuard)>,
     length: usize,
 }
 
-impl HeldParts {
+impl ChargedChunks {
     fn push(&mut self, bytes: Bytes, guard: ByteGuard) {
         self.length += bytes.len();
         self.parts.push_back((bytes, guard));
     }
 
-    fn separate(self) -> VecDeque<Bytes> {
+    fn into_chunks(self) -> VecDeque<Bytes> {
         self.parts.into_iter().map(|(bytes, guard)| guard.attach(bytes)).collect()
     }
 
@@ -168,62 +168,62 @@
         if let Some(left) = self.body.size_hint().exact() {
             response.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(read + left));
         }
-        let passing = PassedAnswer {
-            answer: self,
+        let relay = ResponseRelay {
+            response: self,
             context: context.clone(),
             request: Arc::clone(request),
             trace,
             _copy: copy,
-            waited: Duration::ZERO,
+            caller_stalled: Duration::ZERO,
         };
-        tokio::spawn(passing.run(sender));
+        tokio::spawn(relay.run(sender));
         response
     }
 }
 
 /// How passing an answer on ended.
-enum PassEnd {
-    Whole,
+enum RelayOutcome {
+    Complete,
     CallerGone,
     Broken(String),
 }
 
-type PartSender = mpsc::Sender<Result<Bytes, BoxError>>;
+type ChunkSender = mpsc::Sender<Result<Bytes, BoxError>>;
 
 /// An answer on its way; dropping it closes the backend server's connection.
-struct PassedAnswer {
-    answer: PartialResponse,
+struct ResponseRelay {
+    response: PartialResponse,
     context: ForwardContext,
     request: Arc<RoutedRequest>,
     trace: RequestTrace,
     /// Counts among the copies of the request that run here.
     _copy: CopyGuard,
     /// Time for which the caller's connection took nothing.
-    waited: Duration,
+    caller_stalled: Duration,
 }
 
-impl PassedAnswer {
-    async fn run(mut self, sender: PartSender) {
-        match self.pass(&sender).await {
-            PassEnd::Whole => self.end_whole(),
+impl ResponseRelay {
+    async fn run(mut self, sender: ChunkSender) {
+        match self.relay_chunks(&sender).await {
+            RelayOutcome::Complete => self.finish_complete(),
             // The trace reports it when it is dropped.
-            PassEnd::CallerGone => {}
-            PassEnd::Broken(cause) => {
-                self.end_broken(&cause);
+            RelayOutcome::CallerGone => {}
+            RelayOutcome::Broken(cause) => {
+                self.finish_broken(&cause);
                 // The backend server's connection is closed first.
                 drop(self);
-                tokio::time::sleep(BREAK_PAUSE).await;
+                tokio::time::sleep(CLOSE_DELAY).await;
                 // A caller that has gone needs no end.
                 let _caller_gone = sender.send(Err(cause.into())).await;
             }
         }
     }
 
-    async fn pass(&mut self, sender: &PartSender) -> PassEnd {
+    async fn relay_chunks(&mut self, sender: &ChunkSender) -> RelayOutcome {
         let (context, request) = (self.context.clone(), Arc::clone(&self.request));
-        let entry = Arc::clone(&self.answer.entry);
+        let entry = Arc::clone(&self.response.entry);
         let stall = request.held_bytes.terms().map_or(Duration::MAX, |terms| terms.stall);
-        let mut over = std::pin::pin!(async {
+        let mut cutoff = std::pin::pin!(async {
             tokio::select! {
                 () = request.wait_for_deadline() => "the time limit",
                 () = context.wait_for_restart(&entry) => RESTARTED_CAUSE,
@@ -233,42 +233,43 @@
             let since = request.clock.now();
             let permit = tokio::select! {
                 biased;
-                cause = &mut over => return PassEnd::Broken(cause.to_owned()),
+                cause = &mut cutoff => return RelayOutcome::Broken(cause.to_owned()),
                 permit = sender.reserve() => permit,
             };
-            self.waited += request.clock.since(since);
-            let Ok(permit) = permit else { return PassEnd::CallerGone };
-            if let Some(part) = self.answer.parts.pop_front() {
+            self.caller_stalled += request.clock.since(since);
+            let Ok(permit) = permit else { return RelayOutcome::CallerGone };
+            if let Some(part) = self.response.parts.pop_front() {
                 permit.send(Ok(part));
                 continue;
             }
             let part = tokio::select! {
                 biased;
-                cause = &mut over => return PassEnd::Broken(cause.to_owned()),
-                () = sender.closed() => return PassEnd::CallerGone,
-                part = next_part(&request.held_bytes, &mut self.answer.body) => part,
+                cause = &mut cutoff => return RelayOutcome::Broken(cause.to_owned()),
+                () = sender.closed() => return RelayOutcome::CallerGone,
+                part = next_chunk(&request.held_bytes, &mut self.response.body) => part,
                 () = tokio::time::sleep(stall) => {
                     request.held_bytes.note_stalled(StalledSide::Backend);
-                    return PassEnd::Broken(format!("nothing more came for {stall:?}"));
+                    return RelayOutcome::Broken(format!("nothing more came for {stall:?}"));
                 }
             };
             match part {
                 Ok(Some((bytes, guard))) => permit.send(Ok(guard.attach(bytes))),
-                Ok(None) => return PassEnd::Whole,
-                Err(error) => return PassEnd::Broken(error.to_string()),
+                Ok(None) => return RelayOutcome::Complete,
+                Err(error) => return RelayOutcome::Broken(error.to_string()),
             }
-            if self.answer.body.is_end_stream() {
-                return PassEnd::Whole;
+            if self.response.body.is_end_stream() {
+                return RelayOutcome::Complete;
             }
         }
     }
 
-    fn end_whole(&mut self) {
-        let status = self.answer.status;
+    fn finish_complete(&mut self) {
+        let status = self.response.status;
         if !status.is_server_error() {
-            let took = self.request.clock.since(self.answer.sent_at).saturating_sub(self.waited);
-            self.context.backend_tracker.record_success(&self.answer.entry.instance(), took);
-            if let Some(mut call) = self.answer.call.take() {
+            let took =
+                self.request.clock.since(self.response.sent_at).saturating_sub(self.caller_stalled);
+            self.context.backend_tracker.record_success(&self.response.entry.instance(), took);
+            if let Some(mut call) = self.response.call.take() {
                 call.end(CallOutcome::Answered, took);
             }
         }
@@ -280,13 +281,13 @@
         }
     }
 
-    fn end_broken(&mut self, cause: &str) {
-        let entry = &self.answer.entry;
+    fn finish_broken(&mut self, cause: &str) {
+        let entry = &self.response.entry;
         // Found out beside the request, which is not sent again whatever is found.
-        let _look = spawn_failure_probe(&self.context, &self.request, entry);
+        let _probe = spawn_failure_probe(&self.context, &self.request, entry);
         self.context.backend_tracker.record_no_response(&entry.instance(), cause);
-        if let Some(mut call) = self.answer.call.take() {
-            call.end(CallOutcome::Lost, self.request.clock.since(self.answer.sent_at));
+        if let Some(mut call) = self.response.call.take() {
+            call.end(CallOutcome::Lost, self.request.clock.since(self.response.sent_at));
         }
         self.trace.response_broken(cause);
     }
--- a/crates/dillspool_forward/src/stages.rs
+++ b/crates/dillspool_forward/src/stages.rs
@@ -21,11 +21,11 @@
 
 /// How the events of a stream came.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct StreamFigures {
+pub(crate) struct StreamStats {
     /// Events passed on.
     pub(crate) events: u64,
     /// Time from the request's arrival to its first event.
-    pub(crate) first_after: Duration,
+    pub(crate) time_to_first_event: Duration,
     /// When the caller got the first event, if any.
     pub(crate) first_at: Option<Instant>,
     /// When the caller got the last event, if any.
@@ -33,26 +33,26 @@
     /// Longest time between two events.
     pub(crate) longest_pause: Duration,
     /// Times that the stream went on at another engine.
-    pub(crate) reopened: u32,
+    pub(crate) resumes: u32,
     /// Whether the prompt was read by the decode engine itself.
     pub(crate) read_at_decode: bool,
 }
 
-impl StreamFigures {
+impl StreamStats {
     /// Mean time between two events, if there were some.
-    pub(crate) fn mean_gap(&self) -> Option<Duration> {
+    pub(crate) fn mean_event_gap(&self) -> Option<Duration> {
         let gaps = u32::try_from(self.events.checked_sub(1)?).ok().filter(|gaps| *gaps > 0)?;
         Some(self.last_at?.saturating_duration_since(self.first_at?) / gaps)
     }
 
     /// Notes events that the caller gets now; returns the pause before them, `None` before the
     /// first.
-    pub(crate) fn note_events(&mut self, count: u64, age: Duration) -> Option<Duration> {
+    pub(crate) fn record_events(&mut self, count: u64, age: Duration) -> Option<Duration> {
         let now = Instant::now();
         let pause = self.last_at.map(|last_at| now - last_at);
         match pause {
             None => {
-                self.first_after = age;
+                self.time_to_first_event = age;
                 self.first_at = Some(now);
             }
             Some(pause) => self.longest_pause = self.longest_pause.max(pause),
@@ -89,13 +89,13 @@
     pub(crate) fn of(
         request: &RoutedRequest,
         stages: &FirstEventStages,
-        figures: &StreamFigures,
+        stats: &StreamStats,
     ) -> Option<Self> {
         if request.resume_after.is_some() {
             return Some(Self::Continued);
         }
         let objective = request.route.objective;
-        let first = figures.first_after;
+        let first = stats.time_to_first_event;
         if first > objective {
             return Some(Self::longest_stage(stages, first));
         }
@@ -103,7 +103,7 @@
             return Some(Self::Returned);
         }
         let target = request.route.max_event_gap?;
-        match (figures.longest_pause > target, figures.reopened > 0) {
+        match (stats.longest_pause > target, stats.resumes > 0) {
             (false, _) => None,
             (true, true) => Some(Self::Reopened),
             (true, false) => Some(Self::Pause),
--- a/crates/dillspool_forward/src/throttle.rs
+++ b/crates/dillspool_forward/src/throttle.rs
@@ -94,7 +94,7 @@
         Some(SpendDecision::Refused { come_back }) => come_back.max(LEAST_PAUSE),
         None => UNKNOWN_PAUSE,
     };
-    context.metrics.note_throttled();
+    context.metrics.record_throttled();
     if let Some(times) = context.throttle.close(backend, pause) {
         log_closed(request, &spend, decision, pause, times);
     }
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -14,7 +14,7 @@
 use crate::metrics::{ForwardMetrics, OutcomeLabels};
 use crate::refusal::Refusal;
 use crate::retry_budget::RetryBudgets;
-use crate::stages::{FirstEventStages, LateCause, StreamFigures};
+use crate::stages::{FirstEventStages, LateCause, StreamStats};
 
 /// Reports the end of a request; one that is dropped before reports that the caller left.
 #[derive(Debug)]
@@ -38,7 +38,7 @@
 
 impl RequestTrace {
     pub(crate) fn new(request: &Arc<RoutedRequest>, metrics: &ForwardMetrics) -> Self {
-        metrics.enter();
+        metrics.record_start();
         Self { request: Arc::clone(request), metrics: metrics.clone(), choice: None, ended: false }
     }
 
@@ -55,29 +55,24 @@
     }
 
     /// The whole stream was given to the caller's connection.
-    pub(crate) fn streamed(
-        &mut self,
-        status: u16,
-        stages: &FirstEventStages,
-        figures: &StreamFigures,
-    ) {
-        let late = LateCause::of(&self.request, stages, figures).map_or("", LateCause::name);
-        let detail = format!("status={status} late={late} {}", self.stream_words(stages, figures));
+    pub(crate) fn streamed(&mut self, status: u16, stages: &FirstEventStages, stats: &StreamStats) {
+        let late = LateCause::of(&self.request, stages, stats).map_or("", LateCause::name);
+        let detail = format!("status={status} late={late} {}", self.stream_fields(stages, stats));
         self.end("answered", "", &detail);
     }
 
-    fn stream_words(&self, stages: &FirstEventStages, figures: &StreamFigures) -> String {
+    fn stream_fields(&self, stages: &FirstEventStages, stats: &StreamStats) -> String {
         format!(
             "spent_before_ms={} reserved_ms={} prefilled_ms={} opened_ms={} first_ms={} events={} longest_pause_ms={} reopened={} read_at_decode={}",
             self.request.spent_before.as_millis(),
             stages.reserved.as_millis(),
             stages.prefilled.as_millis(),
             stages.opened.as_millis(),
-            figures.first_after.as_millis(),
-            figures.events,
-            figures.longest_pause.as_millis(),
-            figures.reopened,
-            figures.read_at_decode,
+            stats.time_to_first_event.as_millis(),
+            stats.events,
+            stats.longest_pause.as_millis(),
+            stats.resumes,
+            stats.read_at_decode,
         )
     }
 
@@ -101,10 +96,10 @@
         &mut self,
         detail: &str,
         stages: &FirstEventStages,
-        figures: &StreamFigures,
+        stats: &StreamStats,
     ) {
-        let words = self.stream_words(stages, figures);
-        self.end("broken", "", &format!("{words} detail=\"{detail}\""));
+        let fields = self.stream_fields(stages, stats);
+        self.end("broken", "", &format!("{fields} detail=\"{detail}\""));
     }
 
     /// An answer that was passed on in part broke off; the caller sees its connection break.
@@ -134,7 +129,7 @@
             lasted.as_millis(),
         );
         let route = Name::clone(&request.route.name);
-        self.metrics.leave(&OutcomeLabels { route, outcome, cause }, lasted);
+        self.metrics.record_end(&OutcomeLabels { route, outcome, cause }, lasted);
     }
 }
 
@@ -165,7 +160,11 @@
 }
 
 /// A decision names a backend server that takes no new requests as far as this host knows.
-pub(crate) fn log_overruled(request: &RoutedRequest, backend: &BackendId, view: &DirectoryView) {
+pub(crate) fn log_decision_overruled(
+    request: &RoutedRequest,
+    backend: &BackendId,
+    view: &DirectoryView,
+) {
     let known = if view.entries.contains_key(backend) { "leaving" } else { "gone" };
     log::info!(
         "event=decision_overruled id={} backend={backend} known={known} directory={} after_ms={}",
