--- a/crates/dillspool_admission/src/length.rs
+++ b/crates/dillspool_admission/src/length.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use dillspool_survival::{LifeSample, SurvivalCurve};
+use dillspool_survival::{LifetimeSample, SurvivalCurve};
 
 /// Answers kept; some seconds' worth of a large pool, a minute's of a small one.
 const KEPT_ANSWERS: usize = 256;
@@ -99,10 +99,10 @@
         self.fit();
         let ended = self.ended.iter().map(|answer| {
             let usual = self.base + self.power * answer.guess;
-            LifeSample { length: (answer.life - usual).exp(), has_ended: true }
+            LifetimeSample { lifetime: (answer.life - usual).exp(), has_ended: true }
         });
-        let running = running.iter().map(|(guess, age)| LifeSample {
-            length: self.part_of_life(*guess, *age),
+        let running = running.iter().map(|(guess, age)| LifetimeSample {
+            lifetime: self.part_of_life(*guess, *age),
             has_ended: false,
         });
         // Streams under way count, or short answers, which end first, would stand for all.
@@ -143,9 +143,9 @@
 
     /// Chance that a stream of this age goes on for a time.
     pub fn lives_on(&self, guess_tokens: u64, age: Duration, time: Duration) -> f64 {
-        let now = self.curve.longer_than(self.part_of_life(guess_tokens, age));
+        let now = self.curve.survival_at(self.part_of_life(guess_tokens, age));
         if now > 0.0 {
-            return self.curve.longer_than(self.part_of_life(guess_tokens, age + time)) / now;
+            return self.curve.survival_at(self.part_of_life(guess_tokens, age + time)) / now;
         }
         let tail = (TAIL_PART * age.as_secs_f64()).max(f64::EPSILON);
         (-time.as_secs_f64() / tail).exp()
@@ -172,7 +172,7 @@
 fn assumed_curve() -> SurvivalCurve {
     let part = |point| f64::from(point) / f64::from(ASSUMED_POINTS);
     let step = |part: f64| ((ASSUMED_SPREAD * normal_quantile(part)).exp(), 1.0 - part);
-    SurvivalCurve::of_steps((1..ASSUMED_POINTS).map(part).map(step).collect())
+    SurvivalCurve::from_steps((1..ASSUMED_POINTS).map(part).map(step).collect())
 }
 
 /// Quantile of the normal distribution, by the logistic curve that is closest to it.
--- a/crates/dillspool_capacity/src/meter.rs
+++ b/crates/dillspool_capacity/src/meter.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillspool_schema::Name;
-use dillspool_survival::{LifeSample, SurvivalCurve};
+use dillspool_survival::{LifetimeSample, SurvivalCurve};
 use tokio::time::Instant;
 
 use crate::decay::{DecayedSum, span};
@@ -111,7 +111,7 @@
             self.holding.values().map(|since| (now.saturating_duration_since(*since), false));
         let samples = ended
             .chain(running)
-            .map(|(life, has_ended)| LifeSample { length: life.as_secs_f64(), has_ended });
+            .map(|(life, has_ended)| LifetimeSample { lifetime: life.as_secs_f64(), has_ended });
         SurvivalCurve::estimate(samples.collect()).mean()
     }
 
--- a/crates/dillspool_survival/src/lib.rs
+++ b/crates/dillspool_survival/src/lib.rs
@@ -5,4 +5,4 @@
 
 mod curve;
 
-pub use curve::{LifeSample, SurvivalCurve};
+pub use curve::{LifetimeSample, SurvivalCurve};
--- a/crates/dillspool_survival/tests/curve.rs
+++ b/crates/dillspool_survival/tests/curve.rs
@@ -1,6 +1,6 @@
 //! Mean lives while part of the lives go on.
 
-use dillspool_survival::{LifeSample, SurvivalCurve};
+use dillspool_survival::{LifetimeSample, SurvivalCurve};
 
 struct MeanCase {
     name: &'static str,
@@ -29,7 +29,8 @@
         },
     ];
     for MeanCase { name, ended, going_on, mean } in cases {
-        let sample = |has_ended| move |length: &f64| LifeSample { length: *length, has_ended };
+        let sample =
+            |has_ended| move |length: &f64| LifetimeSample { lifetime: *length, has_ended };
         let ended = ended.iter().map(sample(true));
         let samples = ended.chain(going_on.iter().map(sample(false))).collect();
         let estimate = SurvivalCurve::estimate(samples).mean();
