--- a/crates/dillspool_calls/src/queue.rs
+++ b/crates/dillspool_calls/src/queue.rs
@@ -175,7 +175,7 @@
         self.forget(id, now);
         self.servers.take_back(id, now);
         if let Some(call) =
-            self.servers.adopt(backend, request.failure_domain, now.before(ran), now)
+            self.servers.adopt(backend, request.failure_domain, now.saturating_sub(ran), now)
         {
             self.calls.insert(id, CallState::InFlight { call, is_late: false });
         }
--- a/crates/dillspool_forward/tests/streams.rs
+++ b/crates/dillspool_forward/tests/streams.rs
@@ -185,7 +185,7 @@
     let mut routed = request(RequestKind::Streaming, 1, false);
     // It has used up a third of its time.
     routed.spent_before = Duration::from_secs(5);
-    routed.deadline = routed.deadline.before(Duration::from_secs(5));
+    routed.deadline = routed.deadline.saturating_sub(Duration::from_secs(5));
     let full = Arc::clone(&site.full);
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/dillspool_moment/src/lib.rs
+++ b/crates/dillspool_moment/src/lib.rs
@@ -15,13 +15,13 @@
 
     /// The moment so long before; not before the origin.
     #[must_use]
-    pub fn before(self, time: Duration) -> Self {
+    pub fn saturating_sub(self, time: Duration) -> Self {
         Self(self.0.saturating_sub(time))
     }
 
     /// The moment so long before; `None` if that is before the origin.
     #[must_use]
-    pub fn checked_before(self, time: Duration) -> Option<Self> {
+    pub fn checked_sub(self, time: Duration) -> Option<Self> {
         self.0.checked_sub(time).map(Self)
     }
 
--- a/crates/dillspool_router/src/suspect_rows/row.rs
+++ b/crates/dillspool_router/src/suspect_rows/row.rs
@@ -137,6 +137,6 @@
     }
 
     pub(super) fn moment_of(&self, at: UnixMillis) -> Moment {
-        self.desk.now().before(self.wall.now().since(at))
+        self.desk.now().saturating_sub(self.wall.now().since(at))
     }
 }
--- a/crates/dillspool_scheduler/src/desk.rs
+++ b/crates/dillspool_scheduler/src/desk.rs
@@ -307,7 +307,7 @@
             let Some(planner) = state.planners.get_mut(service) else { return };
             planner.adopt(ticket, request, placement.clone(), now);
             if let Some(ran) = ran {
-                planner.note_started(ticket, now.before(ran));
+                planner.note_started(ticket, now.saturating_sub(ran));
             }
             let decision = PlacementDecision::Place(placement);
             state.note_decision(ticket, service, request.prompt_tokens, &decision);
--- a/crates/dillspool_scheduler/src/fleet_bus.rs
+++ b/crates/dillspool_scheduler/src/fleet_bus.rs
@@ -276,7 +276,7 @@
     }
 
     fn said_at(&self, age_ms: u64) -> Moment {
-        self.clock.now().before(Duration::from_millis(age_ms))
+        self.clock.now().saturating_sub(Duration::from_millis(age_ms))
     }
 }
 
--- a/crates/dillspool_scheduler/src/wire.rs
+++ b/crates/dillspool_scheduler/src/wire.rs
@@ -251,7 +251,7 @@
 pub(crate) fn spend_from_wire(message: ScheduleSpend, now: Moment) -> SpendRequest {
     let version = match message.age_ms {
         None => RateVersion::Config(message.config),
-        Some(age_ms) => RateVersion::Heard(now.before(Duration::from_millis(age_ms))),
+        Some(age_ms) => RateVersion::Heard(now.saturating_sub(Duration::from_millis(age_ms))),
     };
     SpendRequest {
         subject: message.subject,
--- a/crates/dillspool_suspects/src/book.rs
+++ b/crates/dillspool_suspects/src/book.rs
@@ -232,7 +232,7 @@
     /// Whether another backend server ended at the same moment, where neither the request ran nor another
     /// one under which as many have ended.
     fn has_common_cause(&self, print: RequestPrint, own: usize, at: Moment) -> bool {
-        let first = (at.before(SAME_MOMENT), EndedBackend::from(""));
+        let first = (at.saturating_sub(SAME_MOMENT), EndedBackend::from(""));
         let last = at + SAME_MOMENT;
         let near = self.by_moment.range(first..).take_while(|(at, _other)| *at <= last);
         let mut others = near.filter_map(|(_at, other)| self.by_backend.get(other));
--- a/crates/dillspool_suspects/src/desk.rs
+++ b/crates/dillspool_suspects/src/desk.rs
@@ -208,7 +208,7 @@
 
     /// Notes that a backend server ended under a request some time ago, where nothing tells its start.
     pub fn note_unnamed_end(&self, print: RequestPrint, backend: &str, age: Duration) {
-        let at = self.now().before(age);
+        let at = self.now().saturating_sub(age);
         let start = self.state().starts.name(backend, at);
         self.note_end_at(RunEnd { print, backend: start, at });
     }
--- a/crates/dillspool_watch/src/relay/taking.rs
+++ b/crates/dillspool_watch/src/relay/taking.rs
@@ -243,7 +243,7 @@
     // An age that this host's clock cannot reach back to is too old to count.
     let age = Duration::from_millis(message.age_ms);
     let heard_at = belief.heard().heard_at(waited_since);
-    belief.heard().note_relayed(heard_at.checked_before(age));
+    belief.heard().note_relayed(heard_at.checked_sub(age));
 }
 
 fn part_from_wire(part: RelayPart) -> TablePart {
