--- a/crates/dillspool_admission/src/request.rs
+++ b/crates/dillspool_admission/src/request.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dillspool_part::ClassPart;
+use dillspool_part::ClassSubset;
 use dillspool_routing::StartedBackend;
 use dillspool_schema::Name;
 
@@ -62,7 +62,7 @@
     /// Engines that have refused it a place until now.
     pub refusals: usize,
     /// The engines that its host knows; `None` for all.
-    pub part: Option<ClassPart>,
+    pub part: Option<ClassSubset>,
 }
 
 /// The place of a request among those that wait; the least goes first.
@@ -76,7 +76,7 @@
 impl PlacementRequest {
     /// Whether it may go to an engine, as far as its host is concerned.
     pub(crate) fn may_go_to(&self, engine: &Name) -> bool {
-        !self.excluded.contains(engine) && self.part.is_none_or(|part| part.holds(engine))
+        !self.excluded.contains(engine) && self.part.is_none_or(|part| part.contains(engine))
     }
 
     /// Its place among those that wait: what it is worth, then who asks, then for what.
--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -127,7 +127,8 @@
             (terms.prompt_tokens, guess, terms.output_limit)
         });
     let spent = request.spent_before + request.age();
-    let part = context.directory.borrow().part.as_ref().map(|part| part.of_class(&request.service));
+    let part =
+        context.directory.borrow().part.as_ref().map(|part| part.for_class(&request.service));
     PlacementRequest {
         class,
         workspace_priority: request.workspace.as_ref().map_or(0, |it| it.priority),
--- a/crates/dillspool_part/src/lib.rs
+++ b/crates/dillspool_part/src/lib.rs
@@ -22,63 +22,64 @@
 
 /// The part of a host among the rows of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClassPart {
+pub struct ClassSubset {
     /// Tells hosts apart.
     pub seed: u64,
     /// One row in two to this power is held.
-    pub bits: u32,
+    pub sampling_bits: u32,
 }
 
-impl ClassPart {
+impl ClassSubset {
     /// Whether a row is held.
-    pub fn holds(self, key: &str) -> bool {
+    pub fn contains(self, key: &str) -> bool {
         let hash = || xxh3_64_with_seed(key.as_bytes(), self.seed);
-        self.bits == 0 || hash() >> HASH_BITS.saturating_sub(self.bits).max(1) == 0
+        self.sampling_bits == 0
+            || hash() >> HASH_BITS.saturating_sub(self.sampling_bits).max(1) == 0
     }
 }
 
 /// The part of a host among the rows of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TablePart {
+pub struct TableSubset {
     /// Tells hosts apart.
     pub seed: u64,
     /// By class; rows of any other class are held whole.
-    pub bits: BTreeMap<Name, u32>,
+    pub sampling_bits: BTreeMap<Name, u32>,
 }
 
-impl TablePart {
+impl TableSubset {
     /// The part for a host; `None` where it holds all rows.
-    pub fn of_counts(seed: u64, counts: &RowCounts) -> Option<Self> {
+    pub fn for_counts(seed: u64, counts: &RowCounts) -> Option<Self> {
         let bits = counts.rows.keys().map(|class| (Name::clone(class), counts.bits_for(class)));
         let bits: BTreeMap<_, _> = bits.filter(|(_class, bits)| *bits > 0).collect();
-        (!bits.is_empty()).then_some(Self { seed, bits })
+        (!bits.is_empty()).then_some(Self { seed, sampling_bits: bits })
     }
 
     /// The part among the rows of one class.
-    pub fn of_class(&self, class: &str) -> ClassPart {
-        let bits = self.bits.get(class).copied().unwrap_or_default();
-        ClassPart { seed: self.seed, bits }
+    pub fn for_class(&self, class: &str) -> ClassSubset {
+        let bits = self.sampling_bits.get(class).copied().unwrap_or_default();
+        ClassSubset { seed: self.seed, sampling_bits: bits }
     }
 
     /// Whether a row is held if it is of the class of which most are, of those that are not held whole.
-    pub fn may_hold(&self, key: &str) -> bool {
-        let bits = self.bits.values().min().copied().unwrap_or_default();
-        ClassPart { seed: self.seed, bits }.holds(key)
+    pub fn may_contain(&self, key: &str) -> bool {
+        let bits = self.sampling_bits.values().min().copied().unwrap_or_default();
+        ClassSubset { seed: self.seed, sampling_bits: bits }.contains(key)
     }
 
     /// Whether the rows are so many more or so many fewer than when the part was made that a host would hold
     /// four times what it needs, or half of it.
-    pub fn is_outgrown(part: Option<&Self>, counts: &RowCounts) -> bool {
+    pub fn needs_resize(part: Option<&Self>, counts: &RowCounts) -> bool {
         counts.rows.keys().any(|class| {
-            let bits = part.map_or(0, |part| part.of_class(class).bits);
+            let bits = part.map_or(0, |part| part.for_class(class).sampling_bits);
             bits.abs_diff(counts.bits_for(class)) > 1
         })
     }
 }
 
-impl fmt::Display for TablePart {
+impl fmt::Display for TableSubset {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (number, (class, bits)) in self.bits.iter().enumerate() {
+        for (number, (class, bits)) in self.sampling_bits.iter().enumerate() {
             let comma = if number == 0 { "" } else { "," };
             write!(f, "{comma}{class}:1/{}", 1_u64 << bits.min(&(HASH_BITS - 1)))?;
         }
@@ -105,6 +106,6 @@
 }
 
 /// The seed of a host that is named or addressed so.
-pub fn seed_of(host: &str) -> u64 {
+pub fn host_seed(host: &str) -> u64 {
     xxh3_64(host.as_bytes())
 }
--- a/crates/dillspool_part/tests/parts.rs
+++ b/crates/dillspool_part/tests/parts.rs
@@ -1,6 +1,6 @@
 //! How much of a table each host holds, and whether all rows are held by somebody.
 
-use dillspool_part::{RowCounts, TablePart, seed_of};
+use dillspool_part::{RowCounts, TableSubset, host_seed};
 
 struct PartCase {
     name: &'static str,
@@ -53,21 +53,21 @@
         let counts = counts(&case.counts, Some(case.hosts));
         let mut held_by = vec![0_usize; case.counts.iter().map(|(_class, count)| count).sum()];
         for host in 0..case.hosts {
-            let part = TablePart::of_counts(seed_of(&format!("10.0.0.1:{host}")), &counts);
+            let part = TableSubset::for_counts(host_seed(&format!("10.0.0.1:{host}")), &counts);
             let mut held = 0;
             let rows =
                 case.counts.iter().flat_map(|(class, count)| (0..*count).map(|at| (*class, at)));
             for ((class, at), holders) in rows.zip(&mut held_by) {
-                let part = part.as_ref().map(|part| part.of_class(class)).unwrap_or_default();
-                if part.holds(&key(class, at)) {
+                let part = part.as_ref().map(|part| part.for_class(class)).unwrap_or_default();
+                if part.contains(&key(class, at)) {
                     held += 1;
                     *holders += 1;
                 }
             }
             assert!(held <= case.most_held, "{}: host {host} holds {held}", case.name);
             for (class, count) in &case.counts {
-                let part = part.as_ref().map(|part| part.of_class(class)).unwrap_or_default();
-                let of_class = (0..*count).filter(|at| part.holds(&key(class, *at))).count();
+                let part = part.as_ref().map(|part| part.for_class(class)).unwrap_or_default();
+                let of_class = (0..*count).filter(|at| part.contains(&key(class, *at))).count();
                 let least = 30.min(*count);
                 assert!(
                     of_class >= least,
@@ -99,8 +99,8 @@
         GrowthCase { name: "few, then some", before: 6, after: 128, outgrown: false },
     ];
     for case in cases {
-        let part = TablePart::of_counts(1, &counts(&[("llm", case.before)], None));
-        let grown = TablePart::is_outgrown(part.as_ref(), &counts(&[("llm", case.after)], None));
+        let part = TableSubset::for_counts(1, &counts(&[("llm", case.before)], None));
+        let grown = TableSubset::needs_resize(part.as_ref(), &counts(&[("llm", case.after)], None));
         assert_eq!(grown, case.outgrown, "{}", case.name);
     }
 }
--- a/crates/dillspool_router/src/directory_tracker.rs
+++ b/crates/dillspool_router/src/directory_tracker.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use dillspool_leaving::LeavingBook;
-use dillspool_part::TablePart;
+use dillspool_part::TableSubset;
 use dillspool_platform::StoreVersion;
 use dillspool_routing::{
     BackendEntry, BackendId, BackendStart, BackendState, DirectoryView, StartedBackend,
@@ -96,7 +96,7 @@
     version: StoreVersion,
     drained: DrainedDomains,
     /// The part of the table that this host holds.
-    part: Option<Arc<TablePart>>,
+    part: Option<Arc<TableSubset>>,
 }
 
 /// Publishes the backend servers in use until the belief ends.
--- a/crates/dillspool_router/src/peer_list.rs
+++ b/crates/dillspool_router/src/peer_list.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use dillspool_part::seed_of;
+use dillspool_part::host_seed;
 use dillspool_platform::{PlatformError, RowExpect, RowWrite, TableStore};
 use dillspool_scheduler::{SchedulePeers, SchedulerCandidate, rank_candidates};
 use dillspool_schema::Name;
@@ -122,7 +122,7 @@
                 !rows.is_empty() && rows.iter().filter(near).count() <= MOST_DIRECT_HOSTS;
             is_alone || relied_on(rows).iter().any(|row| row.peers == self.own.peers)
         });
-        (!is_relied_on).then(|| seed_of(&self.own.peers.to_string()))
+        (!is_relied_on).then(|| host_seed(&self.own.peers.to_string()))
     }
 
     /// Hosts of the fleet, where their rows tell.
--- a/crates/dillspool_routing/src/backend.rs
+++ b/crates/dillspool_routing/src/backend.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use dillspool_part::TablePart;
+use dillspool_part::TableSubset;
 use dillspool_schema::Name;
 use dillspool_version::StoreVersion;
 
@@ -114,7 +114,7 @@
     /// Failure domains whose backend servers get nothing new, by the operator's word.
     pub drained: BTreeSet<Name>,
     /// Which of all backend servers these are, with their services as classes; `None` for all.
-    pub part: Option<Arc<TablePart>>,
+    pub part: Option<Arc<TableSubset>>,
 }
 
 impl DirectoryView {
--- a/crates/dillspool_scheduler/src/call_desk/state.rs
+++ b/crates/dillspool_scheduler/src/call_desk/state.rs
@@ -212,8 +212,9 @@
     config: &RoutingConfig,
     directory: &DirectoryView,
 ) -> BTreeMap<Name, ServiceView> {
-    let is_part =
-        |name: &Name| directory.part.as_ref().is_some_and(|part| part.of_class(name).bits > 0);
+    let is_part = |name: &Name| {
+        directory.part.as_ref().is_some_and(|part| part.for_class(name).sampling_bits > 0)
+    };
     let plain = config.services.values().filter(|service| service.engine.is_none());
     let mut views: BTreeMap<_, _> = plain
         .map(|service| {
--- a/crates/dillspool_scheduler/src/wire.rs
+++ b/crates/dillspool_scheduler/src/wire.rs
@@ -8,7 +8,7 @@
 };
 use dillspool_limits::{LimitRate, RateVersion, SpendDecision, SpendRequest};
 use dillspool_moment::Moment;
-use dillspool_part::ClassPart;
+use dillspool_part::ClassSubset;
 use dillspool_routing::{BackendStart, StartedBackend};
 use dillspool_schema::Name;
 use dillspool_schema::schedule::{
@@ -90,7 +90,7 @@
         pause_ms: request.pause_target.map(millis),
         excluded: request.excluded.clone(),
         refusals: u32::try_from(request.refusals).unwrap_or(u32::MAX),
-        part: request.part.map(|part| SchedulePart { seed: part.seed, bits: part.bits }),
+        part: request.part.map(|part| SchedulePart { seed: part.seed, bits: part.sampling_bits }),
     }
 }
 
@@ -113,7 +113,7 @@
         pause_target: request.pause_ms.map(Duration::from_millis),
         excluded: request.excluded,
         refusals: request.refusals as usize,
-        part: request.part.map(|part| ClassPart { seed: part.seed, bits: part.bits }),
+        part: request.part.map(|part| ClassSubset { seed: part.seed, sampling_bits: part.bits }),
     }
 }
 
--- a/crates/dillspool_watch/src/belief.rs
+++ b/crates/dillspool_watch/src/belief.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dillspool_io::AwakeWatch;
-use dillspool_part::{RowCounts, TablePart};
+use dillspool_part::{RowCounts, TableSubset};
 use dillspool_platform::{ChangedRow, StoreVersion, TableDelta};
 use dillspool_schema::Name;
 use tokio::sync::watch;
@@ -71,7 +71,7 @@
     /// Version of the newest whole read; rows that it did not show did not exist then.
     whole_at: StoreVersion,
     /// Which rows this has; `None` for all.
-    pub part: Option<Arc<TablePart>>,
+    pub part: Option<Arc<TableSubset>>,
     /// Whether the store has come back from a copy since this was first known. A row that is written again as the copy
     /// shows it is news then.
     is_restored: bool,
@@ -182,7 +182,7 @@
 
     /// Becomes another part of the table, from rows that are all of it. What is known to be newer stays, so a
     /// sender that knows less takes nothing back.
-    fn become_part(&mut self, delta: &TableDelta, part: Option<Arc<TablePart>>) -> bool {
+    fn become_part(&mut self, delta: &TableDelta, part: Option<Arc<TableSubset>>) -> bool {
         let before = std::mem::replace(self, Self::remembering(self.most_deleted));
         self.part = part;
         self.is_restored = before.is_restored || delta.version.era() > before.version.era();
@@ -203,7 +203,7 @@
     }
 
     /// Drops the rows that are not of a part.
-    fn narrow(&mut self, part: &Arc<TablePart>, classify: &RowClassifier) {
+    fn narrow(&mut self, part: &Arc<TableSubset>, classify: &RowClassifier) {
         self.rows.retain(|key, row| row.value.is_none() || is_held(part, key, row, classify));
         self.part = Some(Arc::clone(part));
     }
@@ -309,7 +309,11 @@
     }
 
     /// Merges what a peer relays, which has the rows of a part, or all.
-    pub(crate) fn merge_relayed(&self, delta: &TableDelta, part: Option<&Arc<TablePart>>) -> bool {
+    pub(crate) fn merge_relayed(
+        &self,
+        delta: &TableDelta,
+        part: Option<&Arc<TableSubset>>,
+    ) -> bool {
         self.modify(|belief| {
             if belief.part.as_ref() == part {
                 return self.merge_into(belief, delta);
@@ -384,19 +388,23 @@
 
     /// The rows that are newer than a version and that a host needs to keep up a part, which it has from the
     /// default one on.
-    pub(crate) fn part_changes_since(&self, version: StoreVersion, part: &TablePart) -> TableDelta {
+    pub(crate) fn part_changes_since(
+        &self,
+        version: StoreVersion,
+        part: &TableSubset,
+    ) -> TableDelta {
         let Some(classify) = &self.classify else { return self.changes_since(version) };
         let belief = self.sender.borrow();
         let version = belief.told_from(version);
         belief.changes_of(version, |key, row| {
             // The host may hold a row that is of another class now, or was deleted.
-            let may_be_known = version.is_known() && (row.value.is_none() || part.may_hold(key));
+            let may_be_known = version.is_known() && (row.value.is_none() || part.may_contain(key));
             may_be_known || is_held(part, key, row, classify)
         })
     }
 }
 
 /// Whether a row exists and is of a part.
-fn is_held(part: &TablePart, key: &str, row: &RowBelief, classify: &RowClassifier) -> bool {
-    row.class(key, classify).is_some_and(|class| part.of_class(class).holds(key))
+fn is_held(part: &TableSubset, key: &str, row: &RowBelief, classify: &RowClassifier) -> bool {
+    row.class(key, classify).is_some_and(|class| part.for_class(class).contains(key))
 }
--- a/crates/dillspool_watch/src/relay/serving.rs
+++ b/crates/dillspool_watch/src/relay/serving.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillspool_io::{NetListener, NetStream};
-use dillspool_part::TablePart;
+use dillspool_part::TableSubset;
 use dillspool_platform::{ChangedRow, StoreVersion};
 use dillspool_schema::Name;
 use dillspool_schema::relay::{RelayClass, RelayMessage, RelayPart, RelayRow};
@@ -78,9 +78,9 @@
     }
 
     /// The part of a table for a peer that holds parts of large ones.
-    fn part_for(&self, belief: &SharedBelief, seed: u64) -> Option<Arc<TablePart>> {
+    fn part_for(&self, belief: &SharedBelief, seed: u64) -> Option<Arc<TableSubset>> {
         let counts = belief.count_rows((self.hosts)())?;
-        TablePart::of_counts(seed, &counts).map(Arc::new)
+        TableSubset::for_counts(seed, &counts).map(Arc::new)
     }
 
     /// Gives a peer another part where the table has outgrown the one that it has.
@@ -90,7 +90,7 @@
         }
         (table.looked, table.rows) = (Instant::now(), 0);
         let counts = table.belief.count_rows((self.hosts)());
-        if counts.is_some_and(|counts| TablePart::is_outgrown(table.part.as_deref(), &counts)) {
+        if counts.is_some_and(|counts| TableSubset::needs_resize(table.part.as_deref(), &counts)) {
             table.part = self.part_for(&table.belief, seed);
             table.version = StoreVersion::default();
         }
@@ -139,7 +139,7 @@
     /// Version up to which the peer has it; the default one before the first rows.
     version: StoreVersion,
     /// The rows that it holds; `None` for all.
-    part: Option<Arc<TablePart>>,
+    part: Option<Arc<TableSubset>>,
     /// When it was last looked whether that part fits the table, and rows sent since.
     looked: Instant,
     rows: usize,
@@ -252,8 +252,8 @@
     Ok(())
 }
 
-fn part_to_wire(part: &TablePart) -> RelayPart {
+fn part_to_wire(part: &TableSubset) -> RelayPart {
     let class =
         |(class, bits): (&Name, &u32)| RelayClass { class: Name::clone(class), bits: *bits };
-    RelayPart { seed: part.seed, classes: part.bits.iter().map(class).collect() }
+    RelayPart { seed: part.seed, classes: part.sampling_bits.iter().map(class).collect() }
 }
--- a/crates/dillspool_watch/src/relay/taking.rs
+++ b/crates/dillspool_watch/src/relay/taking.rs
@@ -7,7 +7,7 @@
 
 use dillspool_io::{NetStack, NetStream};
 use dillspool_moment::Moment;
-use dillspool_part::TablePart;
+use dillspool_part::TableSubset;
 use dillspool_platform::{ChangedRow, StoreVersion, TableDelta};
 use dillspool_schema::Name;
 use dillspool_schema::relay::{RelayMessage, RelayPart, RelayRow};
@@ -220,7 +220,7 @@
 fn take(
     beliefs: &[SharedBelief],
     message: RelayMessage,
-    part: Option<&Arc<TablePart>>,
+    part: Option<&Arc<TableSubset>>,
     waited_since: Moment,
 ) {
     let Some(belief) = beliefs.iter().find(|belief| belief.table == message.table) else {
@@ -246,7 +246,7 @@
     belief.heard().note_relayed(heard_at.checked_sub(age));
 }
 
-fn part_from_wire(part: RelayPart) -> TablePart {
+fn part_from_wire(part: RelayPart) -> TableSubset {
     let bits = part.classes.into_iter().map(|class| (class.class, class.bits));
-    TablePart { seed: part.seed, bits: bits.collect() }
+    TableSubset { seed: part.seed, sampling_bits: bits.collect() }
 }
--- a/crates/dillspool_watch/tests/parts.rs
+++ b/crates/dillspool_watch/tests/parts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillspool_io::{AwakeWatch, HostClock, MemoryNet, NetStack};
-use dillspool_part::{RowCounts, TablePart};
+use dillspool_part::{RowCounts, TableSubset};
 use dillspool_platform::{ChangedRow, PlatformError, TableDelta, TableWatch, WatchError};
 use dillspool_watch::{
     FollowRole, FollowSettings, RelayPeers, RelayService, RowClassifier, SharedBelief, StoreReach,
@@ -94,10 +94,10 @@
             }
         }
         let part = self.held.subscribe().borrow().part.clone();
-        assert!(!TablePart::is_outgrown(part.as_deref(), &counts), "{case}: {part:?}");
+        assert!(!TableSubset::needs_resize(part.as_deref(), &counts), "{case}: {part:?}");
         let of_part = |(key, text): &(String, String)| {
             let Some((class, _text)) = text.split_once(' ') else { return false };
-            part.as_ref().is_none_or(|part| part.of_class(class).holds(key))
+            part.as_ref().is_none_or(|part| part.for_class(class).contains(key))
         };
         rows.into_iter().filter(of_part).collect()
     }
