--- a/crates/dillspool_capacity/src/lib.rs
+++ b/crates/dillspool_capacity/src/lib.rs
@@ -9,6 +9,6 @@
 mod need;
 mod target;
 
-pub use meter::{DemandMeter, MemoryTicket};
-pub use need::{DemandReading, EngineMemory, PartLoads, part_loads, prefill_need};
+pub use meter::{DemandMeter, MemoryGuard};
+pub use need::{DemandEstimate, EngineCapacity, RoleLoads, required_prefill_engines, role_loads};
 pub use target::{SplitTarget, TargetChange};
--- a/crates/dillspool_capacity/src/meter.rs
+++ b/crates/dillspool_capacity/src/meter.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::decay::{DecayedSum, span};
-use crate::need::DemandReading;
+use crate::need::DemandEstimate;
 
 /// Prefills whose pace is kept.
 const KEPT_PACES: usize = 32;
@@ -135,7 +135,7 @@
         paces.get((paces.len() as f64 * FASTER_PART) as usize).copied()
     }
 
-    fn read(&mut self, now: Instant) -> Option<DemandReading> {
+    fn estimate(&mut self, now: Instant) -> Option<DemandEstimate> {
         self.sum_up(now);
         let pace = self.pace()?;
         let (prompts, ended) = (self.prompts.read(now), self.ended.read(now));
@@ -145,11 +145,11 @@
         let span_s = span(now.saturating_duration_since(self.since)).max(SHORTEST_SPAN_S);
         let held_s = self.mean_life_s(now);
         let mean_tokens = self.held_token_s.read(now) / self.held_s.read(now).max(f64::EPSILON);
-        Some(DemandReading {
+        Some(DemandEstimate {
             prompts,
             prompts_per_s: prompts / span_s,
-            ended,
-            read_s: self.prompt_tokens.read(now) / prompts * pace,
+            completed: ended,
+            prefill_s: self.prompt_tokens.read(now) / prompts * pace,
             held_token_s: mean_tokens * held_s,
             held_s,
         })
@@ -175,7 +175,7 @@
 
     /// Notes a prompt of so many tokens, also one that is refused.
     #[expect(clippy::cast_precision_loss, reason = "tokens are far below 2^52")]
-    pub fn note_prompt(&self, service: &Name, tokens: u64) {
+    pub fn record_prompt(&self, service: &Name, tokens: u64) {
         self.with(service, |meter, now| {
             meter.prompts.add(now, 1.0);
             meter.prompt_tokens.add(now, tokens as f64);
@@ -184,34 +184,34 @@
 
     /// Notes how long a prefill of so many tokens took, with its wait.
     #[expect(clippy::cast_precision_loss, reason = "tokens are far below 2^52")]
-    pub fn note_prefill(&self, service: &Name, tokens: u64, took: Duration) {
+    pub fn record_prefill(&self, service: &Name, tokens: u64, took: Duration) {
         let seconds_a_token = took.as_secs_f64() / tokens.max(1) as f64;
         self.with(service, |meter, _now| meter.note_pace(seconds_a_token));
     }
 
     /// Notes an answer that holds so many tokens of decode memory until the ticket is dropped.
     #[must_use]
-    pub fn enter(&self, service: &Name, tokens: u64) -> MemoryTicket {
+    pub fn hold_memory(&self, service: &Name, tokens: u64) -> MemoryGuard {
         let number = self.with(service, |meter, now| meter.enter(tokens, now));
-        MemoryTicket { meter: self.clone(), service: Name::clone(service), number, tokens }
+        MemoryGuard { meter: self.clone(), service: Name::clone(service), number, tokens }
     }
 
     /// What a service's requests ask; `None` before anything is known.
-    pub fn read(&self, service: &Name) -> Option<DemandReading> {
-        self.with(service, ServiceMeter::read)
+    pub fn estimate(&self, service: &Name) -> Option<DemandEstimate> {
+        self.with(service, ServiceMeter::estimate)
     }
 }
 
 /// Decode memory that an answer holds; dropping it notes that it is given back.
 #[derive(Debug)]
-pub struct MemoryTicket {
+pub struct MemoryGuard {
     meter: DemandMeter,
     service: Name,
     number: u64,
     tokens: u64,
 }
 
-impl Drop for MemoryTicket {
+impl Drop for MemoryGuard {
     fn drop(&mut self) {
         self.meter.with(&self.service, |meter, now| meter.leave(self.number, self.tokens, now));
     }
--- a/crates/dillspool_capacity/src/need.rs
+++ b/crates/dillspool_capacity/src/need.rs
@@ -9,15 +9,15 @@
 
 /// What an average request of a pool asks of its engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DemandReading {
+pub struct DemandEstimate {
     /// Prompts observed, by their age.
     pub prompts: f64,
     /// Prompts a second.
     pub prompts_per_s: f64,
     /// Answers observed to their end, by their age.
-    pub ended: f64,
+    pub completed: f64,
     /// Seconds for which one prefill engine reads a prompt.
-    pub read_s: f64,
+    pub prefill_s: f64,
     /// Token-seconds of decode memory that an answer holds.
     pub held_token_s: f64,
     /// Seconds for which an answer holds a slot.
@@ -26,9 +26,9 @@
 
 /// What an engine of a pool holds at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineMemory {
+pub struct EngineCapacity {
     /// Tokens of all its answers.
-    pub tokens: u64,
+    pub memory_tokens: u64,
     /// Answers.
     pub slots: u32,
 }
@@ -40,24 +40,28 @@
 /// the load that they may have. How many requests come does not matter for the split, so each host
 /// can work it out from what it sees itself.
 #[expect(clippy::cast_precision_loss, reason = "engines and tokens are far below 2^52")]
-pub fn prefill_need(engines: usize, reading: &DemandReading, memory: EngineMemory) -> f64 {
+pub fn required_prefill_engines(
+    engines: usize,
+    reading: &DemandEstimate,
+    memory: EngineCapacity,
+) -> f64 {
     let decode_s = decode_s(reading, memory);
-    let prefill_s = reading.read_s / PREFILL_LOAD;
+    let prefill_s = reading.prefill_s / PREFILL_LOAD;
     let both = prefill_s + decode_s;
     if both > 0.0 { engines as f64 * prefill_s / both } else { 0.0 }
 }
 
 /// Seconds for which a request fills a decode engine.
 #[expect(clippy::cast_precision_loss, reason = "tokens are far below 2^52")]
-fn decode_s(reading: &DemandReading, memory: EngineMemory) -> f64 {
-    let by_tokens = reading.held_token_s / memory.tokens.max(1) as f64;
+fn decode_s(reading: &DemandEstimate, memory: EngineCapacity) -> f64 {
+    let by_tokens = reading.held_token_s / memory.memory_tokens.max(1) as f64;
     let by_slots = reading.held_s / f64::from(memory.slots.max(1));
     by_tokens.max(by_slots)
 }
 
 /// How much of its engines each part of a pool uses, 0 to 1 and beyond.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PartLoads {
+pub struct RoleLoads {
     /// Those that prefill.
     pub prefill: f64,
     /// Those that decode.
@@ -66,15 +70,15 @@
 
 /// The loads of a pool in which so many engines prefill and so many decode.
 #[expect(clippy::cast_precision_loss, reason = "engines are far below 2^52")]
-pub fn part_loads(
-    reading: &DemandReading,
-    memory: EngineMemory,
+pub fn role_loads(
+    reading: &DemandEstimate,
+    memory: EngineCapacity,
     prefill: usize,
     decode: usize,
-) -> PartLoads {
+) -> RoleLoads {
     let load = |busy_s: f64, engines: usize| reading.prompts_per_s * busy_s / engines.max(1) as f64;
-    PartLoads {
-        prefill: load(reading.read_s, prefill),
+    RoleLoads {
+        prefill: load(reading.prefill_s, prefill),
         decode: load(decode_s(reading, memory), decode),
     }
 }
--- a/crates/dillspool_capacity/src/target.rs
+++ b/crates/dillspool_capacity/src/target.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SplitTarget {
     /// Prefill engines.
-    pub engines: usize,
+    pub prefill_engines: usize,
     /// Since when the need has been off, and in which direction.
     off: Option<OffNeed>,
 }
@@ -48,7 +48,7 @@
 impl SplitTarget {
     /// A target that nothing speaks against yet.
     pub fn new(engines: usize) -> Self {
-        Self { engines, off: None }
+        Self { prefill_engines: engines, off: None }
     }
 
     /// Takes the need at a moment; the target moves at once to what the need asks for when that
@@ -58,7 +58,7 @@
     /// two, one decodes.
     pub fn update(&mut self, need: f64, all: usize, now: Instant) -> Option<TargetChange> {
         #[expect(clippy::cast_precision_loss, reason = "engines are counted in thousands")]
-        let target = self.engines as f64;
+        let target = self.prefill_engines as f64;
         let (distance, band) = (need - target, DEAD_BAND.max(DEAD_PART * target));
         if distance.abs() <= band {
             self.off = None;
@@ -72,10 +72,10 @@
         if now.saturating_duration_since(since) < span {
             return None;
         }
-        let from = self.engines;
+        let from = self.prefill_engines;
         let need = if more { need } else { need + CAUTION * band };
         *self = Self::new(engines_for(need, all));
-        (from != self.engines).then_some(TargetChange { from, to: self.engines })
+        (from != self.prefill_engines).then_some(TargetChange { from, to: self.prefill_engines })
     }
 }
 
--- a/crates/dillspool_capacity/tests/meter.rs
+++ b/crates/dillspool_capacity/tests/meter.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dillspool_capacity::{DemandMeter, EngineMemory, prefill_need};
+use dillspool_capacity::{DemandMeter, EngineCapacity, required_prefill_engines};
 use tokio::task::JoinSet;
 
 fn seconds(count: f64) -> Duration {
@@ -12,9 +12,9 @@
 /// Ten requests one after another, each held for three seconds.
 async fn play(meter: &DemandMeter) {
     for _request in 0..10 {
-        meter.note_prompt(&"pool".into(), 3_000);
-        meter.note_prefill(&"pool".into(), 3_000, seconds(0.1));
-        let ticket = meter.enter(&"pool".into(), 4_000);
+        meter.record_prompt(&"pool".into(), 3_000);
+        meter.record_prefill(&"pool".into(), 3_000, seconds(0.1));
+        let ticket = meter.hold_memory(&"pool".into(), 4_000);
         tokio::time::sleep(seconds(3.0)).await;
         drop(ticket);
     }
@@ -23,33 +23,33 @@
 #[tokio::test(start_paused = true)]
 async fn nothing_is_known_before_an_answer_has_ended() {
     let meter = DemandMeter::default();
-    assert_eq!(meter.read(&"pool".into()), None);
-    meter.note_prompt(&"pool".into(), 3_000);
-    meter.note_prefill(&"pool".into(), 3_000, seconds(0.1));
-    let _ticket = meter.enter(&"pool".into(), 4_000);
+    assert_eq!(meter.estimate(&"pool".into()), None);
+    meter.record_prompt(&"pool".into(), 3_000);
+    meter.record_prefill(&"pool".into(), 3_000, seconds(0.1));
+    let _ticket = meter.hold_memory(&"pool".into(), 4_000);
     tokio::time::sleep(seconds(1.0)).await;
-    assert_eq!(meter.read(&"pool".into()), None);
+    assert_eq!(meter.estimate(&"pool".into()), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_means_of_what_passed_are_read() {
     let meter = DemandMeter::default();
     play(&meter).await;
-    let reading = meter.read(&"pool".into()).expect("a reading");
-    assert!((reading.read_s - 0.1).abs() < 1e-6, "{reading:?}");
+    let reading = meter.estimate(&"pool".into()).expect("a reading");
+    assert!((reading.prefill_s - 0.1).abs() < 1e-6, "{reading:?}");
     assert!((reading.held_s - 3.0).abs() < 0.2, "{reading:?}");
     assert!((reading.held_token_s - 12_000.0).abs() < 800.0, "{reading:?}");
-    assert_eq!(meter.read(&"other".into()), None);
+    assert_eq!(meter.estimate(&"other".into()), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn answers_that_still_run_count_too() {
     let meter = DemandMeter::default();
     play(&meter).await;
-    let short = meter.read(&"pool".into()).expect("a reading").held_s;
-    let _long: Vec<_> = (0..10).map(|_| meter.enter(&"pool".into(), 4_000)).collect();
+    let short = meter.estimate(&"pool".into()).expect("a reading").held_s;
+    let _long: Vec<_> = (0..10).map(|_| meter.hold_memory(&"pool".into(), 4_000)).collect();
     tokio::time::sleep(seconds(10.0)).await;
-    let long = meter.read(&"pool".into()).expect("a reading").held_s;
+    let long = meter.estimate(&"pool".into()).expect("a reading").held_s;
     assert!(long > 2.0 * short, "{short} {long}");
 }
 
@@ -65,7 +65,7 @@
 /// answers look twice as long, since the pool would then turn prefill engines away that the first burst needs.
 #[tokio::test(start_paused = true)]
 async fn a_load_that_has_just_begun_looks_as_it_does_later() {
-    const MEMORY: EngineMemory = EngineMemory { tokens: 68_023, slots: 12 };
+    const MEMORY: EngineCapacity = EngineCapacity { memory_tokens: 68_023, slots: 12 };
     let cases = [
         StartCase { name: "four seconds in", at_s: 4.0, need: 7.5..=11.0 },
         StartCase { name: "six seconds in", at_s: 6.0, need: 7.5..=10.5 },
@@ -80,9 +80,9 @@
             if began.elapsed() >= seconds(case.at_s) {
                 break;
             }
-            meter.note_prompt(&"pool".into(), 5_200);
-            meter.note_prefill(&"pool".into(), 5_200, seconds(0.106));
-            let ticket = meter.enter(&"pool".into(), 6_700);
+            meter.record_prompt(&"pool".into(), 5_200);
+            meter.record_prefill(&"pool".into(), 5_200, seconds(0.106));
+            let ticket = meter.hold_memory(&"pool".into(), 6_700);
             let life = seconds(1.7 + 0.4 * f64::from(number * 7 % 10));
             answers.spawn(async move {
                 tokio::time::sleep(life).await;
@@ -90,8 +90,8 @@
             });
             tokio::time::sleep(seconds(1.0 / 32.0)).await;
         }
-        let reading = meter.read(&"pool".into()).expect("a reading");
-        let need = prefill_need(35, &reading, MEMORY);
+        let reading = meter.estimate(&"pool".into()).expect("a reading");
+        let need = required_prefill_engines(35, &reading, MEMORY);
         assert!(case.need.contains(&need), "{}: {need} {reading:?}", case.name);
     }
 }
@@ -120,13 +120,17 @@
     ];
     for case in cases {
         let meter = DemandMeter::default();
-        meter.note_prompt(&"pool".into(), 1_000);
+        meter.record_prompt(&"pool".into(), 1_000);
         for took in case.took_ms {
-            meter.note_prefill(&"pool".into(), 1_000, Duration::from_millis(*took));
+            meter.record_prefill(&"pool".into(), 1_000, Duration::from_millis(*took));
         }
-        drop(meter.enter(&"pool".into(), 1_000));
-        let reading = meter.read(&"pool".into()).expect("a reading");
-        assert!((reading.read_s * 1000.0 - case.read_ms).abs() < 1.5, "{}: {reading:?}", case.name);
+        drop(meter.hold_memory(&"pool".into(), 1_000));
+        let reading = meter.estimate(&"pool".into()).expect("a reading");
+        assert!(
+            (reading.prefill_s * 1000.0 - case.read_ms).abs() < 1.5,
+            "{}: {reading:?}",
+            case.name
+        );
     }
 }
 
@@ -135,12 +139,12 @@
     let meter = DemandMeter::default();
     play(&meter).await;
     tokio::time::sleep(seconds(300.0)).await;
-    let reading = meter.read(&"pool".into()).expect("a reading");
+    let reading = meter.estimate(&"pool".into()).expect("a reading");
     assert!(reading.prompts < 0.1, "{reading:?}");
     for _request in 0..4 {
-        meter.note_prompt(&"pool".into(), 9_000);
-        meter.note_prefill(&"pool".into(), 9_000, seconds(0.3));
+        meter.record_prompt(&"pool".into(), 9_000);
+        meter.record_prefill(&"pool".into(), 9_000, seconds(0.3));
     }
-    let later = meter.read(&"pool".into()).expect("a reading");
-    assert!(later.read_s > 2.8 * reading.read_s, "{reading:?} {later:?}");
+    let later = meter.estimate(&"pool".into()).expect("a reading");
+    assert!(later.prefill_s > 2.8 * reading.prefill_s, "{reading:?} {later:?}");
 }
--- a/crates/dillspool_capacity/tests/split.rs
+++ b/crates/dillspool_capacity/tests/split.rs
@@ -2,30 +2,39 @@
 
 use std::time::Duration;
 
-use dillspool_capacity::{DemandReading, EngineMemory, SplitTarget, TargetChange, prefill_need};
+use dillspool_capacity::{
+    DemandEstimate, EngineCapacity, SplitTarget, TargetChange, required_prefill_engines,
+};
 use dillspool_cases::fixed_cases;
 use proptest::prelude::*;
 use tokio::time::Instant;
 
-const MEMORY: EngineMemory = EngineMemory { tokens: 41_000, slots: 64 };
+const MEMORY: EngineCapacity = EngineCapacity { memory_tokens: 41_000, slots: 64 };
 
-fn reading(prompt_ms: f64, held_token_s: f64, held_s: f64) -> DemandReading {
-    let read_s = prompt_ms / 1000.0;
-    DemandReading { prompts: 50.0, prompts_per_s: 1.0, ended: 50.0, read_s, held_token_s, held_s }
+fn reading(prompt_ms: f64, held_token_s: f64, held_s: f64) -> DemandEstimate {
+    let prefill_s = prompt_ms / 1000.0;
+    DemandEstimate {
+        prompts: 50.0,
+        prompts_per_s: 1.0,
+        completed: 50.0,
+        prefill_s,
+        held_token_s,
+        held_s,
+    }
 }
 
 struct NeedCase {
     name: &'static str,
     engines: usize,
-    reading: DemandReading,
-    memory: EngineMemory,
+    reading: DemandEstimate,
+    memory: EngineCapacity,
     /// Prefill engines, rounded.
     need: u32,
 }
 
 #[test]
 fn the_need_follows_from_the_times_of_both_kinds() {
-    let few_slots = EngineMemory { slots: 4, ..MEMORY };
+    let few_slots = EngineCapacity { slots: 4, ..MEMORY };
     let cases = [
         NeedCase {
             name: "prompts and answers of one kind",
@@ -38,7 +47,7 @@
             name: "twice as long prompts",
             engines: 9,
             reading: reading(274.0, 24_000.0, 3.6),
-            memory: EngineMemory { tokens: 82_000, ..MEMORY },
+            memory: EngineCapacity { memory_tokens: 82_000, ..MEMORY },
             need: 5,
         },
         NeedCase {
@@ -71,7 +80,7 @@
         },
     ];
     for case in cases {
-        let need = prefill_need(case.engines, &case.reading, case.memory);
+        let need = required_prefill_engines(case.engines, &case.reading, case.memory);
         assert!((need - f64::from(case.need)).abs() <= 0.5, "{}: {need}", case.name);
     }
 }
@@ -174,7 +183,7 @@
         for (at_s, need) in case.needs {
             target.update(*need, case.all, start + Duration::from_secs(*at_s));
         }
-        assert_eq!(target.engines, case.to, "{}", case.name);
+        assert_eq!(target.prefill_engines, case.to, "{}", case.name);
     }
 }
 
@@ -201,9 +210,9 @@
         tokens in 0..10_000_000_u64,
         slots in 0..4_096_u32,
     ) {
-        let memory = EngineMemory { tokens, slots };
-        let need = prefill_need(engines, &reading(read_ms, held_token_s, held_s), memory);
-        let more = prefill_need(engines, &reading(read_ms * longer, held_token_s, held_s), memory);
+        let memory = EngineCapacity { memory_tokens: tokens, slots };
+        let need = required_prefill_engines(engines, &reading(read_ms, held_token_s, held_s), memory);
+        let more = required_prefill_engines(engines, &reading(read_ms * longer, held_token_s, held_s), memory);
         #[expect(clippy::cast_precision_loss, reason = "thousands")]
         let all = engines as f64;
         prop_assert!((0.0..=all).contains(&need), "{need}");
--- a/crates/dillspool_roles/src/targets.rs
+++ b/crates/dillspool_roles/src/targets.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use dillspool_capacity::{
-    DemandMeter, DemandReading, EngineMemory, PartLoads, SplitTarget, part_loads, prefill_need,
+    DemandEstimate, DemandMeter, EngineCapacity, RoleLoads, SplitTarget, required_prefill_engines,
+    role_loads,
 };
 use dillspool_routing::{DirectoryView, EnginePool};
 use dillspool_schema::Name;
@@ -73,9 +74,9 @@
 struct ObservedPool<'a> {
     service: &'a Name,
     engines: usize,
-    memory: EngineMemory,
+    memory: EngineCapacity,
     /// `None` while too little was seen.
-    reading: Option<DemandReading>,
+    reading: Option<DemandEstimate>,
     view: &'a DirectoryView,
 }
 
@@ -108,14 +109,14 @@
         let found = self.found.entry(Name::clone(service)).or_default();
         *found = prefill.max(*found);
         let found = *found;
-        let reading = self.demand.read(service);
-        let known = reading.filter(|it| it.prompts.min(it.ended) >= FEWEST_OBSERVED);
-        let memory = EngineMemory { tokens: pool.memory_tokens, slots: pool.slots };
+        let reading = self.demand.estimate(service);
+        let known = reading.filter(|it| it.prompts.min(it.completed) >= FEWEST_OBSERVED);
+        let memory = EngineCapacity { memory_tokens: pool.memory_tokens, slots: pool.slots };
         let engines = prefill + decode;
         let observed = ObservedPool { service, engines, memory, reading: known, view };
         let target = self.target(&observed, share, now);
-        let loads = known.map(|reading| part_loads(&reading, memory, prefill, decode));
-        let calls = |load: fn(PartLoads) -> f64| loads.is_some_and(|it| load(it) >= CALLING_LOAD);
+        let loads = known.map(|reading| role_loads(&reading, memory, prefill, decode));
+        let calls = |load: fn(RoleLoads) -> f64| loads.is_some_and(|it| load(it) >= CALLING_LOAD);
         let least = found.saturating_sub(MOST_UNCALLED_TURNS);
         let most = found + MOST_UNCALLED_TURNS;
         if target < least && !calls(|loads| loads.decode) {
@@ -135,12 +136,12 @@
         let at_first = engines_at_first(*most, share);
         let Some(reading) = reading else {
             let decided = self.learnt.get(service).filter(|learnt| learnt.is_decided);
-            return decided.map_or(at_first, |learnt| learnt.target.engines);
+            return decided.map_or(at_first, |learnt| learnt.target.prefill_engines);
         };
-        let need = prefill_need(engines, &reading, memory);
+        let need = required_prefill_engines(engines, &reading, memory);
         let fresh = || LearntTarget::at_first(at_first);
         let learnt = self.learnt.entry(Name::clone(service)).or_insert_with(fresh);
-        if !learnt.is_decided && learnt.target.engines != at_first {
+        if !learnt.is_decided && learnt.target.prefill_engines != at_first {
             *learnt = fresh();
         }
         if let Some(change) = learnt.target.update(need, engines, now) {
@@ -149,21 +150,23 @@
                 "event=split_changed service={service} from={} to={} engines={engines} need={need:.2} read_ms={:.0} held_token_s={:.0} held_ms={:.0} prompts={:.0} ended={:.0} directory={}",
                 change.from,
                 change.to,
-                reading.read_s * 1000.0,
+                reading.prefill_s * 1000.0,
                 reading.held_token_s,
                 reading.held_s * 1000.0,
                 reading.prompts,
-                reading.ended,
+                reading.completed,
                 view.version,
             );
         }
-        learnt.target.engines
+        learnt.target.prefill_engines
     }
 
     /// The targets that were decided by observation.
     pub fn decided(&self) -> BTreeMap<Name, usize> {
         let decided = self.learnt.iter().filter(|(_service, learnt)| learnt.is_decided);
-        decided.map(|(service, learnt)| (Name::clone(service), learnt.target.engines)).collect()
+        decided
+            .map(|(service, learnt)| (Name::clone(service), learnt.target.prefill_engines))
+            .collect()
     }
 
     /// Takes the targets that a holder of the lease wrote. Where it wrote another one than this
--- a/crates/dillspool_roles/tests/targets.rs
+++ b/crates/dillspool_roles/tests/targets.rs
@@ -41,9 +41,9 @@
 /// Twenty requests of which each is read for `read_ms` and holds 4,000 tokens for three seconds.
 async fn play(demand: &DemandMeter, read_ms: u64) {
     for _request in 0..20 {
-        demand.note_prompt(&"pool".into(), 3_000);
-        demand.note_prefill(&"pool".into(), 3_000, Duration::from_millis(read_ms));
-        let ticket = demand.enter(&"pool".into(), 4_000);
+        demand.record_prompt(&"pool".into(), 3_000);
+        demand.record_prefill(&"pool".into(), 3_000, Duration::from_millis(read_ms));
+        let ticket = demand.hold_memory(&"pool".into(), 4_000);
         tokio::time::sleep(Duration::from_secs(3)).await;
         drop(ticket);
     }
@@ -242,9 +242,9 @@
     let mut tickets = std::collections::VecDeque::new();
     for _second in 0..10 {
         for _request in 0..per_s {
-            demand.note_prompt(&"pool".into(), 3_000);
-            demand.note_prefill(&"pool".into(), 3_000, Duration::from_millis(60));
-            tickets.push_back(demand.enter(&"pool".into(), 4_000));
+            demand.record_prompt(&"pool".into(), 3_000);
+            demand.record_prefill(&"pool".into(), 3_000, Duration::from_millis(60));
+            tickets.push_back(demand.hold_memory(&"pool".into(), 4_000));
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
         while tickets.len() > usize::try_from(3 * per_s).unwrap() {
--- a/crates/dillspool_scheduler/src/desk.rs
+++ b/crates/dillspool_scheduler/src/desk.rs
@@ -9,7 +9,7 @@
     AdmissionPolicy, EngineFault, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner,
     PoolReading, PoolTerms, StreamEnd, StreamPlacement, TicketId,
 };
-use dillspool_capacity::{DemandMeter, MemoryTicket};
+use dillspool_capacity::{DemandMeter, MemoryGuard};
 use dillspool_io::HostClock;
 use dillspool_moment::Moment;
 use dillspool_routing::{DirectoryView, EngineStage, RoutingConfig, StartedBackend};
@@ -52,7 +52,7 @@
     service: Name,
     prompt_tokens: u64,
     /// What it holds once it has engines.
-    _memory: Option<MemoryTicket>,
+    _memory: Option<MemoryGuard>,
 }
 
 struct DeskState {
@@ -89,7 +89,7 @@
         let prompt_tokens = request.prompt_tokens;
         let decision = self.planners.get_mut(service)?.ask(ticket, request, now);
         if !self.tickets.contains_key(&ticket) {
-            self.demand.note_prompt(service, prompt_tokens);
+            self.demand.record_prompt(service, prompt_tokens);
         }
         self.note_decision(ticket, service, prompt_tokens, &decision);
         Some(decision)
@@ -105,7 +105,7 @@
     ) {
         let memory = match decision {
             PlacementDecision::Place(placement) => {
-                Some(self.demand.enter(service, placement.reserve_tokens))
+                Some(self.demand.hold_memory(service, placement.reserve_tokens))
             }
             PlacementDecision::Wait | PlacementDecision::TurnAway { .. } => None,
         };
@@ -115,7 +115,7 @@
 
     fn note_prefilled(&mut self, ticket: TicketId, took: Duration) {
         if let Some(record) = self.tickets.get(&ticket) {
-            self.demand.note_prefill(&record.service, record.prompt_tokens, took);
+            self.demand.record_prefill(&record.service, record.prompt_tokens, took);
         }
         if let Some(planner) = self.planner_of(ticket) {
             planner.note_prefilled(ticket, took);
