--- a/crates/dillspool_forward/src/backend_tracker.rs
+++ b/crates/dillspool_forward/src/backend_tracker.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use dillspool_routing::StartedBackend;
+use dillspool_routing::BackendInstance;
 use tokio::time::Instant;
 
 /// Weight of the newest observation in an average; some ten sends decide.
@@ -54,11 +54,11 @@
 /// The book of all backend servers, by their starts: what one did says nothing of the next.
 #[derive(Clone, Debug, Default)]
 pub struct BackendTracker {
-    loads: Arc<Mutex<HashMap<StartedBackend, BackendLoad>>>,
+    loads: Arc<Mutex<HashMap<BackendInstance, BackendLoad>>>,
 }
 
 impl BackendTracker {
-    fn with<T>(&self, backend: &StartedBackend, run: impl FnOnce(&mut BackendLoad) -> T) -> T {
+    fn with<T>(&self, backend: &BackendInstance, run: impl FnOnce(&mut BackendLoad) -> T) -> T {
         let mut loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         if loads.len() >= MOST_ENTRIES {
             loads.retain(|_backend, load| load.outstanding > 0);
@@ -66,7 +66,7 @@
         run(loads.entry(backend.clone()).or_default())
     }
 
-    pub(crate) fn snapshot(&self, backend: &StartedBackend) -> LoadSnapshot {
+    pub(crate) fn snapshot(&self, backend: &BackendInstance) -> LoadSnapshot {
         let now = Instant::now();
         let loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         let load = loads.get(backend).cloned().unwrap_or_default();
@@ -79,13 +79,13 @@
     }
 
     /// Notes work that is sent to a backend server until the ticket is dropped.
-    pub(crate) fn track_request(&self, backend: &StartedBackend) -> LoadGuard {
+    pub(crate) fn track_request(&self, backend: &BackendInstance) -> LoadGuard {
         self.with(backend, |load| load.outstanding += 1);
         LoadGuard { book: self.clone(), backend: backend.clone() }
     }
 
     /// Notes an answer that came as it should.
-    pub(crate) fn record_success(&self, backend: &StartedBackend, latency: Duration) {
+    pub(crate) fn record_success(&self, backend: &BackendInstance, latency: Duration) {
         let latency_ms = latency.as_secs_f64() * 1000.0;
         self.with(backend, |load| {
             load.latency_ms += NEWEST_WEIGHT * (latency_ms - load.latency_ms);
@@ -96,22 +96,22 @@
     }
 
     /// Notes a failure that the backend server told of.
-    pub(crate) fn record_failure(&self, backend: &StartedBackend) {
+    pub(crate) fn record_failure(&self, backend: &BackendInstance) {
         self.with(backend, |load| load.failures += NEWEST_WEIGHT * (1.0 - load.failures));
     }
 
     /// Notes that no connection could be made; leaves the backend server out at once.
-    pub(crate) fn record_connect_failure(&self, backend: &StartedBackend, cause: &str) {
+    pub(crate) fn record_connect_failure(&self, backend: &BackendInstance, cause: &str) {
         self.record_unanswered(backend, 1, cause);
     }
 
     /// Notes that a backend server did not answer; leaves it out for a while when that repeats.
-    pub(crate) fn record_no_response(&self, backend: &StartedBackend, cause: &str) {
+    pub(crate) fn record_no_response(&self, backend: &BackendInstance, cause: &str) {
         self.record_unanswered(backend, FAILURES_BEFORE_ASIDE, cause);
     }
 
     /// Leaves a backend server out from so many failures in a row on, for longer each time.
-    fn record_unanswered(&self, backend: &StartedBackend, failures_before: u32, cause: &str) {
+    fn record_unanswered(&self, backend: &BackendInstance, failures_before: u32, cause: &str) {
         let now = Instant::now();
         let aside = self.with(backend, |load| {
             load.failures += NEWEST_WEIGHT * (1.0 - load.failures);
@@ -135,7 +135,7 @@
 #[derive(Debug)]
 pub(crate) struct LoadGuard {
     book: BackendTracker,
-    backend: StartedBackend,
+    backend: BackendInstance,
 }
 
 impl Drop for LoadGuard {
