--- a/crates/dillspool_forward/src/lib.rs
+++ b/crates/dillspool_forward/src/lib.rs
@@ -4,14 +4,13 @@
 //! memory, are prefilled, and are streamed event by event. What may be sent again, and when,
 //! is decided here and nowhere else; `docs/design/platform_site.md` has the reasons.
 
-mod answer;
+mod backend_probe;
 mod backend_tracker;
-mod broken_run;
 mod calls;
 mod context;
 mod events;
 mod generate;
-mod long_answer;
+mod handle;
 mod metrics;
 mod picker;
 mod placement;
@@ -20,6 +19,7 @@
 mod reader;
 mod refusal;
 mod relay;
+mod response_body;
 mod retry_budget;
 mod scheduled;
 mod stages;
@@ -28,15 +28,15 @@
 mod tried;
 mod workspace_limit;
 
-pub use answer::answer_request;
+pub use backend_probe::BackendProbes;
 pub use backend_tracker::BackendTracker;
-pub use broken_run::BreakLooks;
 pub use calls::{
-    BackendAnswer, BackendCalls, BackendSign, CallError, ForwardTerms, HoldTerms, OrderOutcome,
-    PrefillTerms, PrefilledPrompt, StageOrder, WorkRank,
+    BackendCalls, BackendResponse, CallError, ForwardParams, OrderOutcome, PrefillParams,
+    PrefilledPrompt, ProbeResult, ReservationParams, StageOrder, WorkPriority,
 };
 pub use context::ForwardContext;
 pub use events::{EventSplitter, StreamEvent};
+pub use handle::handle_request;
 pub use metrics::{ForwardMetrics, OutcomeLabels};
 pub use refusal::{Refusal, RefusalCause};
 pub use retry_budget::{BudgetSettings, BudgetUsage, RetryBudgets};
