--- a/crates/dillspool_admission/src/decode_book.rs
+++ b/crates/dillspool_admission/src/decode_book.rs
@@ -6,8 +6,8 @@
 use dillspool_routing::BackendStart;
 use dillspool_schema::Name;
 
-use crate::length::LengthModel;
-use crate::request::{AdmissionPolicy, PoolTerms, TicketId};
+use crate::lifetime::LifetimeModel;
+use crate::request::{AdmissionPolicy, EngineCapacity, TicketId};
 use crate::shut::ShutState;
 
 /// Moments ahead at which memory is foreseen, as parts of an answer's mean life. Beyond one life
@@ -81,7 +81,7 @@
     pub(crate) fn of(
         stream: &StreamRecord,
         now: Moment,
-        lengths: &LengthModel,
+        lengths: &LifetimeModel,
         slowness: f64,
     ) -> Self {
         let mut foresight = Self::empty(now);
@@ -99,7 +99,7 @@
             .fold(self.held + other.held, f64::max)
     }
 
-    fn add(&mut self, stream: &StreamRecord, now: Moment, lengths: &LengthModel, slowness: f64) {
+    fn add(&mut self, stream: &StreamRecord, now: Moment, lengths: &LifetimeModel, slowness: f64) {
         let (age, pace_s) = (stream.age(now), lengths.token_s() * slowness);
         for (step, part) in AHEAD_PARTS.iter().enumerate() {
             let ahead = lengths.mean_life().mul_f64(*part);
@@ -146,13 +146,13 @@
     }
 
     /// Notes the time between the events of an answer that ended here, against the usual one.
-    pub(crate) fn note_pace(&mut self, ratio: f64, now: Moment, lengths: &LengthModel) {
+    pub(crate) fn note_pace(&mut self, ratio: f64, now: Moment, lengths: &LifetimeModel) {
         let known = self.slowness(now, lengths);
         self.pace = Some((known + PACE_WEIGHT * (ratio - known), now));
     }
 
     /// Factor by which it takes longer than usual, as far as answers that ended here tell.
-    pub(crate) fn slowness(&self, now: Moment, lengths: &LengthModel) -> f64 {
+    pub(crate) fn slowness(&self, now: Moment, lengths: &LifetimeModel) -> f64 {
         let Some((pace, at)) = self.pace else { return 1.0 };
         let lives = now.since(at).as_secs_f64() / lengths.mean_life().as_secs_f64();
         let slowness = 1.0 + (pace - 1.0) * (-lives / PACE_LIVES).exp();
@@ -193,8 +193,8 @@
         &mut self,
         stream: &Foresight,
         now: Moment,
-        lengths: &LengthModel,
-        terms: &PoolTerms,
+        lengths: &LifetimeModel,
+        terms: &EngineCapacity,
         policy: &AdmissionPolicy,
     ) -> f64 {
         if self.streams.len() >= terms.slots as usize {
@@ -205,7 +205,7 @@
         terms.memory_tokens as f64 - most - self.unseen_tokens(now)
     }
 
-    fn foresee(&mut self, now: Moment, lengths: &LengthModel) -> Foresight {
+    fn foresee(&mut self, now: Moment, lengths: &LifetimeModel) -> Foresight {
         let fresh = |known: &Foresight| now.since(known.as_of) < FORESIGHT_LIFE;
         if let Some(known) = self.foresight.filter(fresh) {
             return known;
@@ -224,7 +224,7 @@
         &self,
         time: Duration,
         now: Moment,
-        lengths: &LengthModel,
+        lengths: &LifetimeModel,
     ) -> f64 {
         let slowness = self.slowness(now, lengths);
         let released = |stream: &StreamRecord| {
--- a/crates/dillspool_admission/src/lib.rs
+++ b/crates/dillspool_admission/src/lib.rs
@@ -6,16 +6,16 @@
 //! that each decision answers.
 
 mod decode_book;
-mod length;
+mod lifetime;
 mod planner;
 mod prefill_book;
 mod request;
 mod shut;
 mod waiting;
 
-pub use length::LengthModel;
-pub use planner::{PoolPlanner, PoolReading};
+pub use lifetime::LifetimeModel;
+pub use planner::{PoolPlanner, PoolSnapshot};
 pub use request::{
-    AdmissionPolicy, EngineFault, PlacementDecision, PlacementRequest, PoolEngine, PoolTerms,
-    StreamEnd, StreamPlacement, TicketId, TurnAwayCause, WorkClass,
+    AdmissionPolicy, EngineCapacity, EngineFault, PlacementDecision, PlacementRejection,
+    PlacementRequest, PoolEngine, StreamEnd, StreamPlacement, TicketId, WorkClass,
 };
--- a/crates/dillspool_admission/src/length.rs
+++ b/crates/dillspool_admission/src/lifetime.rs
@@ -41,7 +41,7 @@
 
 /// The chance of a life, learnt from answers that ended and those that still run.
 #[derive(Clone, Debug)]
-pub struct LengthModel {
+pub struct LifetimeModel {
     /// The newest last.
     ended: VecDeque<EndedAnswer>,
     /// Answers noted since the curve was worked out.
@@ -57,7 +57,7 @@
     curve: SurvivalCurve,
 }
 
-impl Default for LengthModel {
+impl Default for LifetimeModel {
     fn default() -> Self {
         Self {
             ended: VecDeque::new(),
@@ -71,7 +71,7 @@
     }
 }
 
-impl LengthModel {
+impl LifetimeModel {
     /// Notes an answer that ended well after this life.
     pub fn note(&mut self, guess_tokens: u64, life: Duration) {
         if life.is_zero() {
--- a/crates/dillspool_admission/src/planner.rs
+++ b/crates/dillspool_admission/src/planner.rs
@@ -18,11 +18,11 @@
 use rand::{Rng, SeedableRng};
 
 use crate::decode_book::{DecodeBook, StreamRecord};
-use crate::length::LengthModel;
+use crate::lifetime::LifetimeModel;
 use crate::prefill_book::{PrefillBook, ReadPace};
 use crate::request::{
-    AdmissionPolicy, PlacementDecision, PlacementRequest, PoolEngine, PoolTerms, StreamPlacement,
-    TicketId, TurnAwayCause, WorkClass,
+    AdmissionPolicy, EngineCapacity, PlacementDecision, PlacementRejection, PlacementRequest,
+    PoolEngine, StreamPlacement, TicketId, WorkClass,
 };
 use crate::waiting::WaitingLine;
 
@@ -37,21 +37,21 @@
 
 /// What the planner believes at a moment, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PoolReading {
+pub struct PoolSnapshot {
     /// Decode engines that take requests.
-    pub decode: usize,
+    pub decode_engines: usize,
     /// Prefill engines that take prompts.
-    pub prefill: usize,
+    pub prefill_engines: usize,
     /// Streams at all decode engines.
     pub streams: usize,
     /// Requests that wait.
-    pub waiting: usize,
+    pub queued: usize,
     /// How long the first of them has waited.
     pub longest_wait: Duration,
     /// Tokens of memory that are foreseen to be given back a second.
-    pub released_per_s: f64,
+    pub released_tokens_per_s: f64,
     /// Shortest wait at a prefill engine.
-    pub prefill_wait: Duration,
+    pub min_prefill_wait: Duration,
 }
 
 /// Where a ticket's work is.
@@ -79,13 +79,13 @@
 /// The decisions of one pool.
 #[derive(Debug)]
 pub struct PoolPlanner {
-    terms: PoolTerms,
+    terms: EngineCapacity,
     policy: AdmissionPolicy,
     decode: BTreeMap<Name, DecodeBook>,
     prefill: BTreeMap<Name, PrefillBook>,
     placed: HashMap<TicketId, PlacedRecord>,
     line: WaitingLine,
-    lengths: LengthModel,
+    lengths: LifetimeModel,
     pace: ReadPace,
     /// Average gap between two events of a stream.
     event_gap: Option<Duration>,
@@ -94,7 +94,7 @@
 
 impl PoolPlanner {
     /// A planner that knows no engine; `seed` spreads its choices among equals.
-    pub fn new(terms: PoolTerms, policy: AdmissionPolicy, seed: u64) -> Self {
+    pub fn new(terms: EngineCapacity, policy: AdmissionPolicy, seed: u64) -> Self {
         Self {
             terms,
             policy,
@@ -102,7 +102,7 @@
             prefill: BTreeMap::new(),
             placed: HashMap::new(),
             line: WaitingLine::default(),
-            lengths: LengthModel::default(),
+            lengths: LifetimeModel::default(),
             pace: ReadPace::default(),
             event_gap: None,
             random: SmallRng::seed_from_u64(seed),
@@ -110,7 +110,7 @@
     }
 
     /// Takes what the engines have in common, as the configuration says it now.
-    pub fn set_terms(&mut self, terms: PoolTerms) {
+    pub fn set_engine_capacity(&mut self, terms: EngineCapacity) {
         self.terms = terms;
     }
 
@@ -118,7 +118,12 @@
     /// nothing that it did counts any more.
     pub fn set_engines(&mut self, engines: impl Iterator<Item = PoolEngine>) {
         let (mut decode, mut prefill) = (BTreeMap::new(), BTreeMap::new());
-        for PoolEngine { backend: BackendInstance { id, start }, domain, prefills } in engines {
+        for PoolEngine {
+            backend: BackendInstance { id, start },
+            failure_domain: domain,
+            is_prefill: prefills,
+        } in engines
+        {
             if BackendStart::are_different(self.start_of(&id), start) {
                 self.leave_engine(&id);
             }
@@ -155,18 +160,21 @@
     }
 
     /// Decides on a request; one that was placed before leaves its old place.
-    pub fn ask(
+    pub fn decide(
         &mut self,
         ticket: TicketId,
         request: PlacementRequest,
         now: Moment,
     ) -> PlacementDecision {
-        self.forget(ticket);
+        self.remove(ticket);
         self.refresh(now);
         let request = self.with_true_class(request);
         if request.refusals >= self.policy.most_refusals {
             let come_back = Duration::from_millis(self.random.random_range(REFUSED_COME_BACK_MS));
-            return PlacementDecision::TurnAway { cause: TurnAwayCause::Refused, come_back };
+            return PlacementDecision::Reject {
+                cause: PlacementRejection::Refused,
+                retry_after: come_back,
+            };
         }
         match self.choose(&request, now) {
             Ok(placement) => self.place(ticket, &request, placement, now),
@@ -176,7 +184,7 @@
 
     /// Chooses another prefill engine for a request that has its memory; `None` when its decode
     /// engine should read the prompt.
-    pub fn ask_prefill(
+    pub fn choose_prefill(
         &mut self,
         ticket: TicketId,
         request: &PlacementRequest,
@@ -185,7 +193,7 @@
         let decode = Name::clone(&self.placed.get(&ticket)?.decode);
         self.leave_prefill(ticket);
         let domain = self.decode.get(&decode).map(|book| Name::clone(&book.domain));
-        let domain = domain.unwrap_or_else(|| Name::clone(&request.domain));
+        let domain = domain.unwrap_or_else(|| Name::clone(&request.failure_domain));
         let (prefill, wait) = self.best_prefill(request, &domain, now)?;
         if wait > request.objective_left.max(LATE_PREFILL_WAIT) {
             return None;
@@ -202,8 +210,8 @@
         placement: StreamPlacement,
         now: Moment,
     ) {
-        self.forget(ticket);
-        let decode = Name::clone(&placement.decode);
+        self.remove(ticket);
+        let decode = Name::clone(&placement.decode_engine);
         self.place(ticket, request, placement, now);
         if let Some(book) = self.decode.get_mut(&decode) {
             // When its prompt was read, if here, is not known.
@@ -232,12 +240,12 @@
     }
 
     /// Whether anybody waits.
-    pub fn is_waited_for(&self) -> bool {
+    pub fn has_queued(&self) -> bool {
         !self.line.is_empty()
     }
 
     /// Takes a request off, wherever it is.
-    pub fn forget(&mut self, ticket: TicketId) {
+    pub fn remove(&mut self, ticket: TicketId) {
         let _stream = self.take_off(ticket);
     }
 
@@ -249,17 +257,17 @@
     }
 
     /// What is believed now.
-    pub fn read(&self, now: Moment) -> PoolReading {
+    pub fn snapshot(&self, now: Moment) -> PoolSnapshot {
         let pace_s = self.pace.token_s();
         let open = self.prefill.values().filter(|book| !book.shut.is_shut(now));
-        PoolReading {
-            decode: self.decode.values().filter(|book| !book.shut.is_shut(now)).count(),
-            prefill: open.clone().count(),
+        PoolSnapshot {
+            decode_engines: self.decode.values().filter(|book| !book.shut.is_shut(now)).count(),
+            prefill_engines: open.clone().count(),
             streams: self.decode.values().map(|book| book.streams.len()).sum(),
-            waiting: self.line.len(),
+            queued: self.line.len(),
             longest_wait: self.line.longest_wait(now),
-            released_per_s: self.released_per_s(now),
-            prefill_wait: open.map(|book| book.wait(now, pace_s)).min().unwrap_or_default(),
+            released_tokens_per_s: self.released_per_s(now),
+            min_prefill_wait: open.map(|book| book.wait(now, pace_s)).min().unwrap_or_default(),
         }
     }
 
@@ -284,13 +292,13 @@
     ) -> PlacementDecision {
         let mut stream = self.stream_of(ticket, request);
         stream.reserve_tokens = placement.reserve_tokens;
-        stream.read_since = placement.prefill.is_none().then_some(now);
-        if let Some(book) = self.decode.get_mut(&placement.decode) {
+        stream.read_since = placement.prefill_engine.is_none().then_some(now);
+        if let Some(book) = self.decode.get_mut(&placement.decode_engine) {
             book.add(stream);
         }
-        let decode = Name::clone(&placement.decode);
+        let decode = Name::clone(&placement.decode_engine);
         self.placed.insert(ticket, PlacedRecord { decode, prefill: None, read_by: None });
-        if let Some(prefill) = &placement.prefill {
+        if let Some(prefill) = &placement.prefill_engine {
             self.enter_prefill(ticket, prefill, request.prompt_tokens, now);
         }
         PlacementDecision::Place(placement)
@@ -317,8 +325,8 @@
         StreamRecord {
             ticket,
             prompt_tokens: request.prompt_tokens,
-            guess_tokens: request.guess_tokens,
-            most_tokens: request.most_tokens,
+            guess_tokens: request.estimated_tokens,
+            most_tokens: request.max_tokens,
             reserve_tokens: self.reserve_tokens(request),
             started: None,
             read_since: None,
@@ -331,9 +339,9 @@
         reason = "tokens are far below 2^52 and not negative"
     )]
     fn reserve_tokens(&self, request: &PlacementRequest) -> u64 {
-        let usual = self.lengths.usual_tokens(request.guess_tokens);
+        let usual = self.lengths.usual_tokens(request.estimated_tokens);
         let part = (usual * self.policy.reserved_part) as u64;
-        request.prompt_tokens + part.max(SMALLEST_ANSWER).min(request.most_tokens.max(1))
+        request.prompt_tokens + part.max(SMALLEST_ANSWER).min(request.max_tokens.max(1))
     }
 
     /// A request that cannot be in time even where nothing waits is late whatever happens; to turn
--- a/crates/dillspool_admission/src/planner/choose.rs
+++ b/crates/dillspool_admission/src/planner/choose.rs
@@ -57,14 +57,18 @@
             && self.is_soon_enough(request, *wait)
         {
             let prefill = Some(Name::clone(prefill));
-            return Ok(StreamPlacement { decode, reserve_tokens, prefill });
+            return Ok(StreamPlacement {
+                decode_engine: decode,
+                reserve_tokens,
+                prefill_engine: prefill,
+            });
         }
         let reader = ranked
             .into_iter()
             .find(|(decode, _domain)| self.may_read(decode, request, wait.is_some(), now));
         match reader {
             Some((decode, _domain)) => {
-                Ok(StreamPlacement { decode, reserve_tokens, prefill: None })
+                Ok(StreamPlacement { decode_engine: decode, reserve_tokens, prefill_engine: None })
             }
             None => Err(PlaceLack::Prefill),
         }
@@ -100,7 +104,7 @@
             if room < 0.0 {
                 continue;
             }
-            let far = if book.domain == request.domain { 0.0 } else { FAR_TOKENS };
+            let far = if book.domain == request.failure_domain { 0.0 } else { FAR_TOKENS };
             let spread = self.random.random_range(0.0..SPREAD) * memory;
             let failing = book.shut.failure_rate(now) * policy.failure_weight * memory;
             let slow = (slowness - 1.0) * policy.slow_weight * memory;
@@ -145,7 +149,7 @@
                 let first = wait + read + OPENING + self.gap(request);
                 first <= request.objective_left.mul_f64(SURE_PART)
             }
-            WorkClass::UnderWay => wait <= request.patience,
+            WorkClass::UnderWay => wait <= request.max_wait,
             WorkClass::Late => wait <= LATE_PREFILL_WAIT,
         }
     }
@@ -170,12 +174,12 @@
         let read = read_time(request.prompt_tokens, pace_s);
         let first = read + OPENING + self.gap(request);
         let in_time = request.class != WorkClass::InTime || first <= request.objective_left;
-        let target = request.pause_target.unwrap_or(Duration::MAX);
+        let target = request.max_event_gap.unwrap_or(Duration::MAX);
         in_time && read + self.gap(request) <= target.mul_f64(PAUSE_PART)
     }
 
     pub(super) fn gap(&self, request: &PlacementRequest) -> Duration {
-        let assumed = request.pause_target.map(|target| target.mul_f64(ASSUMED_GAP_PART));
+        let assumed = request.max_event_gap.map(|target| target.mul_f64(ASSUMED_GAP_PART));
         self.event_gap.or(assumed).unwrap_or_default()
     }
 }
--- a/crates/dillspool_admission/src/planner/completion.rs
+++ b/crates/dillspool_admission/src/planner/completion.rs
@@ -33,9 +33,9 @@
     fn completion_chance(&self, request: &PlacementRequest, wait: Duration, slowness: f64) -> f64 {
         let read = tokens_time(request.prompt_tokens, self.pace.token_s());
         let life = request.time_left.saturating_sub(wait + read + OPENING).div_f64(slowness);
-        if request.most_tokens as f64 * self.lengths.token_s() <= life.as_secs_f64() {
+        if request.max_tokens as f64 * self.lengths.token_s() <= life.as_secs_f64() {
             return 1.0;
         }
-        1.0 - self.lengths.lives_on(request.guess_tokens, Duration::ZERO, life)
+        1.0 - self.lengths.lives_on(request.estimated_tokens, Duration::ZERO, life)
     }
 }
--- a/crates/dillspool_admission/src/planner/notes.rs
+++ b/crates/dillspool_admission/src/planner/notes.rs
@@ -15,7 +15,7 @@
 
 impl PoolPlanner {
     /// Notes that a prefill ended well.
-    pub fn note_prefilled(&mut self, ticket: TicketId, took: Duration) {
+    pub fn record_prefilled(&mut self, ticket: TicketId, took: Duration) {
         let Some(placed) = self.placed.get_mut(&ticket) else { return };
         let Some(engine) = placed.prefill.take() else { return };
         placed.read_by = Some(Name::clone(&engine));
@@ -27,7 +27,7 @@
     }
 
     /// Notes that the decode engine reads the prompt itself, other than decided.
-    pub fn note_reads_itself(&mut self, ticket: TicketId, now: Moment) {
+    pub fn record_local_prefill(&mut self, ticket: TicketId, now: Moment) {
         self.leave_prefill(ticket);
         let Some(placed) = self.placed.get(&ticket) else { return };
         if let Some(book) = self.decode.get_mut(&placed.decode) {
@@ -36,7 +36,7 @@
     }
 
     /// Notes that the decode engine took a request.
-    pub fn note_started(&mut self, ticket: TicketId, now: Moment) {
+    pub fn record_started(&mut self, ticket: TicketId, now: Moment) {
         self.leave_prefill(ticket);
         let Some(placed) = self.placed.get(&ticket) else { return };
         if let Some(book) = self.decode.get_mut(&placed.decode) {
@@ -49,7 +49,7 @@
     }
 
     /// Notes what an engine did other than expected; the request leaves it.
-    pub fn note_fault(
+    pub fn record_fault(
         &mut self,
         ticket: TicketId,
         backend: &BackendInstance,
@@ -70,7 +70,7 @@
         if placed.prefill.as_ref() == Some(engine) {
             self.leave_prefill(ticket);
         } else if placed.decode == *engine {
-            self.forget(ticket);
+            self.remove(ticket);
         }
     }
 
@@ -82,13 +82,15 @@
             match fault {
                 EngineFault::NoMemory => {}
                 EngineFault::PrefillRefused => shut.note_refused_prefill(now),
-                EngineFault::ReservedRefused => shut.note_refused_reserved(now, reader.is_some()),
+                EngineFault::ReservedRequestRefused => {
+                    shut.note_refused_reserved(now, reader.is_some())
+                }
                 EngineFault::Unreachable => shut.note_unreachable(now),
-                EngineFault::Silent => shut.note_silence(now),
+                EngineFault::NoResponse => shut.note_silence(now),
                 EngineFault::Failed => shut.note_failed(now, self.policy.failures_before_shut),
             }
         }
-        if fault == EngineFault::ReservedRefused
+        if fault == EngineFault::ReservedRequestRefused
             && let Some(reader) = reader.and_then(|reader| self.prefill.get_mut(&reader))
         {
             // The result that it read may have been gone.
@@ -97,9 +99,9 @@
     }
 
     /// Notes that a stream ended.
-    pub fn note_ended(&mut self, ticket: TicketId, end: StreamEnd, now: Moment) {
+    pub fn record_ended(&mut self, ticket: TicketId, end: StreamEnd, now: Moment) {
         let engine = self.placed.get(&ticket).map(|placed| Name::clone(&placed.decode));
-        let Some(stream) = self.take_off(ticket).filter(|_stream| end.is_whole) else { return };
+        let Some(stream) = self.take_off(ticket).filter(|_stream| end.is_complete) else { return };
         self.lengths.note(stream.guess_tokens, stream.age(now));
         if let Some(gap) = end.event_gap {
             let known = self.event_gap.unwrap_or(gap).as_secs_f64();
--- a/crates/dillspool_admission/src/planner/wait.rs
+++ b/crates/dillspool_admission/src/planner/wait.rs
@@ -12,7 +12,9 @@
 use super::{OPENING, PlaceLack, PoolPlanner, is_in_time};
 use crate::decode_book::read_time;
 use crate::prefill_book::tokens_time;
-use crate::request::{PlacementDecision, PlacementRequest, TicketId, TurnAwayCause, WorkClass};
+use crate::request::{
+    PlacementDecision, PlacementRejection, PlacementRequest, TicketId, WorkClass,
+};
 use crate::waiting::WaitingRecord;
 
 /// Time over which releases of memory are foreseen, as a part of the mean life of an answer.
@@ -53,11 +55,11 @@
         let read = tokens_time(request.prompt_tokens, self.pace.token_s());
         let rest = read + OPENING + self.gap(request);
         let useful = match request.class {
-            WorkClass::UnderWay => request.patience,
+            WorkClass::UnderWay => request.max_wait,
             WorkClass::InTime => request.objective_left.saturating_sub(rest),
             WorkClass::Late => self.lengths.mean_life().mul_f64(self.policy.late_wait),
         };
-        useful.min(request.patience.saturating_sub(rest))
+        useful.min(request.max_wait.saturating_sub(rest))
     }
 
     /// Memory that a request takes times the time for which it mostly holds it, in tokens x ms; 0 where
@@ -72,8 +74,8 @@
         if !self.policy.by_cost || request.class == WorkClass::UnderWay {
             return 0;
         }
-        let life = self.lengths.usual_life(request.guess_tokens);
-        let made = self.lengths.usual_tokens(request.guess_tokens);
+        let life = self.lengths.usual_life(request.estimated_tokens);
+        let made = self.lengths.usual_tokens(request.estimated_tokens);
         // On the mean of its life an answer holds half of what it makes.
         let held = request.prompt_tokens as f64 + made / 2.0;
         (held * life.as_secs_f64() * 1_000.0) as u64
@@ -128,12 +130,12 @@
         let earliest = self.policy.come_back_from.min(LATEST_COME_BACK);
         let part = self.random.random_range(earliest..=LATEST_COME_BACK);
         let (cause, come_back) = match cause {
-            PlaceLack::Engine => (TurnAwayCause::NoEngine, NO_ENGINE_COME_BACK),
+            PlaceLack::Engine => (PlacementRejection::NoEngine, NO_ENGINE_COME_BACK),
             PlaceLack::Memory | PlaceLack::Time => {
-                (TurnAwayCause::NoMemory, request.time_left.mul_f64(part))
+                (PlacementRejection::NoMemory, request.time_left.mul_f64(part))
             }
-            PlaceLack::Prefill => (TurnAwayCause::NoPrefill, request.time_left.mul_f64(part)),
+            PlaceLack::Prefill => (PlacementRejection::NoPrefill, request.time_left.mul_f64(part)),
         };
-        PlacementDecision::TurnAway { cause, come_back }
+        PlacementDecision::Reject { cause, retry_after: come_back }
     }
 }
--- a/crates/dillspool_admission/src/request.rs
+++ b/crates/dillspool_admission/src/request.rs
@@ -16,9 +16,9 @@
     /// Which one, and of which start.
     pub backend: BackendInstance,
     /// Its failure domain.
-    pub domain: Name,
+    pub failure_domain: Name,
     /// Whether it prefills; else it decodes.
-    pub prefills: bool,
+    pub is_prefill: bool,
 }
 
 /// How much an answer is worth to its caller, most first.
@@ -42,27 +42,27 @@
     /// Rank of its route; 0 is the highest.
     pub priority: u32,
     /// Failure domain of the host that has the caller.
-    pub domain: Name,
+    pub failure_domain: Name,
     /// Tokens to read before the first event, those of a broken answer included.
     pub prompt_tokens: u64,
     /// The caller's guess of the answer's tokens.
-    pub guess_tokens: u64,
+    pub estimated_tokens: u64,
     /// Most tokens that the answer may have.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Time in which the first event is in time; zero when it is late anyway.
     pub objective_left: Duration,
     /// Longest that it may wait for an engine, whatever comes of it.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Time until the caller gives up.
     pub time_left: Duration,
     /// Longest pause between two events of an answer that is in time.
-    pub pause_target: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Engines that it must not go to again.
     pub excluded: Vec<Name>,
     /// Engines that have refused it a place until now.
     pub refusals: usize,
     /// The engines that its host knows; `None` for all.
-    pub part: Option<ClassSubset>,
+    pub subset: Option<ClassSubset>,
 }
 
 /// The place of a request among those that wait; the least goes first.
@@ -76,7 +76,7 @@
 impl PlacementRequest {
     /// Whether it may go to an engine, as far as its host is concerned.
     pub(crate) fn may_go_to(&self, engine: &Name) -> bool {
-        !self.excluded.contains(engine) && self.part.is_none_or(|part| part.contains(engine))
+        !self.excluded.contains(engine) && self.subset.is_none_or(|part| part.contains(engine))
     }
 
     /// Its place among those that wait: what it is worth, then who asks, then for what.
@@ -93,16 +93,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamPlacement {
     /// Engine that decodes.
-    pub decode: Name,
+    pub decode_engine: Name,
     /// Tokens of memory to reserve there.
     pub reserve_tokens: u64,
     /// Engine that reads the prompt; `None` when the decode engine reads it itself.
-    pub prefill: Option<Name>,
+    pub prefill_engine: Option<Name>,
 }
 
 /// Why a request was turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnAwayCause {
+pub enum PlacementRejection {
     /// No engine takes requests.
     NoEngine,
     /// No engine will have memory for it in time.
@@ -121,11 +121,11 @@
     /// It waits; a later look at the line decides.
     Wait,
     /// It is refused at once.
-    TurnAway {
+    Reject {
         /// Why.
-        cause: TurnAwayCause,
+        cause: PlacementRejection,
         /// When its caller should come back.
-        come_back: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -137,11 +137,11 @@
     /// It refused a prefill.
     PrefillRefused,
     /// It refused a request for which it had reserved memory.
-    ReservedRefused,
+    ReservedRequestRefused,
     /// It gave no connection.
     Unreachable,
     /// It gave no proper answer.
-    Silent,
+    NoResponse,
     /// It answered with a failure of its own.
     Failed,
 }
@@ -150,14 +150,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamEnd {
     /// Whether its answer is whole, so that its life tells of others.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Mean time between two of its events, if it had some.
     pub event_gap: Option<Duration>,
 }
 
 /// What the engines of a pool have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PoolTerms {
+pub struct EngineCapacity {
     /// Tokens that fit into an engine's memory.
     pub memory_tokens: u64,
     /// Requests that an engine runs at once.
@@ -196,10 +196,10 @@
     pub failure_weight: f64,
 }
 
-impl PoolTerms {
+impl EngineCapacity {
     /// Of engines that the configuration says nothing of: nothing is foreseen to run out, and their
     /// own refusals decide.
-    pub const UNKNOWN: Self = Self { memory_tokens: u32::MAX as u64, slots: u32::MAX };
+    pub const UNLIMITED: Self = Self { memory_tokens: u32::MAX as u64, slots: u32::MAX };
 }
 
 impl Default for AdmissionPolicy {
--- a/crates/dillspool_admission/src/waiting.rs
+++ b/crates/dillspool_admission/src/waiting.rs
@@ -31,7 +31,7 @@
         let waited = now.since(self.since);
         let mut request = self.request.clone();
         request.objective_left = request.objective_left.saturating_sub(waited);
-        request.patience = request.patience.saturating_sub(waited);
+        request.max_wait = request.max_wait.saturating_sub(waited);
         request.time_left = request.time_left.saturating_sub(waited);
         request
     }
--- a/crates/dillspool_admission/tests/deadlines.rs
+++ b/crates/dillspool_admission/tests/deadlines.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dillspool_admission::{
-    AdmissionPolicy, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner, PoolTerms,
+    AdmissionPolicy, EngineCapacity, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner,
     TicketId, WorkClass,
 };
 use dillspool_moment::Moment;
@@ -67,31 +67,31 @@
 
 fn engine(id: &str, prefills: bool) -> PoolEngine {
     let backend = BackendInstance { id: id.into(), start: None };
-    PoolEngine { backend, domain: "d".into(), prefills }
+    PoolEngine { backend, failure_domain: "d".into(), is_prefill: prefills }
 }
 
 fn decide(case: &DeadlineCase) -> PlacementDecision {
     let policy = AdmissionPolicy { completion_chance: case.chance, ..AdmissionPolicy::default() };
-    let terms = PoolTerms { memory_tokens: 60_000, slots: 12 };
+    let terms = EngineCapacity { memory_tokens: 60_000, slots: 12 };
     let mut planner = PoolPlanner::new(terms, policy, 1);
     planner.set_engines([engine("decode", false), engine("prefill", true)].into_iter());
     let request = PlacementRequest {
         class: case.class,
         workspace_priority: 0,
         priority: 0,
-        domain: "d".into(),
+        failure_domain: "d".into(),
         prompt_tokens: 5_000,
-        guess_tokens: 2_000,
-        most_tokens: 5_000,
+        estimated_tokens: 2_000,
+        max_tokens: 5_000,
         objective_left: Duration::from_millis(900),
-        patience: Duration::from_millis(case.left_ms),
+        max_wait: Duration::from_millis(case.left_ms),
         time_left: Duration::from_millis(case.left_ms),
-        pause_target: None,
+        max_event_gap: None,
         excluded: Vec::new(),
         refusals: 0,
-        part: None,
+        subset: None,
     };
-    planner.ask(TicketId(1), request, Moment::after_origin(Duration::from_secs(1)))
+    planner.decide(TicketId(1), request, Moment::after_origin(Duration::from_secs(1)))
 }
 
 #[test]
--- a/crates/dillspool_admission/tests/model/world.rs
+++ b/crates/dillspool_admission/tests/model/world.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use dillspool_admission::{
-    AdmissionPolicy, EngineFault, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner,
-    PoolTerms, StreamEnd, StreamPlacement, TicketId, TurnAwayCause, WorkClass,
+    AdmissionPolicy, EngineCapacity, EngineFault, PlacementDecision, PlacementRejection,
+    PlacementRequest, PoolEngine, PoolPlanner, StreamEnd, StreamPlacement, TicketId, WorkClass,
 };
 use dillspool_moment::Moment;
 use dillspool_routing::BackendInstance;
@@ -78,8 +78,8 @@
 fn pool_engines(decode: &[Name], prefill: &[Name]) -> impl Iterator<Item = PoolEngine> {
     let engine = |name: &Name, prefills| PoolEngine {
         backend: started(name),
-        domain: "domain".into(),
-        prefills,
+        failure_domain: "domain".into(),
+        is_prefill: prefills,
     };
     let decode: Vec<_> = decode.iter().map(|name| engine(name, false)).collect();
     decode.into_iter().chain(prefill.iter().map(move |name| engine(name, true)).collect::<Vec<_>>())
@@ -91,7 +91,7 @@
 
 /// Plays a load against a pool until everybody has an answer.
 pub fn play(pool: PoolModel, policy: AdmissionPolicy, load: &[Arrival]) -> Outcome {
-    let terms = PoolTerms { memory_tokens: pool.memory, slots: pool.slots };
+    let terms = EngineCapacity { memory_tokens: pool.memory, slots: pool.slots };
     let mut planner = PoolPlanner::new(terms, policy, pool.seed);
     let decode: Vec<Name> = (0..pool.decode).map(|at| format!("decode-{at:02}").into()).collect();
     let prefill: Vec<Name> =
@@ -171,23 +171,23 @@
             class: if late { WorkClass::Late } else { WorkClass::InTime },
             workspace_priority: 0,
             priority: arrival.priority,
-            domain: "domain".into(),
+            failure_domain: "domain".into(),
             prompt_tokens: arrival.prompt,
-            guess_tokens: arrival.guess.min(10_880),
-            most_tokens: 10_880,
+            estimated_tokens: arrival.guess.min(10_880),
+            max_tokens: 10_880,
             objective_left: Duration::from_millis(arrival.objective_ms.saturating_sub(spent)),
-            patience: Duration::from_millis(silence_ms - waited).min(time_left),
+            max_wait: Duration::from_millis(silence_ms - waited).min(time_left),
             time_left,
-            pause_target: Some(Duration::from_millis(PAUSE_MS)),
+            max_event_gap: Some(Duration::from_millis(PAUSE_MS)),
             excluded: Vec::new(),
             refusals: caller.refusals,
-            part: None,
+            subset: None,
         }
     }
 
     fn ask(&mut self, number: u64, coming: &mut VecDeque<(u64, Caller)>) {
         let request = self.request(&self.callers[&number]);
-        let decision = self.planner.ask(TicketId(number), request, moment(self.now));
+        let decision = self.planner.decide(TicketId(number), request, moment(self.now));
         if decision != PlacementDecision::Wait {
             self.take(number, decision, coming);
         }
@@ -201,8 +201,8 @@
     ) {
         match decision {
             PlacementDecision::Place(placement) => self.reserve(number, placement, coming),
-            PlacementDecision::TurnAway { cause, come_back } => {
-                if cause == TurnAwayCause::NoMemory {
+            PlacementDecision::Reject { cause, retry_after: come_back } => {
+                if cause == PlacementRejection::NoMemory {
                     self.refused_ms = Some(self.now);
                 }
                 self.refuse(number, come_back, coming);
@@ -235,12 +235,12 @@
         coming: &mut VecDeque<(u64, Caller)>,
     ) {
         let memory = self.pool.memory;
-        let engine = self.decode.get_mut(&placement.decode);
+        let engine = self.decode.get_mut(&placement.decode_engine);
         let free = engine.as_ref().map_or(0, |engine| memory.saturating_sub(engine.taken()));
         let Some(engine) = engine.filter(|_engine| free >= placement.reserve_tokens) else {
-            let (ticket, decode) = (TicketId(number), &placement.decode);
+            let (ticket, decode) = (TicketId(number), &placement.decode_engine);
             let now = moment(self.now);
-            self.planner.note_fault(ticket, &started(decode), EngineFault::NoMemory, now);
+            self.planner.record_fault(ticket, &started(decode), EngineFault::NoMemory, now);
             self.callers.get_mut(&number).unwrap().refusals += 1;
             self.ask(number, coming);
             return;
@@ -248,7 +248,7 @@
         engine.reserved.insert(number, placement.reserve_tokens);
         let caller = self.callers.get_mut(&number).unwrap();
         let takes = caller.arrival.prompt as f64 / READ_TOKENS_A_MS;
-        let prefill = placement.prefill.clone();
+        let prefill = placement.prefill_engine.clone();
         caller.placement = Some(placement);
         if let Some(prefill) = prefill {
             let queue = self.prefill.get_mut(&prefill).unwrap();
@@ -264,7 +264,7 @@
     fn prefill_step(&mut self) {
         let now = self.now;
         let is_short = self.refused_ms.is_some_and(|at| now - at < BINDS_MS);
-        if is_short || self.planner.is_waited_for() {
+        if is_short || self.planner.has_queued() {
             let idle = self.prefill.values().filter(|queue| queue.is_empty()).count() as u64;
             self.outcome.idle_prefill_ms += idle * TICK_MS;
         }
@@ -276,7 +276,7 @@
         }
         for prompt in done {
             let took = Duration::from_millis(now - prompt.asked_ms);
-            self.planner.note_prefilled(TicketId(prompt.number), took);
+            self.planner.record_prefilled(TicketId(prompt.number), took);
             self.start(prompt.number);
         }
     }
@@ -291,22 +291,27 @@
     }
 
     fn start(&mut self, number: u64) {
-        let decode = Name::clone(&self.callers[&number].placement.as_ref().unwrap().decode);
+        let decode = Name::clone(&self.callers[&number].placement.as_ref().unwrap().decode_engine);
         if self.fails(&decode, number) {
             if let Some(engine) = self.decode.get_mut(&decode) {
                 engine.reserved.remove(&number);
             }
             let now = moment(self.now);
-            self.planner.note_fault(TicketId(number), &started(&decode), EngineFault::Failed, now);
-            let end = StreamEnd { is_whole: false, event_gap: None };
-            self.planner.note_ended(TicketId(number), end, now);
+            self.planner.record_fault(
+                TicketId(number),
+                &started(&decode),
+                EngineFault::Failed,
+                now,
+            );
+            let end = StreamEnd { is_complete: false, event_gap: None };
+            self.planner.record_ended(TicketId(number), end, now);
             self.callers.remove(&number);
             self.outcome.failed += 1;
             return;
         }
         let caller = &self.callers[&number];
         let placement = caller.placement.as_ref().unwrap();
-        let Some(engine) = self.decode.get_mut(&placement.decode) else { return };
+        let Some(engine) = self.decode.get_mut(&placement.decode_engine) else { return };
         let reserve = engine.reserved.remove(&number).unwrap();
         engine.runs.push(Run {
             ticket: number,
@@ -320,7 +325,7 @@
             paused: false,
             waits: false,
         });
-        self.planner.note_started(TicketId(number), moment(self.now));
+        self.planner.record_started(TicketId(number), moment(self.now));
     }
 
     fn decode_step(&mut self) {
@@ -340,8 +345,8 @@
         let first = run.first_event.unwrap();
         let gap_ms = run.last_event.saturating_sub(first) / run.events.max(1);
         let event_gap = Some(Duration::from_millis(gap_ms));
-        let end = StreamEnd { is_whole: true, event_gap };
-        self.planner.note_ended(TicketId(run.ticket), end, moment(self.now));
+        let end = StreamEnd { is_complete: true, event_gap };
+        self.planner.record_ended(TicketId(run.ticket), end, moment(self.now));
         if first - caller.at_ms > caller.arrival.objective_ms * SILENCE_OBJECTIVES {
             self.outcome.left += 1;
             return;
@@ -373,8 +378,8 @@
                 engine.runs.retain(|run| run.ticket != number);
             }
             self.prefill.values_mut().for_each(|queue| queue.retain(|it| it.number != number));
-            let end = StreamEnd { is_whole: false, event_gap: None };
-            self.planner.note_ended(TicketId(number), end, moment(now));
+            let end = StreamEnd { is_complete: false, event_gap: None };
+            self.planner.record_ended(TicketId(number), end, moment(now));
             match caller.placement {
                 Some(_placement) => self.outcome.expired += 1,
                 None => self.outcome.refused_twice += 1,
@@ -405,12 +410,12 @@
             .callers
             .iter()
             .filter(|(_number, caller)| {
-                caller.placement.as_ref().is_some_and(|it| lost.contains(&it.decode))
+                caller.placement.as_ref().is_some_and(|it| lost.contains(&it.decode_engine))
             })
             .map(|(number, _caller)| *number)
             .collect();
         for number in broken {
-            self.planner.forget(TicketId(number));
+            self.planner.remove(TicketId(number));
             for queue in self.prefill.values_mut() {
                 queue.retain(|prompt| prompt.number != number);
             }
--- a/crates/dillspool_admission/tests/paces.rs
+++ b/crates/dillspool_admission/tests/paces.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dillspool_admission::{
-    AdmissionPolicy, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner, PoolTerms,
+    AdmissionPolicy, EngineCapacity, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner,
     StreamEnd, StreamPlacement, TicketId, WorkClass,
 };
 use dillspool_moment::Moment;
@@ -30,7 +30,7 @@
 
 fn engine(id: &str, prefills: bool) -> PoolEngine {
     let backend = BackendInstance { id: id.into(), start: None };
-    PoolEngine { backend, domain: "d".into(), prefills }
+    PoolEngine { backend, failure_domain: "d".into(), is_prefill: prefills }
 }
 
 fn request() -> PlacementRequest {
@@ -38,27 +38,31 @@
         class: WorkClass::InTime,
         workspace_priority: 0,
         priority: 0,
-        domain: "d".into(),
+        failure_domain: "d".into(),
         prompt_tokens: 2_000,
-        guess_tokens: 1_000,
-        most_tokens: 2_000,
+        estimated_tokens: 1_000,
+        max_tokens: 2_000,
         objective_left: Duration::from_millis(900),
-        patience: Duration::from_secs(2),
+        max_wait: Duration::from_secs(2),
         time_left: Duration::from_secs(10),
-        pause_target: None,
+        max_event_gap: None,
         excluded: Vec::new(),
         refusals: 0,
-        part: None,
+        subset: None,
     }
 }
 
 /// An answer at an engine with a gap between its events, over when it returns.
 fn answer(planner: &mut PoolPlanner, ticket: u64, engine: &str, gap_ms: u64) {
-    let placement = StreamPlacement { decode: engine.into(), reserve_tokens: 2_500, prefill: None };
+    let placement = StreamPlacement {
+        decode_engine: engine.into(),
+        reserve_tokens: 2_500,
+        prefill_engine: None,
+    };
     planner.adopt(TicketId(ticket), &request(), placement, at(0));
-    planner.note_started(TicketId(ticket), at(0));
+    planner.record_started(TicketId(ticket), at(0));
     let event_gap = Some(Duration::from_millis(gap_ms));
-    planner.note_ended(TicketId(ticket), StreamEnd { is_whole: true, event_gap }, at(1_000));
+    planner.record_ended(TicketId(ticket), StreamEnd { is_complete: true, event_gap }, at(1_000));
 }
 
 #[test]
@@ -66,7 +70,7 @@
     for case in CASES {
         let policy =
             AdmissionPolicy { slow_weight: case.slow_weight, ..AdmissionPolicy::default() };
-        let terms = PoolTerms { memory_tokens: 60_000, slots: 12 };
+        let terms = EngineCapacity { memory_tokens: 60_000, slots: 12 };
         let mut planner = PoolPlanner::new(terms, policy, 1);
         let engines = [engine("slow", false), engine("usual", false), engine("reader", true)];
         planner.set_engines(engines.into_iter());
@@ -74,14 +78,17 @@
             answer(&mut planner, 2 * round, "usual", 50);
             answer(&mut planner, 2 * round + 1, "slow", 125);
         }
-        let placement =
-            StreamPlacement { decode: "usual".into(), reserve_tokens: 2_500, prefill: None };
+        let placement = StreamPlacement {
+            decode_engine: "usual".into(),
+            reserve_tokens: 2_500,
+            prefill_engine: None,
+        };
         let now = at(1_000 + case.later_s * 1_000);
         planner.adopt(TicketId(100), &request(), placement, now);
-        let decision = planner.ask(TicketId(101), request(), now);
+        let decision = planner.decide(TicketId(101), request(), now);
         let PlacementDecision::Place(placement) = decision else {
             panic!("{}: {decision:?}", case.name)
         };
-        assert_eq!(&*placement.decode == "slow", case.is_chosen, "{}", case.name);
+        assert_eq!(&*placement.decode_engine == "slow", case.is_chosen, "{}", case.name);
     }
 }
--- a/crates/dillspool_admission/tests/restarts.rs
+++ b/crates/dillspool_admission/tests/restarts.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use dillspool_admission::{
-    AdmissionPolicy, EngineFault, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner,
-    PoolTerms, TicketId, WorkClass,
+    AdmissionPolicy, EngineCapacity, EngineFault, PlacementDecision, PlacementRequest, PoolEngine,
+    PoolPlanner, TicketId, WorkClass,
 };
 use dillspool_moment::Moment;
 use dillspool_routing::{BackendInstance, BackendStart};
@@ -14,8 +14,11 @@
 }
 
 fn engines(start: Option<u64>) -> [PoolEngine; 2] {
-    let engine =
-        |id, prefills| PoolEngine { backend: backend(id, start), domain: "d".into(), prefills };
+    let engine = |id, prefills| PoolEngine {
+        backend: backend(id, start),
+        failure_domain: "d".into(),
+        is_prefill: prefills,
+    };
     [engine("decode", false), engine("prefill", true)]
 }
 
@@ -24,17 +27,17 @@
         class: WorkClass::InTime,
         workspace_priority: 0,
         priority: 0,
-        domain: "d".into(),
+        failure_domain: "d".into(),
         prompt_tokens: 6_000,
-        guess_tokens: 500,
-        most_tokens: 1_000,
+        estimated_tokens: 500,
+        max_tokens: 1_000,
         objective_left: Duration::from_millis(900),
-        patience: Duration::from_secs(2),
+        max_wait: Duration::from_secs(2),
         time_left: Duration::from_secs(10),
-        pause_target: None,
+        max_event_gap: None,
         excluded: Vec::new(),
         refusals: 0,
-        part: None,
+        subset: None,
     }
 }
 
@@ -59,13 +62,13 @@
 
 /// A planner whose one decode engine is full of streams; room is for one only.
 fn full_pool(start: Option<u64>) -> PoolPlanner {
-    let terms = PoolTerms { memory_tokens: 10_000, slots: 24 };
+    let terms = EngineCapacity { memory_tokens: 10_000, slots: 24 };
     let mut planner = PoolPlanner::new(terms, AdmissionPolicy::default(), 1);
     planner.set_engines(engines(start).into_iter());
-    let placed = planner.ask(TicketId(1), request(), at(0));
+    let placed = planner.decide(TicketId(1), request(), at(0));
     assert!(matches!(placed, PlacementDecision::Place(_)), "{placed:?}");
-    planner.note_prefilled(TicketId(1), Duration::from_millis(100));
-    planner.note_started(TicketId(1), at(100));
+    planner.record_prefilled(TicketId(1), Duration::from_millis(100));
+    planner.record_started(TicketId(1), at(100));
     planner
 }
 
@@ -74,14 +77,14 @@
     for case in CASES {
         let mut planner = full_pool(case.starts[0]);
         planner.set_engines(engines(case.starts[1]).into_iter());
-        let decision = planner.ask(TicketId(2), request(), at(200));
+        let decision = planner.decide(TicketId(2), request(), at(200));
         let placed = matches!(decision, PlacementDecision::Place(_));
         assert_eq!(placed, case.restarted, "{}: {decision:?}", case.name);
-        assert_eq!(planner.read(at(200)).streams, 1, "{}", case.name);
+        assert_eq!(planner.snapshot(at(200)).streams, 1, "{}", case.name);
         // The end of a stream that was lost frees nothing of the new start.
-        planner.forget(TicketId(1));
+        planner.remove(TicketId(1));
         let left = usize::from(case.restarted);
-        assert_eq!(planner.read(at(200)).streams, left, "{}", case.name);
+        assert_eq!(planner.snapshot(at(200)).streams, left, "{}", case.name);
     }
 }
 
@@ -97,7 +100,7 @@
 
 #[test]
 fn a_start_is_not_blamed_for_another() {
-    let faults = [EngineFault::Unreachable, EngineFault::ReservedRefused];
+    let faults = [EngineFault::Unreachable, EngineFault::ReservedRequestRefused];
     let starts = [
         ("the one before", Some(9), Some(7), false),
         ("its successor, which is not known yet", Some(7), Some(9), false),
@@ -112,9 +115,9 @@
         let mut planner = full_pool(case.known);
         for ticket in 10..12 {
             let (ticket, engine) = (TicketId(ticket), backend("decode", case.told));
-            planner.note_fault(ticket, &engine, case.fault, at(300));
+            planner.record_fault(ticket, &engine, case.fault, at(300));
         }
-        let open = planner.read(at(301)).decode;
+        let open = planner.snapshot(at(301)).decode_engines;
         assert_eq!(open, usize::from(!case.shut), "{} {:?}", case.name, case.fault);
     }
 }
@@ -124,9 +127,14 @@
     for case in CASES {
         let mut planner = full_pool(case.starts[0]);
         let engine = backend("decode", case.starts[0]);
-        planner.note_fault(TicketId(1), &engine, EngineFault::Unreachable, at(300));
-        assert_eq!(planner.read(at(301)).decode, 0, "{}", case.name);
+        planner.record_fault(TicketId(1), &engine, EngineFault::Unreachable, at(300));
+        assert_eq!(planner.snapshot(at(301)).decode_engines, 0, "{}", case.name);
         planner.set_engines(engines(case.starts[1]).into_iter());
-        assert_eq!(planner.read(at(302)).decode, usize::from(case.restarted), "{}", case.name);
+        assert_eq!(
+            planner.snapshot(at(302)).decode_engines,
+            usize::from(case.restarted),
+            "{}",
+            case.name
+        );
     }
 }
--- a/crates/dillspool_admission/tests/waiting.rs
+++ b/crates/dillspool_admission/tests/waiting.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dillspool_admission::{
-    AdmissionPolicy, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner, PoolTerms,
+    AdmissionPolicy, EngineCapacity, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner,
     StreamEnd, TicketId, WorkClass,
 };
 use dillspool_moment::Moment;
@@ -11,7 +11,7 @@
 
 fn engine(id: &str, prefills: bool) -> PoolEngine {
     let backend = BackendInstance { id: id.into(), start: None };
-    PoolEngine { backend, domain: "d".into(), prefills }
+    PoolEngine { backend, failure_domain: "d".into(), is_prefill: prefills }
 }
 
 fn request(class: WorkClass, prompt_tokens: u64) -> PlacementRequest {
@@ -19,17 +19,17 @@
         class,
         workspace_priority: 0,
         priority: 0,
-        domain: "d".into(),
+        failure_domain: "d".into(),
         prompt_tokens,
-        guess_tokens: 500,
-        most_tokens: 1_000,
+        estimated_tokens: 500,
+        max_tokens: 1_000,
         objective_left: Duration::from_millis(900),
-        patience: Duration::from_secs(3),
+        max_wait: Duration::from_secs(3),
         time_left: Duration::from_secs(10),
-        pause_target: Some(Duration::from_millis(300)),
+        max_event_gap: Some(Duration::from_millis(300)),
         excluded: Vec::new(),
         refusals: 0,
-        part: None,
+        subset: None,
     }
 }
 
@@ -58,26 +58,26 @@
         WaitCase { name: "room late", room_ms: 500, queued_tokens: 12_000, is_placed: false },
     ];
     for WaitCase { name, room_ms, queued_tokens, is_placed } in cases {
-        let terms = PoolTerms { memory_tokens: 100_000, slots: 1 };
+        let terms = EngineCapacity { memory_tokens: 100_000, slots: 1 };
         let policy = AdmissionPolicy { reads_at_decode: false, ..AdmissionPolicy::default() };
         let mut planner = PoolPlanner::new(terms, policy, 1);
         let decode = ["one", "other"].map(|id| engine(id, false));
         planner.set_engines(decode.into_iter().chain([engine("prefill", true)]));
         let fresh = request(WorkClass::InTime, 5_000);
         for ticket in [1, 2] {
-            let placed = planner.ask(TicketId(ticket), fresh.clone(), at(0));
+            let placed = planner.decide(TicketId(ticket), fresh.clone(), at(0));
             assert!(matches!(placed, PlacementDecision::Place(_)), "{name}: {placed:?}");
-            planner.note_prefilled(TicketId(ticket), Duration::from_millis(125));
-            planner.note_started(TicketId(ticket), at(0));
+            planner.record_prefilled(TicketId(ticket), Duration::from_millis(125));
+            planner.record_started(TicketId(ticket), at(0));
         }
-        let waits = planner.ask(TicketId(3), fresh, at(0));
+        let waits = planner.decide(TicketId(3), fresh, at(0));
         assert_eq!(waits, PlacementDecision::Wait, "{name}");
-        let end = StreamEnd { is_whole: false, event_gap: None };
-        planner.note_ended(TicketId(1), end, at(room_ms));
+        let end = StreamEnd { is_complete: false, event_gap: None };
+        planner.record_ended(TicketId(1), end, at(room_ms));
         let queued = request(WorkClass::UnderWay, queued_tokens);
-        let placed = planner.ask(TicketId(4), queued, at(room_ms));
+        let placed = planner.decide(TicketId(4), queued, at(room_ms));
         assert!(matches!(placed, PlacementDecision::Place(_)), "{name}: {placed:?}");
-        planner.note_ended(TicketId(2), end, at(room_ms));
+        planner.record_ended(TicketId(2), end, at(room_ms));
         let decided = planner.poll(at(room_ms));
         let placed = decided.iter().any(|(_ticket, it)| matches!(it, PlacementDecision::Place(_)));
         assert_eq!(placed, is_placed, "{name}: {decided:?}");
--- a/crates/dillspool_forward/src/generate.rs
+++ b/crates/dillspool_forward/src/generate.rs
@@ -197,7 +197,7 @@
         if entry.stage.is_none() {
             self.context.backend_tracker.record_no_response(&entry.instance(), cause);
         }
-        ticket.note_fault(entry, EngineFault::Silent);
+        ticket.note_fault(entry, EngineFault::NoResponse);
     }
 
     /// Opens the stream, at the prepared engine first.
--- a/crates/dillspool_forward/src/generate/send.rs
+++ b/crates/dillspool_forward/src/generate/send.rs
@@ -199,7 +199,7 @@
         ticket: &StreamTicket,
         status: StatusCode,
     ) {
-        ticket.note_fault(entry, EngineFault::ReservedRefused);
+        ticket.note_fault(entry, EngineFault::ReservedRequestRefused);
         self.note_failed_send(entry, &format!("refused with {status}, not run"));
     }
 
--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use dillspool_admission::{
-    EngineFault, PlacementDecision, PlacementRequest, StreamEnd, StreamPlacement, TurnAwayCause,
-    WorkClass,
+    EngineFault, PlacementDecision, PlacementRejection, PlacementRequest, StreamEnd,
+    StreamPlacement, WorkClass,
 };
 use dillspool_routing::{BackendEntry, BackendId, RoutedRequest};
 use dillspool_scheduler::{DeskNote, PlacementTicket};
@@ -110,7 +110,7 @@
     /// Tells that the answer is whole.
     pub(crate) fn end_whole(&mut self, event_gap: Option<Duration>) {
         if let Some(schedule) = &mut self.schedule {
-            schedule.end(StreamEnd { is_whole: true, event_gap });
+            schedule.end(StreamEnd { is_complete: true, event_gap });
         }
     }
 }
@@ -138,17 +138,17 @@
         class,
         workspace_priority: request.workspace.as_ref().map_or(0, |it| it.priority),
         priority: request.route.priority,
-        domain: Name::clone(&context.failure_domain),
+        failure_domain: Name::clone(&context.failure_domain),
         prompt_tokens,
-        guess_tokens,
-        most_tokens,
+        estimated_tokens: guess_tokens,
+        max_tokens: most_tokens,
         objective_left: request.route.objective.saturating_sub(spent),
-        patience: patience.min(request.remaining()),
+        max_wait: patience.min(request.remaining()),
         time_left: request.remaining(),
-        pause_target: request.route.max_event_gap,
+        max_event_gap: request.route.max_event_gap,
         excluded: excluded.to_vec(),
         refusals: 0,
-        part,
+        subset: part,
     }
 }
 
@@ -178,7 +178,7 @@
         let decided = ticket.ask(&question).await;
         let placement = match decided {
             Some(PlacementDecision::Place(placement)) => placement,
-            Some(PlacementDecision::TurnAway { cause, come_back }) => {
+            Some(PlacementDecision::Reject { cause, retry_after: come_back }) => {
                 log_placement_rejected(context, request, &question, cause, come_back);
                 return Err(turned_away(context, request, cause, come_back));
             }
@@ -194,10 +194,10 @@
             PlaceTry::Refused => {}
             PlaceTry::Closed => {
                 refusals = question.refusals;
-                question.excluded.push(Name::clone(&placement.decode));
+                question.excluded.push(Name::clone(&placement.decode_engine));
                 closed += 1;
             }
-            PlaceTry::Gone => question.excluded.push(Name::clone(&placement.decode)),
+            PlaceTry::Gone => question.excluded.push(Name::clone(&placement.decode_engine)),
         }
         if closed >= MAX_BLOCKED_BACKENDS
             && let Some(refusal) = refusal_if_blocked(context, request)
@@ -205,7 +205,7 @@
             return Err(refusal);
         }
         let fresh =
-            placement_request(context, request, class, question.patience, &question.excluded);
+            placement_request(context, request, class, question.max_wait, &question.excluded);
         question = PlacementRequest { refusals, ..fresh };
         if request.remaining().is_zero() {
             return Err(Refusal::new(RefusalCause::TooLateNotRun));
@@ -220,7 +220,7 @@
     ticket: &PlacementTicket,
     placement: &StreamPlacement,
 ) -> PlaceTry {
-    let Some(entry) = context.ready_entry(request, &placement.decode) else {
+    let Some(entry) = context.ready_entry(request, &placement.decode_engine) else {
         return PlaceTry::Gone;
     };
     let Some(permit) = acquire_permit(context, request, &entry, RESERVED_REQUEST_COST).await else {
@@ -246,26 +246,27 @@
     let reserved = placement.reserve_tokens;
     let hold = HoldGuard { context: context.clone(), entry: Arc::clone(&entry), hold: Some(hold) };
     let ticket = StreamTicket { schedule: Some(ticket), _load: None };
-    Placement { entry, reserved, prefill: placement.prefill, hold, ticket }
+    Placement { entry, reserved, prefill: placement.prefill_engine, hold, ticket }
 }
 
 /// The refusal of a request for which there is no engine; where some are closed, until those take requests.
 fn turned_away(
     context: &ForwardContext,
     request: &RoutedRequest,
-    cause: TurnAwayCause,
+    cause: PlacementRejection,
     come_back: Duration,
 ) -> Refusal {
-    let closed = (cause == TurnAwayCause::NoEngine).then(|| refusal_if_blocked(context, request));
+    let closed =
+        (cause == PlacementRejection::NoEngine).then(|| refusal_if_blocked(context, request));
     closed.flatten().unwrap_or(Refusal::with_retry_after(refusal_cause(cause), come_back))
 }
 
-fn refusal_cause(cause: TurnAwayCause) -> RefusalCause {
+fn refusal_cause(cause: PlacementRejection) -> RefusalCause {
     match cause {
-        TurnAwayCause::NoEngine => RefusalCause::NoBackend,
-        TurnAwayCause::NoMemory => RefusalCause::NoMemory,
-        TurnAwayCause::NoPrefill => RefusalCause::NoPrefill,
-        TurnAwayCause::Refused => RefusalCause::NotRun,
+        PlacementRejection::NoEngine => RefusalCause::NoBackend,
+        PlacementRejection::NoMemory => RefusalCause::NoMemory,
+        PlacementRejection::NoPrefill => RefusalCause::NoPrefill,
+        PlacementRejection::Refused => RefusalCause::NotRun,
     }
 }
 
@@ -288,7 +289,7 @@
             EngineFault::NoMemory
         }
         CallError::NotSent { .. } => EngineFault::Unreachable,
-        CallError::Lost { .. } => EngineFault::Silent,
+        CallError::Lost { .. } => EngineFault::NoResponse,
     };
     log::info!(
         "event=reservation_failed id={} backend={} tokens={} cause=\"{error}\"",
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -148,7 +148,7 @@
     match error {
         CallError::NotSent { .. } => EngineFault::Unreachable,
         CallError::Refused { .. } => EngineFault::PrefillRefused,
-        CallError::Lost { .. } => EngineFault::Silent,
+        CallError::Lost { .. } => EngineFault::NoResponse,
     }
 }
 
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_admission::{PlacementRequest, TurnAwayCause};
+use dillspool_admission::{PlacementRejection, PlacementRequest};
 use dillspool_calls::{CallDecision, CallRequest, RejectCause};
 use dillspool_routing::{BackendId, DirectoryView, RoutedRequest};
 use dillspool_schema::Name;
@@ -194,7 +194,7 @@
     context: &ForwardContext,
     request: &RoutedRequest,
     question: &PlacementRequest,
-    cause: TurnAwayCause,
+    cause: PlacementRejection,
     come_back: Duration,
 ) {
     log::info!(
@@ -202,7 +202,7 @@
         request.id,
         question.class,
         question.prompt_tokens,
-        question.guess_tokens,
+        question.estimated_tokens,
         question.refusals,
         context.view().version,
         request.age().as_millis(),
--- a/crates/dillspool_scheduler/src/client.rs
+++ b/crates/dillspool_scheduler/src/client.rs
@@ -209,6 +209,6 @@
 
 impl Drop for PlacementTicket {
     fn drop(&mut self) {
-        self.end(StreamEnd { is_whole: false, event_gap: None });
+        self.end(StreamEnd { is_complete: false, event_gap: None });
     }
 }
--- a/crates/dillspool_scheduler/src/desk.rs
+++ b/crates/dillspool_scheduler/src/desk.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use dillspool_admission::{
-    AdmissionPolicy, EngineFault, PlacementDecision, PlacementRequest, PoolEngine, PoolPlanner,
-    PoolReading, PoolTerms, StreamEnd, StreamPlacement, TicketId,
+    AdmissionPolicy, EngineCapacity, EngineFault, PlacementDecision, PlacementRequest, PoolEngine,
+    PoolPlanner, PoolSnapshot, StreamEnd, StreamPlacement, TicketId,
 };
 use dillspool_capacity::{DemandMeter, MemoryGuard};
 use dillspool_io::HostClock;
@@ -87,7 +87,7 @@
     ) -> Option<PlacementDecision> {
         let now = self.now();
         let prompt_tokens = request.prompt_tokens;
-        let decision = self.planners.get_mut(service)?.ask(ticket, request, now);
+        let decision = self.planners.get_mut(service)?.decide(ticket, request, now);
         if !self.tickets.contains_key(&ticket) {
             self.demand.record_prompt(service, prompt_tokens);
         }
@@ -107,7 +107,7 @@
             PlacementDecision::Place(placement) => {
                 Some(self.demand.hold_memory(service, placement.reserve_tokens))
             }
-            PlacementDecision::Wait | PlacementDecision::TurnAway { .. } => None,
+            PlacementDecision::Wait | PlacementDecision::Reject { .. } => None,
         };
         let service = Name::clone(service);
         self.tickets.insert(ticket, TicketRecord { service, prompt_tokens, _memory: memory });
@@ -118,7 +118,7 @@
             self.demand.record_prefill(&record.service, record.prompt_tokens, took);
         }
         if let Some(planner) = self.planner_of(ticket) {
-            planner.note_prefilled(ticket, took);
+            planner.record_prefilled(ticket, took);
         }
     }
 
@@ -128,18 +128,21 @@
             if service.engine.is_none() && !is_pool {
                 continue;
             }
-            let terms = service.engine.as_ref().map_or(PoolTerms::UNKNOWN, |pool| PoolTerms {
-                memory_tokens: pool.memory_tokens,
-                slots: pool.slots,
+            let terms = service.engine.as_ref().map_or(EngineCapacity::UNLIMITED, |pool| {
+                EngineCapacity { memory_tokens: pool.memory_tokens, slots: pool.slots }
             });
             let (policy, seed) = (self.policy, self.seed);
             let planner = self.planners.entry(Name::clone(&service.name));
             let planner = planner.or_insert_with(|| PoolPlanner::new(terms, policy, seed));
-            planner.set_terms(terms);
+            planner.set_engine_capacity(terms);
             let engines = view.ready(&service.name).filter_map(|entry| {
                 let prefills = entry.stage? == EngineStage::Prefill;
                 let domain = Name::clone(&entry.failure_domain);
-                Some(PoolEngine { backend: entry.instance(), domain, prefills })
+                Some(PoolEngine {
+                    backend: entry.instance(),
+                    failure_domain: domain,
+                    is_prefill: prefills,
+                })
             });
             planner.set_engines(engines);
         }
@@ -149,7 +152,7 @@
     fn poll(&mut self) -> Vec<(DecisionFn, PlacementDecision)> {
         let now = self.now();
         let mut decided = Vec::new();
-        for planner in self.planners.values_mut().filter(|planner| planner.is_waited_for()) {
+        for planner in self.planners.values_mut().filter(|planner| planner.has_queued()) {
             decided.extend(planner.poll(now));
         }
         for (ticket, decision) in &decided {
@@ -258,10 +261,10 @@
     }
 
     /// What is believed of a pool now.
-    pub fn read(&self, service: &str) -> Option<PoolReading> {
+    pub fn read(&self, service: &str) -> Option<PoolSnapshot> {
         self.with(|state| {
             let now = state.now();
-            state.planners.get(service).map(|planner| planner.read(now))
+            state.planners.get(service).map(|planner| planner.snapshot(now))
         })
     }
 
@@ -289,7 +292,7 @@
     pub fn ask_prefill(&self, ticket: TicketId, request: &PlacementRequest) -> Option<Name> {
         self.with(|state| {
             let now = state.now();
-            state.planner_of(ticket)?.ask_prefill(ticket, request, now)
+            state.planner_of(ticket)?.choose_prefill(ticket, request, now)
         })
     }
 
@@ -307,7 +310,7 @@
             let Some(planner) = state.planners.get_mut(service) else { return };
             planner.adopt(ticket, request, placement.clone(), now);
             if let Some(ran) = ran {
-                planner.note_started(ticket, now.saturating_sub(ran));
+                planner.record_started(ticket, now.saturating_sub(ran));
             }
             let decision = PlacementDecision::Place(placement);
             state.note_decision(ticket, service, request.prompt_tokens, &decision);
@@ -322,22 +325,22 @@
                 DeskNote::Prefilled { took } => state.note_prefilled(ticket, took),
                 DeskNote::ReadsItself => {
                     if let Some(planner) = state.planner_of(ticket) {
-                        planner.note_reads_itself(ticket, now);
+                        planner.record_local_prefill(ticket, now);
                     }
                 }
                 DeskNote::Started => {
                     if let Some(planner) = state.planner_of(ticket) {
-                        planner.note_started(ticket, now);
+                        planner.record_started(ticket, now);
                     }
                 }
                 DeskNote::Fault { engine, fault } => {
                     if let Some(planner) = state.planner_of(ticket) {
-                        planner.note_fault(ticket, &engine, fault, now);
+                        planner.record_fault(ticket, &engine, fault, now);
                     }
                 }
                 DeskNote::Ended(end) => {
                     if let Some(planner) = state.planner_of(ticket) {
-                        planner.note_ended(ticket, end, now);
+                        planner.record_ended(ticket, end, now);
                     }
                     state.tickets.remove(&ticket);
                     state.waiters.remove(&ticket);
--- a/crates/dillspool_scheduler/src/link.rs
+++ b/crates/dillspool_scheduler/src/link.rs
@@ -204,7 +204,7 @@
         if !matches!(first, Some(PlacementDecision::Wait)) {
             return first;
         }
-        let limit = request.patience + WAIT_SLACK;
+        let limit = request.max_wait + WAIT_SLACK;
         self.answer_of(ticket, question.answer(limit).await)
     }
 
@@ -340,7 +340,7 @@
                 // Another scheduler must not take the prompt for one that still waits.
                 DeskNote::Prefilled { .. } | DeskNote::ReadsItself => {
                     if let Some(held) = state.held.get_mut(&ticket) {
-                        held.placement.prefill = None;
+                        held.placement.prefill_engine = None;
                     }
                 }
                 DeskNote::Fault { .. } => {}
--- a/crates/dillspool_scheduler/src/serve.rs
+++ b/crates/dillspool_scheduler/src/serve.rs
@@ -396,7 +396,7 @@
         // Engines close the streams of a host that has gone; one that lives asks another scheduler
         // and tells it what it holds.
         for own in &self.tickets {
-            let end = StreamEnd { is_whole: false, event_gap: None };
+            let end = StreamEnd { is_complete: false, event_gap: None };
             self.desk.note(self.ticket(*own), DeskNote::Ended(end));
         }
     }
--- a/crates/dillspool_scheduler/src/wire.rs
+++ b/crates/dillspool_scheduler/src/wire.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use dillspool_admission::{
-    EngineFault, PlacementDecision, PlacementRequest, StreamEnd, StreamPlacement, TurnAwayCause,
-    WorkClass,
+    EngineFault, PlacementDecision, PlacementRejection, PlacementRequest, StreamEnd,
+    StreamPlacement, WorkClass,
 };
 use dillspool_limits::{LimitRate, RateVersion, SpendDecision, SpendRequest};
 use dillspool_moment::Moment;
@@ -80,17 +80,17 @@
         },
         workspace_priority: request.workspace_priority,
         priority: request.priority,
-        domain: Name::clone(&request.domain),
+        domain: Name::clone(&request.failure_domain),
         prompt: request.prompt_tokens,
-        guess: request.guess_tokens,
-        most: request.most_tokens,
+        guess: request.estimated_tokens,
+        most: request.max_tokens,
         objective_ms: millis(request.objective_left),
-        patience_ms: millis(request.patience),
+        patience_ms: millis(request.max_wait),
         left_ms: millis(request.time_left),
-        pause_ms: request.pause_target.map(millis),
+        pause_ms: request.max_event_gap.map(millis),
         excluded: request.excluded.clone(),
         refusals: u32::try_from(request.refusals).unwrap_or(u32::MAX),
-        part: request.part.map(|part| SchedulePart { seed: part.seed, bits: part.sampling_bits }),
+        part: request.subset.map(|part| SchedulePart { seed: part.seed, bits: part.sampling_bits }),
     }
 }
 
@@ -103,33 +103,33 @@
         },
         workspace_priority: request.workspace_priority,
         priority: request.priority,
-        domain: request.domain,
+        failure_domain: request.domain,
         prompt_tokens: request.prompt,
-        guess_tokens: request.guess,
-        most_tokens: request.most,
+        estimated_tokens: request.guess,
+        max_tokens: request.most,
         objective_left: Duration::from_millis(request.objective_ms),
-        patience: Duration::from_millis(request.patience_ms),
+        max_wait: Duration::from_millis(request.patience_ms),
         time_left: Duration::from_millis(request.left_ms),
-        pause_target: request.pause_ms.map(Duration::from_millis),
+        max_event_gap: request.pause_ms.map(Duration::from_millis),
         excluded: request.excluded,
         refusals: request.refusals as usize,
-        part: request.part.map(|part| ClassSubset { seed: part.seed, sampling_bits: part.bits }),
+        subset: request.part.map(|part| ClassSubset { seed: part.seed, sampling_bits: part.bits }),
     }
 }
 
 pub(crate) fn placement_to_wire(placement: StreamPlacement) -> SchedulePlacement {
     SchedulePlacement {
-        decode: placement.decode,
+        decode: placement.decode_engine,
         reserve: placement.reserve_tokens,
-        prefill: placement.prefill,
+        prefill: placement.prefill_engine,
     }
 }
 
 pub(crate) fn placement_from_wire(placement: SchedulePlacement) -> StreamPlacement {
     StreamPlacement {
-        decode: placement.decode,
+        decode_engine: placement.decode,
         reserve_tokens: placement.reserve,
-        prefill: placement.prefill,
+        prefill_engine: placement.prefill,
     }
 }
 
@@ -141,12 +141,12 @@
             message.placement = Some(placement_to_wire(placement));
         }
         PlacementDecision::Wait => {}
-        PlacementDecision::TurnAway { cause, come_back } => {
+        PlacementDecision::Reject { cause, retry_after: come_back } => {
             let cause = match cause {
-                TurnAwayCause::NoEngine => ScheduleCause::NoEngine,
-                TurnAwayCause::NoMemory => ScheduleCause::NoMemory,
-                TurnAwayCause::NoPrefill => ScheduleCause::NoPrefill,
-                TurnAwayCause::Refused => ScheduleCause::Refused,
+                PlacementRejection::NoEngine => ScheduleCause::NoEngine,
+                PlacementRejection::NoMemory => ScheduleCause::NoMemory,
+                PlacementRejection::NoPrefill => ScheduleCause::NoPrefill,
+                PlacementRejection::Refused => ScheduleCause::Refused,
             };
             message.turned_away = Some(ScheduleTurnAway { cause, come_back_ms: millis(come_back) });
         }
@@ -160,13 +160,13 @@
     }
     let Some(turned_away) = message.turned_away else { return PlacementDecision::Wait };
     let cause = match turned_away.cause {
-        ScheduleCause::NoEngine => TurnAwayCause::NoEngine,
-        ScheduleCause::NoMemory => TurnAwayCause::NoMemory,
-        ScheduleCause::NoPrefill => TurnAwayCause::NoPrefill,
-        ScheduleCause::Refused => TurnAwayCause::Refused,
+        ScheduleCause::NoEngine => PlacementRejection::NoEngine,
+        ScheduleCause::NoMemory => PlacementRejection::NoMemory,
+        ScheduleCause::NoPrefill => PlacementRejection::NoPrefill,
+        ScheduleCause::Refused => PlacementRejection::Refused,
     };
     let come_back = Duration::from_millis(turned_away.come_back_ms);
-    PlacementDecision::TurnAway { cause, come_back }
+    PlacementDecision::Reject { cause, retry_after: come_back }
 }
 
 pub(crate) fn note_to_wire(ticket: u64, note: DeskNote) -> ScheduleMessage {
@@ -190,15 +190,15 @@
             message.event = match fault {
                 EngineFault::NoMemory => ScheduleEvent::NoMemory,
                 EngineFault::PrefillRefused => ScheduleEvent::PrefillRefused,
-                EngineFault::ReservedRefused => ScheduleEvent::ReservedRefused,
+                EngineFault::ReservedRequestRefused => ScheduleEvent::ReservedRefused,
                 EngineFault::Unreachable => ScheduleEvent::Unreachable,
-                EngineFault::Silent => ScheduleEvent::Silent,
+                EngineFault::NoResponse => ScheduleEvent::Silent,
                 EngineFault::Failed => ScheduleEvent::Failed,
             };
         }
         DeskNote::Ended(end) => {
             message.took_ms = end.event_gap.map(millis);
-            if end.is_whole {
+            if end.is_complete {
                 message.event = ScheduleEvent::EndedWhole;
             }
         }
@@ -217,13 +217,15 @@
         ScheduleEvent::Prefilled => DeskNote::Prefilled { took: took.unwrap_or_default() },
         ScheduleEvent::ReadsItself => DeskNote::ReadsItself,
         ScheduleEvent::Started => DeskNote::Started,
-        ScheduleEvent::EndedWhole => DeskNote::Ended(StreamEnd { is_whole: true, event_gap: took }),
-        ScheduleEvent::Ended => DeskNote::Ended(StreamEnd { is_whole: false, event_gap: None }),
+        ScheduleEvent::EndedWhole => {
+            DeskNote::Ended(StreamEnd { is_complete: true, event_gap: took })
+        }
+        ScheduleEvent::Ended => DeskNote::Ended(StreamEnd { is_complete: false, event_gap: None }),
         ScheduleEvent::NoMemory => fault(EngineFault::NoMemory),
         ScheduleEvent::PrefillRefused => fault(EngineFault::PrefillRefused),
-        ScheduleEvent::ReservedRefused => fault(EngineFault::ReservedRefused),
+        ScheduleEvent::ReservedRefused => fault(EngineFault::ReservedRequestRefused),
         ScheduleEvent::Unreachable => fault(EngineFault::Unreachable),
-        ScheduleEvent::Silent => fault(EngineFault::Silent),
+        ScheduleEvent::Silent => fault(EngineFault::NoResponse),
         ScheduleEvent::Failed => fault(EngineFault::Failed),
     }
 }
--- a/crates/dillspool_scheduler/tests/links.rs
+++ b/crates/dillspool_scheduler/tests/links.rs
@@ -84,17 +84,17 @@
         class: WorkClass::InTime,
         workspace_priority: 0,
         priority: 1,
-        domain: "domain".into(),
+        failure_domain: "domain".into(),
         prompt_tokens: 1_000,
-        guess_tokens: 1_000,
-        most_tokens: 10_000,
+        estimated_tokens: 1_000,
+        max_tokens: 10_000,
         objective_left: Duration::from_millis(900),
-        patience: Duration::from_secs(14),
+        max_wait: Duration::from_secs(14),
         time_left: Duration::from_secs(14),
-        pause_target: Some(Duration::from_millis(300)),
+        max_event_gap: Some(Duration::from_millis(300)),
         excluded: Vec::new(),
         refusals: 0,
-        part: None,
+        subset: None,
     }
 }
 
@@ -154,13 +154,13 @@
 
 fn engine(decision: Option<&PlacementDecision>) -> Option<String> {
     match decision {
-        Some(PlacementDecision::Place(placement)) => Some(placement.decode.to_string()),
-        Some(PlacementDecision::Wait | PlacementDecision::TurnAway { .. }) | None => None,
+        Some(PlacementDecision::Place(placement)) => Some(placement.decode_engine.to_string()),
+        Some(PlacementDecision::Wait | PlacementDecision::Reject { .. }) | None => None,
     }
 }
 
 fn has_prefill(decision: Option<&PlacementDecision>) -> bool {
-    matches!(decision, Some(PlacementDecision::Place(placement)) if placement.prefill.is_some())
+    matches!(decision, Some(PlacementDecision::Place(placement)) if placement.prefill_engine.is_some())
 }
 
 /// Three hosts of which the first schedules.
