--- a/crates/dillspool_forward/src/generate/send.rs
+++ b/crates/dillspool_forward/src/generate/send.rs
@@ -200,7 +200,7 @@
         ticket: &StreamTicket,
         status: StatusCode,
     ) {
-        ticket.note_fault(entry, EngineFault::ReservedRefused);
+        ticket.note_fault(entry, EngineFault::ReservedRequestRefused);
         self.record_failed_send(entry, &format!("refused with {status}, not run"));
     }
 
