--- a/crates/dillspool_entry/src/context.rs
+++ b/crates/dillspool_entry/src/context.rs
@@ -11,7 +11,7 @@
 use dillspool_ledger::CallLedger;
 use dillspool_schema::Name;
 use dillspool_schema::messages::{ReleaseMessage, ReserveAnswer, ReserveMessage};
-use dillspool_suspects::{PrintKey, SuspectDesk};
+use dillspool_suspects::{FingerprintKey, SuspectTracker};
 use tokio::sync::{Semaphore, watch};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
@@ -85,9 +85,9 @@
     pub ids: StreamIds,
     /// Calls of plain services under which backend servers ended. Model requests are decided on where their
     /// pool is scheduled.
-    pub suspects: SuspectDesk,
+    pub suspects: SuspectTracker,
     /// The fleet's key for what names a request whichever copy of it this is.
-    pub print_key: PrintKey,
+    pub print_key: FingerprintKey,
     /// Budget of retries.
     pub retries: RetryBudget,
     /// Counters.
--- a/crates/dillspool_entry/src/plain.rs
+++ b/crates/dillspool_entry/src/plain.rs
@@ -10,7 +10,7 @@
 use dillspool_ledger::{BeginOutcome, CallKey, CallRequest, CallTicket, RecordedAnswer};
 use dillspool_schema::Name;
 use dillspool_schema::configuration::{BackendRole, GroupEntry, RouteEntry};
-use dillspool_suspects::{RequestPrint, SuspectDecision};
+use dillspool_suspects::{RequestFingerprint, SuspectDecision};
 use http_body_util::Full;
 use hyper::header::{ACCEPT, CONTENT_TYPE, HeaderMap, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PlainCall {
     /// The same for all copies of the call.
-    pub(crate) print: RequestPrint,
+    pub(crate) print: RequestFingerprint,
     pub(crate) snapshot: Arc<ConfigSnapshot>,
     pub(crate) group: GroupEntry,
     pub(crate) route: RouteEntry,
@@ -73,7 +73,7 @@
     context: EntryContext,
     call: PlainCall,
 ) -> Result<Response<ResponseBody>, RequestProblem> {
-    let copy = context.suspects.enter(call.print).map_err(copy_problem)?;
+    let copy = context.suspects.admit(call.print).map_err(copy_problem)?;
     if call.route.repeatable {
         return send_repeatable(&context, &call).await.map(PlainAnswer::response);
     }
@@ -273,7 +273,7 @@
 async fn note_break(context: &EntryContext, call: &PlainCall, server: &EngineRef) {
     if context.engines.has_ended(server.address).await {
         log::info!("event=backend_ended print={} backend={}", call.print, server.name);
-        context.suspects.note_unnamed_end(call.print, &server.name, Duration::ZERO);
+        context.suspects.record_unidentified_crash(call.print, &server.name, Duration::ZERO);
     }
 }
 
@@ -311,7 +311,7 @@
     let limit = Duration::from_millis(call.route.timeout_ms.into());
     match tokio::time::timeout(limit, exchange).await {
         Ok(Ok(answer)) => {
-            context.suspects.note_whole(call.print);
+            context.suspects.record_success(call.print);
             Ok(answer)
         }
         Ok(Err(error)) => Err(error),
--- a/crates/dillspool_entry/src/problem.rs
+++ b/crates/dillspool_entry/src/problem.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dillspool_io::{ResponseBody, text_response};
-use dillspool_suspects::{COPY_RETRY, CopyRefusal};
+use dillspool_suspects::{COPY_RETRY_DELAY, CopyRefusal};
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use serde_json::json;
@@ -120,5 +120,5 @@
     let detail =
         "a copy of this request runs, and backend servers ended under others; come back later";
     RequestProblem::not_run(StatusCode::SERVICE_UNAVAILABLE, "copy_runs", detail)
-        .retry_after(COPY_RETRY)
+        .retry_after(COPY_RETRY_DELAY)
 }
--- a/crates/dillspool_entry/src/router.rs
+++ b/crates/dillspool_entry/src/router.rs
@@ -10,7 +10,7 @@
 use dillspool_keys::CallerKey;
 use dillspool_schema::Name;
 use dillspool_schema::configuration::{GroupEntry, PoolEntry};
-use dillspool_suspects::{PrintParts, RequestPrint};
+use dillspool_suspects::{FingerprintInput, RequestFingerprint};
 use hyper::body::{Body, Incoming};
 use hyper::header::AUTHORIZATION;
 use hyper::{Method, Request, Response, StatusCode};
@@ -158,8 +158,11 @@
     group: &GroupEntry,
     path: &str,
     body: &Bytes,
-) -> RequestPrint {
-    RequestPrint::of(&context.print_key, &PrintParts { caller: &group.name, host: "", path, body })
+) -> RequestFingerprint {
+    RequestFingerprint::of(
+        &context.print_key,
+        &FingerprintInput { caller: &group.name, host: "", path, body },
+    )
 }
 
 fn choose_pool(snapshot: &ConfigSnapshot, model: &str) -> Result<PoolEntry, RequestProblem> {
--- a/crates/dillspool_entry/src/stream.rs
+++ b/crates/dillspool_entry/src/stream.rs
@@ -12,7 +12,7 @@
 use dillspool_schema::configuration::{GroupEntry, PoolEntry};
 use dillspool_schema::messages::ReleaseCause;
 use dillspool_schema::{Name, StreamId};
-use dillspool_suspects::RequestPrint;
+use dillspool_suspects::RequestFingerprint;
 use hyper::StatusCode;
 use tokio::time::Instant;
 
@@ -34,7 +34,7 @@
     /// Names the request in the log and in its answer.
     pub(crate) id: StreamId,
     /// The same for all copies of the request.
-    pub(crate) print: RequestPrint,
+    pub(crate) print: RequestFingerprint,
     pub(crate) snapshot: Arc<ConfigSnapshot>,
     pub(crate) group: GroupEntry,
     pub(crate) pool: PoolEntry,
--- a/crates/dillspool_forward/src/answer.rs
+++ b/crates/dillspool_forward/src/answer.rs
@@ -4,7 +4,7 @@
 
 use dillspool_io::ResponseBody;
 use dillspool_routing::{RequestKind, RoutedRequest};
-use dillspool_suspects::{COPY_RETRY, CopyGuard, CopyRefusal};
+use dillspool_suspects::{COPY_RETRY_DELAY, CopyGuard, CopyRefusal};
 use hyper::Response;
 
 use crate::context::ForwardContext;
@@ -75,12 +75,14 @@
 /// A request that crashes what runs it comes again under another id and at any host: where each copy is
 /// taken for a new request, every one of them ends an engine, with all that runs there.
 fn enter(context: &ForwardContext, request: &RoutedRequest) -> Result<CopyGuard, Refusal> {
-    context.suspects.enter(request.fingerprint).map_err(|refused| {
+    context.suspects.admit(request.fingerprint).map_err(|refused| {
         log_suspect_refused(request, refused);
         match refused {
             // No time to come back: whenever it comes, it is not run.
             CopyRefusal::Deadly { .. } => Refusal::new(RefusalCause::Deadly),
-            CopyRefusal::CopyRuns { .. } => Refusal::come_back(RefusalCause::CopyRuns, COPY_RETRY),
+            CopyRefusal::CopyRuns { .. } => {
+                Refusal::come_back(RefusalCause::CopyRuns, COPY_RETRY_DELAY)
+            }
         }
     })
 }
--- a/crates/dillspool_forward/src/broken_run.rs
+++ b/crates/dillspool_forward/src/broken_run.rs
@@ -101,7 +101,7 @@
     look: &mut Option<BreakLook>,
 ) -> bool {
     if let Some(look) = look.take()
-        && context.suspects.should_wait(request.fingerprint)
+        && context.suspects.needs_failure_cause(request.fingerprint)
     {
         // Its sender is dropped once the look is over.
         let _looked = tokio::time::timeout(LOOK_WAIT, look.looked).await;
@@ -132,7 +132,7 @@
             }
         };
         if cause == BreakCause::Ended {
-            context.suspects.note_end(print, entry.instance().label());
+            context.suspects.record_crash(print, entry.instance().label());
         }
         drop(looking);
         context.metrics.note_broken_run(cause.name());
--- a/crates/dillspool_forward/src/context.rs
+++ b/crates/dillspool_forward/src/context.rs
@@ -6,7 +6,7 @@
 use dillspool_routing::{BackendEntry, BackendId, DirectoryView, RoutedRequest};
 use dillspool_scheduler::{CallClient, LimitClient, ScheduleClient};
 use dillspool_schema::Name;
-use dillspool_suspects::SuspectDesk;
+use dillspool_suspects::SuspectTracker;
 use dillspool_throttle::ThrottleDesk;
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
@@ -52,7 +52,7 @@
     /// Looks at backend servers whose runs broke off.
     pub breaks: BreakLooks,
     /// Requests under which backend servers ended.
-    pub suspects: SuspectDesk,
+    pub suspects: SuspectTracker,
     /// Counters and histograms.
     pub metrics: ForwardMetrics,
     /// Work that goes on when its request is gone, such as giving memory back.
--- a/crates/dillspool_forward/src/generate.rs
+++ b/crates/dillspool_forward/src/generate.rs
@@ -179,7 +179,7 @@
     /// Notes a whole answer, with the mean gap between two of its events.
     pub(crate) fn note_success(&self, open: &mut OpenStream, event_gap: Option<Duration>) {
         open.ticket.end_whole(event_gap);
-        self.context.suspects.note_whole(self.request.fingerprint);
+        self.context.suspects.record_success(self.request.fingerprint);
         if open.entry.stage.is_none() {
             self.context.backend_tracker.record_success(&open.entry.instance(), self.request.age());
         }
--- a/crates/dillspool_forward/src/long_answer.rs
+++ b/crates/dillspool_forward/src/long_answer.rs
@@ -271,7 +271,7 @@
             }
         }
         if status.is_success() {
-            self.context.suspects.note_whole(self.request.fingerprint);
+            self.context.suspects.record_success(self.request.fingerprint);
             self.trace.answered(status.as_u16());
         } else {
             self.trace.failed(status.as_u16());
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -182,7 +182,7 @@
             SendOutcome::Whole(answer) if !answer.status.is_server_error() => {
                 context.backend_tracker.record_success(&entry.instance(), started.elapsed());
                 if answer.status.is_success() {
-                    context.suspects.note_whole(request.fingerprint);
+                    context.suspects.record_success(request.fingerprint);
                 }
                 return Ok(PlainResponse::Complete(answer.response()));
             }
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -25,7 +25,9 @@
     BusHandlers, CallClient, CallDesk, CallTerms, FleetBus, LimitClient, LimitDesk, LimitTerms,
     PoolDesk, ScheduleClient,
 };
-use dillspool_suspects::{PrintKey, PrintParts, RequestPrint, SuspectDesk, SuspectPolicy};
+use dillspool_suspects::{
+    FingerprintInput, FingerprintKey, RequestFingerprint, SuspectPolicy, SuspectTracker,
+};
 use dillspool_throttle::ThrottleDesk;
 use hyper::{HeaderMap, Method, StatusCode, Uri};
 use tokio::sync::watch;
@@ -325,7 +327,7 @@
             backend_tracker: BackendTracker::default(),
             budgets: RetryBudgets::new(budget, HostClock::steady()),
             breaks: BreakLooks::default(),
-            suspects: SuspectDesk::new(SuspectPolicy::default(), HostClock::steady()),
+            suspects: SuspectTracker::new(SuspectPolicy::default(), HostClock::steady()),
             metrics: ForwardMetrics::default(),
             tasks: TaskTracker::new(),
         };
@@ -408,9 +410,14 @@
     let arrived = clock.now();
     RoutedRequest {
         id: "request-1".into(),
-        fingerprint: RequestPrint::of(
-            &PrintKey::default(),
-            &PrintParts { caller: "caller-1", host: "a.example", path: "/x/1", body: b"body" },
+        fingerprint: RequestFingerprint::of(
+            &FingerprintKey::default(),
+            &FingerprintInput {
+                caller: "caller-1",
+                host: "a.example",
+                path: "/x/1",
+                body: b"body",
+            },
         ),
         method: Method::POST,
         uri: Uri::from_static("/x/1"),
--- a/crates/dillspool_forward/tests/log_lines.rs
+++ b/crates/dillspool_forward/tests/log_lines.rs
@@ -9,7 +9,9 @@
 use dillspool_forward::answer_request;
 use dillspool_io::read_response_body;
 use dillspool_routing::{EngineStage, PromptPart, RequestKind};
-use dillspool_suspects::{PrintKey, PrintParts, RequestPrint, RunEnd, SuspectNews};
+use dillspool_suspects::{
+    BackendCrash, FingerprintInput, FingerprintKey, RequestFingerprint, SuspectUpdate,
+};
 use log::{LevelFilter, Log, Metadata, Record};
 use proptest::prelude::*;
 
@@ -195,16 +197,16 @@
         let (context, _directory) = site.context(view([]));
         let ended = |number: usize, backend: &str| {
             let body = number.to_le_bytes();
-            let parts = PrintParts { caller: "", host: "", path: "", body: &body };
-            let print = RequestPrint::of(&PrintKey::default(), &parts);
+            let parts = FingerprintInput { caller: "", host: "", path: "", body: &body };
+            let print = RequestFingerprint::of(&FingerprintKey::default(), &parts);
             let at = context.suspects.now();
-            SuspectNews::Ended(RunEnd { print, backend: backend.into(), at })
+            SuspectUpdate::Crashed(BackendCrash { fingerprint: print, backend: backend.into(), at })
         };
         for number in 0..1000 {
-            assert!(context.suspects.learn(&ended(number, "one")));
+            assert!(context.suspects.apply_update(&ended(number, "one")));
         }
         for backend in ["two", "three"] {
-            assert!(context.suspects.learn(&ended(7, backend)));
+            assert!(context.suspects.apply_update(&ended(7, backend)));
         }
     });
     let lines = CAPTURE.lines.lock().unwrap().clone();
--- a/crates/dillspool_host/src/directory.rs
+++ b/crates/dillspool_host/src/directory.rs
@@ -7,7 +7,7 @@
 use dillspool_engine::EngineClient;
 use dillspool_pool::{LivenessCheck, PoolScheduler};
 use dillspool_schema::Name;
-use dillspool_suspects::SuspectDesk;
+use dillspool_suspects::SuspectTracker;
 use tokio_util::sync::CancellationToken;
 
 struct PoolEntryHandle {
@@ -20,14 +20,14 @@
 pub(crate) struct PoolDirectory {
     pools: Arc<Mutex<BTreeMap<Name, PoolEntryHandle>>>,
     engines: EngineClient,
-    suspects: SuspectDesk,
+    suspects: SuspectTracker,
     cancel: CancellationToken,
 }
 
 impl PoolDirectory {
     pub(crate) fn new(
         engines: EngineClient,
-        suspects: SuspectDesk,
+        suspects: SuspectTracker,
         cancel: CancellationToken,
     ) -> Self {
         Self { pools: Arc::default(), engines, suspects, cancel }
--- a/crates/dillspool_host/src/parts.rs
+++ b/crates/dillspool_host/src/parts.rs
@@ -18,7 +18,7 @@
 use dillspool_schema::Name;
 use dillspool_schema::messages::HeartbeatMessage;
 use dillspool_schema::settings::HostSettings;
-use dillspool_suspects::{PrintKey, SuspectDesk, SuspectPolicy};
+use dillspool_suspects::{FingerprintKey, SuspectPolicy, SuspectTracker};
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
@@ -49,7 +49,7 @@
     pub(crate) keeper: ConfigKeeper,
     pub(crate) engines: EngineClient,
     pub(crate) directory: PoolDirectory,
-    pub(crate) suspects: SuspectDesk,
+    pub(crate) suspects: SuspectTracker,
     pub(crate) registry: PlacementRegistry,
     pub(crate) links: PeerLinks,
     pub(crate) rows: AliveRows,
@@ -77,7 +77,8 @@
         let host = Name::clone(&settings.host);
         let view = HostView::new(host, Name::clone(&settings.failure_domain), incarnation);
         let engines = EngineClient::new(&environment.stack);
-        let suspects = SuspectDesk::new(SuspectPolicy::default(), environment.host_clock.clone());
+        let suspects =
+            SuspectTracker::new(SuspectPolicy::default(), environment.host_clock.clone());
         let directory = PoolDirectory::new(engines.clone(), suspects.clone(), cancel.clone());
         let registry = PlacementRegistry::default();
         let keeper = ConfigKeeper::new(store);
@@ -155,7 +156,7 @@
             next_backend: Arc::default(),
             ids: StreamIds::new(Name::clone(&self.settings.host), self.incarnation),
             suspects: self.suspects.clone(),
-            print_key: PrintKey::new(self.settings.keys.peer_key.expose()),
+            print_key: FingerprintKey::new(self.settings.keys.peer_key.expose()),
             retries: RetryBudget::default(),
             metrics: self.metrics.clone(),
             in_flight: Arc::new(Semaphore::new(limits.max_in_flight as usize)),
--- a/crates/dillspool_pool/src/scheduler.rs
+++ b/crates/dillspool_pool/src/scheduler.rs
@@ -10,7 +10,7 @@
 use dillspool_schema::configuration::PoolEntry;
 use dillspool_schema::messages::{PlacementReport, ReleaseMessage, ReserveAnswer, ReserveMessage};
 use dillspool_schema::{Name, StreamId};
-use dillspool_suspects::{COPY_RETRY, SuspectDesk};
+use dillspool_suspects::{COPY_RETRY_DELAY, SuspectTracker};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -79,7 +79,7 @@
         snapshot: &Arc<ConfigSnapshot>,
         engines: EngineClient,
         liveness: LivenessCheck,
-        suspects: SuspectDesk,
+        suspects: SuspectTracker,
         cancel: CancellationToken,
     ) -> Self {
         let inner = SchedulerInner {
@@ -129,7 +129,7 @@
             inner.last_asked = Some(now);
             if let Err(cause) = inner.copies.enter(&stream, message.print.as_deref()) {
                 inner.counts.refused += 1;
-                return Some(refusal(&stream, cause, COPY_RETRY));
+                return Some(refusal(&stream, cause, COPY_RETRY_DELAY));
             }
             match inner.state.submit(message, now) {
                 ReserveOutcome::Answered(answer) => {
--- a/crates/dillspool_pool/src/suspects.rs
+++ b/crates/dillspool_pool/src/suspects.rs
@@ -8,17 +8,17 @@
 
 use dillspool_schema::StreamId;
 use dillspool_schema::messages::{EndedRun, RefuseCause, ReleaseCause, ReleaseMessage};
-use dillspool_suspects::{CopyGuard, CopyRefusal, RequestPrint, SuspectDesk};
+use dillspool_suspects::{CopyGuard, CopyRefusal, RequestFingerprint, SuspectTracker};
 
 /// Copies under way in a pool.
 #[derive(Debug)]
 pub(crate) struct CopyBook {
-    desk: SuspectDesk,
+    desk: SuspectTracker,
     under_way: BTreeMap<StreamId, CopyGuard>,
 }
 
 impl CopyBook {
-    pub(crate) fn new(desk: SuspectDesk) -> Self {
+    pub(crate) fn new(desk: SuspectTracker) -> Self {
         Self { desk, under_way: BTreeMap::new() }
     }
 
@@ -30,7 +30,7 @@
     ) -> Result<(), RefuseCause> {
         // A sender of another version names no request, or names it otherwise.
         let Some(print) = print.and_then(|print| print.parse().ok()) else { return Ok(()) };
-        match self.desk.enter(print) {
+        match self.desk.admit(print) {
             Ok(guard) => {
                 self.under_way.insert(stream.clone(), guard);
                 Ok(())
@@ -57,18 +57,18 @@
             return;
         };
         if let Some(engine) = &message.ended {
-            self.desk.note_unnamed_end(print, engine, Duration::ZERO);
+            self.desk.record_unidentified_crash(print, engine, Duration::ZERO);
         } else if message.cause == ReleaseCause::Done {
-            self.desk.note_whole(print);
+            self.desk.record_success(print);
         }
     }
 
     /// Takes what an entry host had told the scheduler before.
     pub(crate) fn learn(&self, ended: &[EndedRun]) {
         for end in ended {
-            if let Ok(print) = end.print.parse::<RequestPrint>() {
+            if let Ok(print) = end.print.parse::<RequestFingerprint>() {
                 let age = Duration::from_millis(end.age_ms);
-                self.desk.note_unnamed_end(print, &end.engine, age);
+                self.desk.record_unidentified_crash(print, &end.engine, age);
             }
         }
     }
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -17,7 +17,7 @@
     CallDesk, FleetNews, LimitClient, LimitDesk, PoolDesk, ScheduleClient, ScheduleDesks,
 };
 use dillspool_schema::Name;
-use dillspool_suspects::{SuspectDesk, SuspectPolicy};
+use dillspool_suspects::{SuspectPolicy, SuspectTracker};
 use prometheus_client::registry::Registry;
 use snafu::{ResultExt, Snafu};
 use tokio::sync::watch;
@@ -79,7 +79,7 @@
     background: CancellationToken,
     serving: TaskTracker,
     peers: PeerList,
-    suspects: SuspectDesk,
+    suspects: SuspectTracker,
     /// Bytes held for slow peers, where they are limited.
     held: Option<ByteBudget>,
     clock: HostClock,
@@ -115,7 +115,7 @@
         let demand = DemandMeter::default();
         let budgets = RetryBudgets::new(config.budget, clock.clone());
         let metrics = ForwardMetrics::default();
-        let suspects = SuspectDesk::new(SuspectPolicy::default(), clock.clone());
+        let suspects = SuspectTracker::new(SuspectPolicy::default(), clock.clone());
         suspects.set_lifted(config.lifted.clone());
         let limits = LimitDesk::new(config.limits, clock.clone());
         let backend_limits = LimitDesk::of_backend_servers(config.limits.shares, clock.clone());
--- a/crates/dillspool_router/src/fleet_duties.rs
+++ b/crates/dillspool_router/src/fleet_duties.rs
@@ -13,7 +13,7 @@
     ScheduleClient, ScheduleDesks, SuspectHandlers, serve_schedule,
 };
 use dillspool_schema::Name;
-use dillspool_suspects::SuspectDesk;
+use dillspool_suspects::SuspectTracker;
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
@@ -75,17 +75,17 @@
 
 /// News between what this host knows and its links.
 pub(crate) fn fleet_bus(
-    suspects: &SuspectDesk,
+    suspects: &SuspectTracker,
     site: &SiteProtocol,
     clock: &HostClock,
 ) -> FleetBus {
     let (learning, telling) = (suspects.clone(), suspects.clone());
     let (knowing, repeating) = (suspects.clone(), suspects.clone());
     let suspects = SuspectHandlers {
-        learn: Arc::new(move |news| learning.learn(news)),
-        worth_telling: Arc::new(move |news| telling.worth_telling(news)),
-        known: Arc::new(move |most| knowing.known(most)),
-        repeated: Arc::new(move |most| repeating.repeated(most)),
+        learn: Arc::new(move |news| learning.apply_update(news)),
+        worth_telling: Arc::new(move |news| telling.updates_to_forward(news)),
+        known: Arc::new(move |most| knowing.newest_updates(most)),
+        repeated: Arc::new(move |most| repeating.newest_repeated(most)),
     };
     let (learning, knowing) = (site.throttle.clone(), site.throttle.clone());
     let throttle = NoticeHandlers {
--- a/crates/dillspool_router/src/ingress.rs
+++ b/crates/dillspool_router/src/ingress.rs
@@ -13,7 +13,7 @@
     RequestMetadata, RouteEntry, RoutedRequest, RoutingConfig, WorkspaceEntry,
 };
 use dillspool_schema::Name;
-use dillspool_suspects::{PrintKey, PrintParts, RequestPrint};
+use dillspool_suspects::{FingerprintInput, FingerprintKey, RequestFingerprint};
 use dillspool_watch::SharedReplica;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HOST, HeaderValue, RETRY_AFTER};
@@ -59,7 +59,7 @@
     pub stopping: Arc<AtomicBool>,
     in_flight: Arc<Semaphore>,
     patience: PatienceTable,
-    print_key: PrintKey,
+    print_key: FingerprintKey,
     clock: HostClock,
 }
 
@@ -76,7 +76,7 @@
         context: ForwardContext,
         known: KnownConfig,
         stopping: Arc<AtomicBool>,
-        print_key: PrintKey,
+        print_key: FingerprintKey,
         clock: HostClock,
     ) -> Self {
         let in_flight = Arc::new(Semaphore::new(MOST_IN_FLIGHT));
@@ -153,8 +153,8 @@
         // Not the address: one caller comes by many, and each would have a request of its own.
         let caller = workspace.as_ref().map_or("", |workspace| &*workspace.name);
         let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
-        let print = PrintParts { caller, host: &route.host, path, body: &body };
-        let print = RequestPrint::of(&self.print_key, &print);
+        let print = FingerprintInput { caller, host: &route.host, path, body: &body };
+        let print = RequestFingerprint::of(&self.print_key, &print);
         let routed = RoutedRequest {
             id,
             fingerprint: print,
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -10,7 +10,7 @@
 use dillspool_scheduler::{CallTerms, LimitTerms};
 use dillspool_schema::Name;
 use dillspool_schema::router::{CallSettings, LimitSettings, RouterSettings, SuspectSettings};
-use dillspool_suspects::{PrintKey, RequestPrint};
+use dillspool_suspects::{FingerprintKey, RequestFingerprint};
 use snafu::{ResultExt, Snafu};
 
 use crate::memory_terms;
@@ -103,9 +103,9 @@
     /// Limits on bytes held for slow peers; `None` where they are not limited.
     pub held: Option<HeldTerms>,
     /// Key of the prints that stand for requests.
-    pub print_key: PrintKey,
+    pub print_key: FingerprintKey,
     /// Prints of requests that run whatever ended under them.
-    pub lifted: Vec<RequestPrint>,
+    pub lifted: Vec<RequestFingerprint>,
     /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
     /// Time after an outage in which lapsed backend servers may register again.
@@ -207,12 +207,12 @@
 }
 
 /// The key of prints; without one all fleets have the same.
-fn print_key(settings: Option<&SuspectSettings>) -> PrintKey {
+fn print_key(settings: Option<&SuspectSettings>) -> FingerprintKey {
     let key = settings.map(|settings| &*settings.key).filter(|key| !key.is_empty());
-    key.map_or_else(PrintKey::default, PrintKey::new)
+    key.map_or_else(FingerprintKey::default, FingerprintKey::new)
 }
 
-fn lifted(settings: Option<&SuspectSettings>) -> Result<Vec<RequestPrint>, SettingsError> {
+fn lifted(settings: Option<&SuspectSettings>) -> Result<Vec<RequestFingerprint>, SettingsError> {
     let prints = settings.into_iter().flat_map(|settings| &settings.lifted);
     let parse = |text: &String| {
         text.parse().map_err(|_malformed| SettingsError::Field {
--- a/crates/dillspool_router/src/suspect_metrics.rs
+++ b/crates/dillspool_router/src/suspect_metrics.rs
@@ -1,7 +1,7 @@
 //! Requests under which backend servers ended, as gauges that are read when they are scraped.
 
 use dillspool_metrics::write_labels;
-use dillspool_suspects::SuspectDesk;
+use dillspool_suspects::SuspectTracker;
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
@@ -23,13 +23,13 @@
 /// Gauges of a host's suspects.
 #[derive(Clone, Debug)]
 pub(crate) struct SuspectMetrics {
-    desk: SuspectDesk,
+    desk: SuspectTracker,
     suspects: Family<SuspectLabels, Gauge>,
 }
 
 impl SuspectMetrics {
     /// Gauges of a desk.
-    pub(crate) fn new(desk: SuspectDesk) -> Self {
+    pub(crate) fn new(desk: SuspectTracker) -> Self {
         Self { desk, suspects: Family::default() }
     }
 
--- a/crates/dillspool_router/src/suspect_rows.rs
+++ b/crates/dillspool_router/src/suspect_rows.rs
@@ -15,7 +15,7 @@
     CommitReply, PlatformError, RowExpect, RowWrite, StoreEra, StoreVersion, TableStore,
 };
 use dillspool_schema::Name;
-use dillspool_suspects::{RequestPrint, SuspectDesk, SuspectNews};
+use dillspool_suspects::{RequestFingerprint, SuspectTracker, SuspectUpdate};
 use dillspool_watch::TableReplica;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -49,10 +49,10 @@
     pub(crate) store: TableStore,
     pub(crate) rows: watch::Receiver<TableReplica>,
     pub(crate) unreadable: UnreadableRows,
-    pub(crate) desk: SuspectDesk,
+    pub(crate) desk: SuspectTracker,
     pub(crate) wall: WallClock,
     /// Tells news on this host's links, which go on while the store is away.
-    pub(crate) tell: Arc<dyn Fn(&SuspectNews) + Send + Sync>,
+    pub(crate) tell: Arc<dyn Fn(&SuspectUpdate) + Send + Sync>,
     /// Whether this host schedules a pool, and so hears of all ends there.
     pub(crate) schedules: Arc<dyn Fn() -> bool + Send + Sync>,
 }
@@ -66,7 +66,7 @@
     taken: HashMap<Name, StoreVersion>,
     own: SuspectRow,
     /// Ends that some row told.
-    in_rows: HashSet<(RequestPrint, Name)>,
+    in_rows: HashSet<(RequestFingerprint, Name)>,
     /// When ends are written that no row has told by then.
     adopt_at: Option<Instant>,
     /// The text that the store has or will have as far as this host knows.
@@ -108,7 +108,7 @@
                     self.adopt(&mut state, &clock);
                 }
                 () = tokio::time::sleep_until(look_at) => {
-                    self.desk.forget();
+                    self.desk.remove_expired();
                     state.own.prune(&self.desk);
                     state.in_rows.retain(|(print, _end)| self.desk.decide(*print).ends() > 0);
                     self.delete_one(&clock).await;
@@ -125,21 +125,21 @@
     }
 
     fn take_news(&self, state: &mut KeeperState, clock: &DeskClock) {
-        for news in self.desk.take_news() {
+        for news in self.desk.take_updates() {
             (self.tell)(&news);
             state.own.add(&news, clock);
         }
     }
 
     /// Ends that more than one row should tell of, and none does.
-    fn missing(&self, state: &KeeperState) -> Vec<SuspectNews> {
-        let mut repeated = self.desk.repeated(MOST_ADOPTED);
+    fn missing(&self, state: &KeeperState) -> Vec<SuspectUpdate> {
+        let mut repeated = self.desk.newest_repeated(MOST_ADOPTED);
         repeated.retain(|news| match news {
-            SuspectNews::Ended(end) => {
-                !state.in_rows.contains(&(end.print, Name::clone(&end.backend)))
+            SuspectUpdate::Crashed(end) => {
+                !state.in_rows.contains(&(end.fingerprint, Name::clone(&end.backend)))
                     && !state.own.tells(end)
             }
-            SuspectNews::Whole { .. } => false,
+            SuspectUpdate::Succeeded { .. } => false,
         });
         repeated
     }
@@ -206,11 +206,11 @@
             }
         }
         // A good end clears only what is known, and may stand in another row than the ends before it.
-        told.sort_by_key(|news| matches!(news, SuspectNews::Whole { .. }));
+        told.sort_by_key(|news| matches!(news, SuspectUpdate::Succeeded { .. }));
         for news in told {
-            self.desk.learn(&news);
-            if let SuspectNews::Ended(end) = news {
-                state.in_rows.insert((end.print, end.backend));
+            self.desk.apply_update(&news);
+            if let SuspectUpdate::Crashed(end) = news {
+                state.in_rows.insert((end.fingerprint, end.backend));
             }
         }
         belief.version.is_known()
--- a/crates/dillspool_router/src/suspect_rows/row.rs
+++ b/crates/dillspool_router/src/suspect_rows/row.rs
@@ -6,7 +6,9 @@
 use dillspool_io::{UnixMillis, WallClock};
 use dillspool_moment::Moment;
 use dillspool_schema::Name;
-use dillspool_suspects::{RequestPrint, RunEnd, SuspectDecision, SuspectDesk, SuspectNews};
+use dillspool_suspects::{
+    BackendCrash, RequestFingerprint, SuspectDecision, SuspectTracker, SuspectUpdate,
+};
 use serde::{Deserialize, Serialize};
 
 /// Entries of a row at most, the newest; each takes some 100 bytes, and a row may have 64 KB.
@@ -45,7 +47,7 @@
         }
         let prints = row.ends.iter().map(|end| &end.print);
         for print in prints.chain(row.whole.iter().map(|whole| &whole.print)) {
-            print.parse::<RequestPrint>().map_err(|error| error.to_string())?;
+            print.parse::<RequestFingerprint>().map_err(|error| error.to_string())?;
         }
         if row.ends.iter().any(|end| end.backend.is_empty() || end.backend.len() > LONGEST_BACKEND)
         {
@@ -54,14 +56,14 @@
         Ok(row)
     }
 
-    pub(super) fn add(&mut self, news: &SuspectNews, clock: &DeskClock) {
+    pub(super) fn add(&mut self, news: &SuspectUpdate, clock: &DeskClock) {
         match news {
-            SuspectNews::Ended(end) => self.ends.push(RowEnd {
-                print: end.print.to_string().into(),
+            SuspectUpdate::Crashed(end) => self.ends.push(RowEnd {
+                print: end.fingerprint.to_string().into(),
                 backend: Arc::clone(&end.backend),
                 at: clock.wall_of(end.at),
             }),
-            SuspectNews::Whole { print, at } => self
+            SuspectUpdate::Succeeded { fingerprint: print, at } => self
                 .whole
                 .push(RowWhole { print: print.to_string().into(), at: clock.wall_of(*at) }),
         }
@@ -72,8 +74,8 @@
     }
 
     /// Whether it tells of an end.
-    pub(super) fn tells(&self, end: &RunEnd) -> bool {
-        let print = end.print.to_string();
+    pub(super) fn tells(&self, end: &BackendCrash) -> bool {
+        let print = end.fingerprint.to_string();
         self.ends.iter().any(|told| *told.print == *print && told.backend == end.backend)
     }
 
@@ -93,21 +95,25 @@
     }
 
     /// What it tells, in the words of a desk.
-    pub(super) fn news(&self, clock: &DeskClock) -> Vec<SuspectNews> {
+    pub(super) fn news(&self, clock: &DeskClock) -> Vec<SuspectUpdate> {
         let ended = self.ends.iter().filter_map(|end| {
             let print = end.print.parse().ok()?;
             let backend = Arc::clone(&end.backend);
-            Some(SuspectNews::Ended(RunEnd { print, backend, at: clock.moment_of(end.at) }))
+            Some(SuspectUpdate::Crashed(BackendCrash {
+                fingerprint: print,
+                backend,
+                at: clock.moment_of(end.at),
+            }))
         });
         let whole = self.whole.iter().filter_map(|whole| {
             let print = whole.print.parse().ok()?;
-            Some(SuspectNews::Whole { print, at: clock.moment_of(whole.at) })
+            Some(SuspectUpdate::Succeeded { fingerprint: print, at: clock.moment_of(whole.at) })
         });
         ended.chain(whole).collect()
     }
 
     /// Drops what stands against nobody any more.
-    pub(super) fn prune(&mut self, desk: &SuspectDesk) {
+    pub(super) fn prune(&mut self, desk: &SuspectTracker) {
         let stands = |print: &Name| {
             print.parse().is_ok_and(|print| desk.decide(print) != SuspectDecision::Clear)
         };
@@ -125,7 +131,7 @@
 /// Translates between a desk's moments and the time of day, which hosts share well enough: what is told
 /// stands for minutes, and clocks differ by seconds.
 pub(super) struct DeskClock {
-    pub(super) desk: SuspectDesk,
+    pub(super) desk: SuspectTracker,
     pub(super) wall: WallClock,
 }
 
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -23,7 +23,7 @@
     RouteEntry, RouteTable, RoutingConfig, ServiceShare, WorkspaceEntry, WorkspaceTable,
 };
 use dillspool_scheduler::{CallTerms, LimitTerms};
-use dillspool_suspects::PrintKey;
+use dillspool_suspects::FingerprintKey;
 use dillspool_throttle::ThrottleDesk;
 use hyper::{HeaderMap, StatusCode};
 
@@ -53,7 +53,7 @@
         budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
         limits: LimitTerms { slack: 0.0, shares: 2 },
         held: None,
-        print_key: PrintKey::default(),
+        print_key: FingerprintKey::default(),
         lifted: vec![],
         grace: Duration::from_secs(8),
         lapse_grace: Duration::from_secs(2),
--- a/crates/dillspool_routerd/tests/fleet/mod.rs
+++ b/crates/dillspool_routerd/tests/fleet/mod.rs
@@ -19,7 +19,7 @@
     PlainCapacity, REQUEST_ID, RunLog, StandinBackend, StandinKind, StandinRoute, StandinStore,
     TIME_BUDGET, TOKEN_COUNTS, config_text,
 };
-use dillspool_suspects::{PrintKey, RequestPrint};
+use dillspool_suspects::{FingerprintKey, RequestFingerprint};
 use http_body_util::Full;
 use hyper::Request;
 use tokio::time::Instant;
@@ -244,7 +244,7 @@
     }
 
     /// Gives a host settings that let requests run whatever ended under them.
-    pub fn lift(&mut self, number: usize, lifted: Vec<RequestPrint>) {
+    pub fn lift(&mut self, number: usize, lifted: Vec<RequestFingerprint>) {
         let (config, running) = &mut self.hosts[number];
         config.lifted = lifted;
         running.get_mut().as_ref().expect("it runs").reload(config.clone());
@@ -416,7 +416,7 @@
         budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
         limits: LimitTerms { slack: 0.0, shares: 2 },
         held: None,
-        print_key: PrintKey::default(),
+        print_key: FingerprintKey::default(),
         lifted: vec![],
         grace: Duration::from_secs(4),
         lapse_grace: Duration::from_secs(2),
--- a/crates/dillspool_routerd/tests/suspect_rows.rs
+++ b/crates/dillspool_routerd/tests/suspect_rows.rs
@@ -6,15 +6,16 @@
 
 use dillspool_site::OWN_TABLE;
 use dillspool_site_standin::DEADLY_BODY;
-use dillspool_suspects::{PrintKey, PrintParts, RequestPrint};
+use dillspool_suspects::{FingerprintInput, FingerprintKey, RequestFingerprint};
 use fleet::{ComeBack, TestFleet};
 
 const PATH: &str = "/stream/1";
 const SOUND: &str = "a sound body";
 
-fn print(body: &str) -> RequestPrint {
-    let parts = PrintParts { caller: "", host: "fleet.example", path: PATH, body: body.as_bytes() };
-    RequestPrint::of(&PrintKey::default(), &parts)
+fn print(body: &str) -> RequestFingerprint {
+    let parts =
+        FingerprintInput { caller: "", host: "fleet.example", path: PATH, body: body.as_bytes() };
+    RequestFingerprint::of(&FingerprintKey::default(), &parts)
 }
 
 /// A row of a host that tells of these backend servers' ends under a request.
--- a/crates/dillspool_routing/src/request.rs
+++ b/crates/dillspool_routing/src/request.rs
@@ -8,7 +8,7 @@
 use dillspool_keys::PresentedKey;
 use dillspool_moment::Moment;
 use dillspool_schema::Name;
-use dillspool_suspects::RequestPrint;
+use dillspool_suspects::RequestFingerprint;
 use hyper::{HeaderMap, Method, Uri};
 
 use crate::route::RouteEntry;
@@ -62,7 +62,7 @@
     /// Names this attempt of the caller.
     pub id: Name,
     /// The same for all attempts of the caller.
-    pub fingerprint: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// Its method.
     pub method: Method,
     /// Path and query, unchanged.
--- a/crates/dillspool_scheduler/src/fleet_bus.rs
+++ b/crates/dillspool_scheduler/src/fleet_bus.rs
@@ -19,7 +19,7 @@
 use dillspool_schema::schedule::{
     ScheduleLeaving, ScheduleMessage, ScheduleSuspect, ScheduleThrottle,
 };
-use dillspool_suspects::{RunEnd, SuspectNews};
+use dillspool_suspects::{BackendCrash, SuspectUpdate};
 use dillspool_throttle::{RequestRate, ThrottleNews};
 use tokio::sync::broadcast;
 
@@ -34,20 +34,20 @@
 const LONGEST_BACKEND: usize = 200;
 
 type LearnFn<T> = dyn Fn(&T) -> bool + Send + Sync;
-type TellingFn = dyn Fn(&SuspectNews) -> Vec<SuspectNews> + Send + Sync;
+type TellingFn = dyn Fn(&SuspectUpdate) -> Vec<SuspectUpdate> + Send + Sync;
 type KnownFn<T> = dyn Fn(usize) -> Vec<T> + Send + Sync;
 
 /// What a host does with news of suspects, as closures over what it knows.
 #[derive(Clone)]
 pub struct SuspectHandlers {
     /// Takes news; whether they were not known.
-    pub learn: Arc<LearnFn<SuspectNews>>,
+    pub learn: Arc<LearnFn<SuspectUpdate>>,
     /// What others need to know once these news are known.
     pub worth_telling: Arc<TellingFn>,
     /// The newest of what is known, so many.
-    pub known: Arc<KnownFn<SuspectNews>>,
+    pub known: Arc<KnownFn<SuspectUpdate>>,
     /// The same of requests under which more than one backend server has ended.
-    pub repeated: Arc<KnownFn<SuspectNews>>,
+    pub repeated: Arc<KnownFn<SuspectUpdate>>,
 }
 
 impl fmt::Debug for SuspectHandlers {
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetNews {
     /// A backend server ended under a request, or a copy of it came to a good end.
-    Suspect(SuspectNews),
+    Suspect(SuspectUpdate),
     /// A backend server says how much it takes.
     Throttle(ThrottleNews),
     /// A backend server says that it leaves.
@@ -164,7 +164,7 @@
         self.first_of((self.handlers.suspects.repeated)(FIRST_NEWS))
     }
 
-    fn first_of(&self, suspects: Vec<SuspectNews>) -> Vec<ScheduleMessage> {
+    fn first_of(&self, suspects: Vec<SuspectUpdate>) -> Vec<ScheduleMessage> {
         let limits = (self.handlers.throttle.known)(FIRST_NEWS);
         let leaving = (self.handlers.leaving.known)(FIRST_NEWS);
         let suspects = suspects.into_iter().map(FleetNews::Suspect);
@@ -229,8 +229,10 @@
         match news {
             FleetNews::Suspect(news) => {
                 let (print, backend, at) = match news {
-                    SuspectNews::Ended(end) => (end.print, Some(Name::clone(&end.backend)), end.at),
-                    SuspectNews::Whole { print, at } => (*print, None, *at),
+                    SuspectUpdate::Crashed(end) => {
+                        (end.fingerprint, Some(Name::clone(&end.backend)), end.at)
+                    }
+                    SuspectUpdate::Succeeded { fingerprint: print, at } => (*print, None, *at),
                 };
                 let (print, age_ms) = (print.to_string().into(), age_ms(at));
                 ScheduleMessage::Suspect(ScheduleSuspect { print, backend, age_ms })
@@ -249,13 +251,13 @@
         }
     }
 
-    fn decode_suspect(&self, message: ScheduleSuspect) -> Result<SuspectNews, String> {
+    fn decode_suspect(&self, message: ScheduleSuspect) -> Result<SuspectUpdate, String> {
         let print = message.print.parse().map_err(|error| format!("{error}"))?;
         let at = self.said_at(message.age_ms);
         match message.backend {
-            None => Ok(SuspectNews::Whole { print, at }),
+            None => Ok(SuspectUpdate::Succeeded { fingerprint: print, at }),
             Some(backend) if is_backend_name(&backend) => {
-                Ok(SuspectNews::Ended(RunEnd { print, backend, at }))
+                Ok(SuspectUpdate::Crashed(BackendCrash { fingerprint: print, backend, at }))
             }
             Some(_unnamed) => Err(UNNAMED.to_owned()),
         }
--- a/crates/dillspool_scheduler/tests/fleet_news.rs
+++ b/crates/dillspool_scheduler/tests/fleet_news.rs
@@ -21,7 +21,7 @@
     ScheduleBeat, ScheduleDuty, ScheduleHello, ScheduleLeaving, ScheduleMessage, ScheduleSuspect,
     ScheduleThrottle,
 };
-use dillspool_suspects::SuspectNews;
+use dillspool_suspects::SuspectUpdate;
 use dillspool_throttle::{ThrottleDesk, ThrottleNews};
 use futures_util::{SinkExt, StreamExt};
 use tokio_tungstenite::tungstenite::Message;
@@ -158,7 +158,7 @@
     ];
     for case in cases {
         let net = MemoryNet::new();
-        let learnt: Arc<Mutex<Vec<SuspectNews>>> = Arc::default();
+        let learnt: Arc<Mutex<Vec<SuspectUpdate>>> = Arc::default();
         let learning = Arc::clone(&learnt);
         let handlers = SuspectHandlers {
             learn: Arc::new(move |news| {
--- a/crates/dillspool_suspects/src/book.rs
+++ b/crates/dillspool_suspects/src/book.rs
@@ -6,8 +6,8 @@
 
 use dillspool_moment::Moment;
 
-use crate::policy::{EndWeight, SuspectPolicy};
-use crate::print::RequestPrint;
+use crate::policy::{CrashAttribution, SuspectPolicy};
+use crate::print::RequestFingerprint;
 use crate::recent::RecentPrints;
 
 /// Ends that are kept of a request, the newest; more decide nothing.
@@ -19,28 +19,28 @@
 const SAME_MOMENT: Duration = Duration::from_millis(100);
 
 /// Names one start of a backend server.
-pub type EndedBackend = Arc<str>;
+pub type CrashedInstance = Arc<str>;
 
 /// A backend server ended while a request ran there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunEnd {
+pub struct BackendCrash {
     /// The request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// The start that ended.
-    pub backend: EndedBackend,
+    pub backend: CrashedInstance,
     /// When that was found.
     pub at: Moment,
 }
 
 /// Something that one host learnt, and that others should know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SuspectNews {
+pub enum SuspectUpdate {
     /// A backend server ended under a request.
-    Ended(RunEnd),
+    Crashed(BackendCrash),
     /// A copy of a request under which some had ended came to a good end.
-    Whole {
+    Succeeded {
         /// The request.
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         /// When.
         at: Moment,
     },
@@ -81,14 +81,14 @@
 /// What is known of one request.
 #[derive(Clone, Debug, Default)]
 struct SuspectRecord {
-    ends: Vec<(EndedBackend, Moment)>,
+    ends: Vec<(CrashedInstance, Moment)>,
     /// When it last came to a good end; only what ended since stands against it.
     whole_at: Option<Moment>,
 }
 
 impl SuspectRecord {
     /// The ends in a row.
-    fn in_row(&self) -> impl Iterator<Item = &(EndedBackend, Moment)> {
+    fn in_row(&self) -> impl Iterator<Item = &(CrashedInstance, Moment)> {
         self.ends.iter().filter(|(_backend, at)| self.whole_at.is_none_or(|whole| *at > whole))
     }
 
@@ -100,7 +100,7 @@
 /// What ran at a start that ended.
 #[derive(Clone, Debug)]
 struct EndedRuns {
-    prints: Vec<RequestPrint>,
+    prints: Vec<RequestFingerprint>,
     /// When the end was found, as it was told first.
     at: Moment,
 }
@@ -110,18 +110,18 @@
 /// A crash breaks off all that ran there, so each end stands against many requests of which one at most is
 /// to blame: the one whose copies end others, too. `docs/design/suspects.md` has the ways that were weighed.
 #[derive(Clone, Debug)]
-pub struct SuspectBook {
+pub struct SuspectRegistry {
     policy: SuspectPolicy,
-    records: HashMap<RequestPrint, SuspectRecord>,
+    records: HashMap<RequestFingerprint, SuspectRecord>,
     /// The requests that ran at each start that ended.
-    by_backend: HashMap<EndedBackend, EndedRuns>,
+    by_backend: HashMap<CrashedInstance, EndedRuns>,
     /// The same starts in the order of their ends.
-    by_moment: BTreeSet<(Moment, EndedBackend)>,
+    by_moment: BTreeSet<(Moment, CrashedInstance)>,
     /// Requests that came to a good end here, with ends under them or none.
     recent: RecentPrints,
 }
 
-impl SuspectBook {
+impl SuspectRegistry {
     /// An empty book.
     pub fn new(policy: SuspectPolicy) -> Self {
         Self {
@@ -129,30 +129,30 @@
             records: HashMap::new(),
             by_backend: HashMap::new(),
             by_moment: BTreeSet::new(),
-            recent: RecentPrints::new(policy.most_prints),
+            recent: RecentPrints::new(policy.max_fingerprints),
         }
     }
 
     /// Notes an end; whether it was not known before.
-    pub fn note_end(&mut self, end: &RunEnd) -> bool {
-        let record = self.records.entry(end.print).or_default();
+    pub fn record_crash(&mut self, end: &BackendCrash) -> bool {
+        let record = self.records.entry(end.fingerprint).or_default();
         if record.ends.iter().any(|(backend, _at)| *backend == end.backend) {
             return false;
         }
         record.ends.push((Arc::clone(&end.backend), end.at));
         let oldest = (record.ends.len() > MOST_ENDS).then(|| record.ends.remove(0).0);
         if let Some(oldest) = oldest {
-            self.unlink(end.print, &oldest);
+            self.unlink(end.fingerprint, &oldest);
         }
         self.link(end);
-        if self.records.len() > self.policy.most_prints {
+        if self.records.len() > self.policy.max_fingerprints {
             self.make_room(end.at);
         }
         true
     }
 
     /// Notes that a copy came to a good end; whether that cleared anything.
-    pub fn note_whole(&mut self, print: RequestPrint, at: Moment) -> bool {
+    pub fn record_success(&mut self, print: RequestFingerprint, at: Moment) -> bool {
         self.recent.note(print);
         let Some(record) = self.records.get_mut(&print) else { return false };
         let cleared = record.in_row().any(|(_backend, ended_at)| *ended_at <= at);
@@ -161,50 +161,55 @@
     }
 
     /// What is done with a copy that comes now.
-    pub fn decide(&self, print: RequestPrint, now: Moment) -> SuspectDecision {
+    pub fn decide(&self, print: RequestFingerprint, now: Moment) -> SuspectDecision {
         let Some(record) = self.records.get(&print) else { return SuspectDecision::Clear };
         let ends = self.count(print, record.in_row());
         let rested = now.since(record.latest());
-        let refused = ends >= self.policy.ends_refused_always
-            || self.weigh(print, record) >= self.policy.ends_refused;
+        let refused = ends >= self.policy.always_refuse_after
+            || self.weigh(print, record) >= self.policy.refuse_after;
         match (refused, ends) {
             (_, 0) => SuspectDecision::Clear,
             (true, ends) if rested < self.policy.refusal_time(ends) => {
                 SuspectDecision::Refused { ends }
             }
-            (true, ends) if rested < self.policy.remembered_for => SuspectDecision::Trial { ends },
-            (false, ends) if rested < self.policy.watched_for => SuspectDecision::Watched { ends },
+            (true, ends) if rested < self.policy.retention => SuspectDecision::Trial { ends },
+            (false, ends) if rested < self.policy.watch_period => SuspectDecision::Watched { ends },
             (true | false, _) => SuspectDecision::Clear,
         }
     }
 
     /// The ends in a row under a request.
-    pub fn ends(&self, print: RequestPrint) -> Vec<RunEnd> {
+    pub fn crashes(&self, print: RequestFingerprint) -> Vec<BackendCrash> {
         let record = self.records.get(&print);
         let ends = record.into_iter().flat_map(SuspectRecord::in_row);
-        ends.map(|(backend, at)| RunEnd { print, backend: Arc::clone(backend), at: *at }).collect()
+        ends.map(|(backend, at)| BackendCrash {
+            fingerprint: print,
+            backend: Arc::clone(backend),
+            at: *at,
+        })
+        .collect()
     }
 
     /// The ends in a row under all requests.
-    pub fn all_ends(&self) -> Vec<RunEnd> {
-        self.records.keys().flat_map(|print| self.ends(*print)).collect()
+    pub fn all_crashes(&self) -> Vec<BackendCrash> {
+        self.records.keys().flat_map(|print| self.crashes(*print)).collect()
     }
 
     /// Whether one more end would have it refused.
-    pub fn is_near_refusal(&self, print: RequestPrint, now: Moment) -> bool {
-        self.decide(print, now).ends() + 1 >= self.policy.ends_refused
+    pub fn is_near_refusal(&self, print: RequestFingerprint, now: Moment) -> bool {
+        self.decide(print, now).ends() + 1 >= self.policy.refuse_after
     }
 
     /// The ends in a row that count against it.
-    fn weigh(&self, print: RequestPrint, record: &SuspectRecord) -> usize {
+    fn weigh(&self, print: RequestFingerprint, record: &SuspectRecord) -> usize {
         let own = record.in_row().count();
         let is_singled = |runs: &EndedRuns| self.most_ends(&runs.prints, Some(print)) < own;
-        let counts = |backend: &EndedBackend| {
+        let counts = |backend: &CrashedInstance| {
             let Some(runs) = self.by_backend.get(backend) else { return true };
-            match self.policy.weight {
-                EndWeight::Each => true,
-                EndWeight::Singled => is_singled(runs),
-                EndWeight::Unexplained => {
+            match self.policy.attribution {
+                CrashAttribution::Each => true,
+                CrashAttribution::Singled => is_singled(runs),
+                CrashAttribution::Unexplained => {
                     is_singled(runs) && !self.has_common_cause(print, own, runs.at)
                 }
             }
@@ -217,8 +222,8 @@
     /// none before.
     fn count<'a>(
         &self,
-        print: RequestPrint,
-        ends: impl Iterator<Item = &'a (EndedBackend, Moment)>,
+        print: RequestFingerprint,
+        ends: impl Iterator<Item = &'a (CrashedInstance, Moment)>,
     ) -> usize {
         if !self.recent.contains(print) {
             return ends.count();
@@ -231,8 +236,8 @@
 
     /// Whether another backend server ended at the same moment, where neither the request ran nor another
     /// one under which as many have ended.
-    fn has_common_cause(&self, print: RequestPrint, own: usize, at: Moment) -> bool {
-        let first = (at.before(SAME_MOMENT), EndedBackend::from(""));
+    fn has_common_cause(&self, print: RequestFingerprint, own: usize, at: Moment) -> bool {
+        let first = (at.before(SAME_MOMENT), CrashedInstance::from(""));
         let last = at + SAME_MOMENT;
         let near = self.by_moment.range(first..).take_while(|(at, _other)| *at <= last);
         let mut others = near.filter_map(|(_at, other)| self.by_backend.get(other));
@@ -242,7 +247,11 @@
     }
 
     /// The most ends in a row under one of these requests, but for one of them.
-    fn most_ends(&self, prints: &[RequestPrint], except: Option<RequestPrint>) -> usize {
+    fn most_ends(
+        &self,
+        prints: &[RequestFingerprint],
+        except: Option<RequestFingerprint>,
+    ) -> usize {
         let others = prints.iter().filter(|other| Some(**other) != except);
         let records = others.filter_map(|other| self.records.get(other));
         records.map(|record| record.in_row().count()).max().unwrap_or_default()
@@ -262,12 +271,12 @@
     }
 
     /// Forgets what stands against nobody any more.
-    pub fn forget(&mut self, now: Moment) {
-        let prints: Vec<RequestPrint> = self.records.keys().copied().collect();
+    pub fn remove_expired(&mut self, now: Moment) {
+        let prints: Vec<RequestFingerprint> = self.records.keys().copied().collect();
         for print in prints {
             // One that came to a good end stays as long: rows of other hosts may still tell of its ends.
             let rested = self.records.get(&print).map(|record| now.since(record.latest()));
-            let is_old = rested.is_none_or(|rested| rested >= self.policy.watched_for);
+            let is_old = rested.is_none_or(|rested| rested >= self.policy.watch_period);
             if is_old && self.decide(print, now) == SuspectDecision::Clear {
                 self.remove(print);
             }
@@ -275,38 +284,38 @@
     }
 
     fn make_room(&mut self, now: Moment) {
-        self.forget(now);
-        let excess = self.records.len().saturating_sub(self.policy.most_prints);
+        self.remove_expired(now);
+        let excess = self.records.len().saturating_sub(self.policy.max_fingerprints);
         if excess == 0 {
             return;
         }
-        let mut order: Vec<(usize, Moment, RequestPrint)> = self
+        let mut order: Vec<(usize, Moment, RequestFingerprint)> = self
             .records
             .iter()
             .map(|(print, record)| (record.in_row().count(), record.latest(), *print))
             .collect();
         order.sort_unstable();
-        let dropped = excess.max(self.policy.most_prints / DROPPED_PART);
+        let dropped = excess.max(self.policy.max_fingerprints / DROPPED_PART);
         for (_ends, _latest, print) in order.into_iter().take(dropped) {
             self.remove(print);
         }
     }
 
-    fn remove(&mut self, print: RequestPrint) {
+    fn remove(&mut self, print: RequestFingerprint) {
         let Some(record) = self.records.remove(&print) else { return };
         for (backend, _at) in &record.ends {
             self.unlink(print, backend);
         }
     }
 
-    fn link(&mut self, end: &RunEnd) {
+    fn link(&mut self, end: &BackendCrash) {
         let new = || EndedRuns { prints: Vec::new(), at: end.at };
         let runs = self.by_backend.entry(Arc::clone(&end.backend)).or_insert_with(new);
-        runs.prints.push(end.print);
+        runs.prints.push(end.fingerprint);
         self.by_moment.insert((runs.at, Arc::clone(&end.backend)));
     }
 
-    fn unlink(&mut self, print: RequestPrint, backend: &EndedBackend) {
+    fn unlink(&mut self, print: RequestFingerprint, backend: &CrashedInstance) {
         let Some(runs) = self.by_backend.get_mut(backend) else { return };
         runs.prints.retain(|other| *other != print);
         if runs.prints.is_empty() {
--- a/crates/dillspool_suspects/src/desk.rs
+++ b/crates/dillspool_suspects/src/desk.rs
@@ -9,33 +9,33 @@
 use dillspool_moment::Moment;
 use tokio::sync::Notify;
 
-use crate::book::{EndedBackend, RunEnd, SuspectBook, SuspectDecision, SuspectNews};
+use crate::book::{BackendCrash, CrashedInstance, SuspectDecision, SuspectRegistry, SuspectUpdate};
 use crate::policy::SuspectPolicy;
-use crate::print::RequestPrint;
+use crate::print::RequestFingerprint;
 use crate::starts::StartNames;
 
 /// News that wait to be told to other hosts at most; the oldest go first.
 const MOST_NEWS: usize = 1024;
 
 struct DeskState {
-    book: SuspectBook,
+    book: SuspectRegistry,
     /// Requests that an operator lets run.
-    lifted: HashSet<RequestPrint>,
+    lifted: HashSet<RequestFingerprint>,
     /// Copies under way on this host.
-    under_way: HashMap<RequestPrint, usize>,
-    news: VecDeque<SuspectNews>,
+    under_way: HashMap<RequestFingerprint, usize>,
+    news: VecDeque<SuspectUpdate>,
     starts: StartNames,
 }
 
 /// Decides on copies of requests, by what this host saw and what others told.
 #[derive(Clone)]
-pub struct SuspectDesk {
+pub struct SuspectTracker {
     state: Arc<Mutex<DeskState>>,
     clock: HostClock,
     changed: Arc<Notify>,
 }
 
-impl fmt::Debug for SuspectDesk {
+impl fmt::Debug for SuspectTracker {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("SuspectDesk")
     }
@@ -56,11 +56,11 @@
     },
 }
 
-impl SuspectDesk {
+impl SuspectTracker {
     /// A desk that knows nothing yet.
     pub fn new(policy: SuspectPolicy, clock: HostClock) -> Self {
         let state = DeskState {
-            book: SuspectBook::new(policy),
+            book: SuspectRegistry::new(policy),
             lifted: HashSet::new(),
             under_way: HashMap::new(),
             news: VecDeque::new(),
@@ -79,7 +79,7 @@
     }
 
     /// Takes the requests that an operator lets run whatever ended under them.
-    pub fn set_lifted(&self, prints: Vec<RequestPrint>) {
+    pub fn set_lifted(&self, prints: Vec<RequestFingerprint>) {
         self.state().lifted = prints.into_iter().collect();
     }
 
@@ -89,17 +89,19 @@
     }
 
     /// Takes the news since the last call.
-    pub fn take_news(&self) -> VecDeque<SuspectNews> {
+    pub fn take_updates(&self) -> VecDeque<SuspectUpdate> {
         std::mem::take(&mut self.state().news)
     }
 
     /// Takes what another host, or this one before it started anew, has told; whether it is news here.
-    pub fn learn(&self, news: &SuspectNews) -> bool {
+    pub fn apply_update(&self, news: &SuspectUpdate) -> bool {
         let now = self.now();
         let mut state = self.state();
         let (print, is_new) = match news {
-            SuspectNews::Ended(end) => (end.print, state.book.note_end(end)),
-            SuspectNews::Whole { print, at } => (*print, state.book.note_whole(*print, *at)),
+            SuspectUpdate::Crashed(end) => (end.fingerprint, state.book.record_crash(end)),
+            SuspectUpdate::Succeeded { fingerprint: print, at } => {
+                (*print, state.book.record_success(*print, *at))
+            }
         };
         let decision = state.book.decide(print, now);
         drop(state);
@@ -114,37 +116,37 @@
     /// What other hosts need to know beside news that came: all ends in a row of a request under which
     /// more than one backend server has ended. A crash stands against all that ran there, and most of
     /// that is of no use to others.
-    pub fn worth_telling(&self, news: &SuspectNews) -> Vec<SuspectNews> {
+    pub fn updates_to_forward(&self, news: &SuspectUpdate) -> Vec<SuspectUpdate> {
         match news {
-            SuspectNews::Whole { .. } => vec![news.clone()],
-            SuspectNews::Ended(end) => {
-                let ends = self.state().book.ends(end.print);
+            SuspectUpdate::Succeeded { .. } => vec![news.clone()],
+            SuspectUpdate::Crashed(end) => {
+                let ends = self.state().book.crashes(end.fingerprint);
                 let known = if ends.len() > 1 { ends } else { Vec::new() };
-                known.into_iter().map(SuspectNews::Ended).collect()
+                known.into_iter().map(SuspectUpdate::Crashed).collect()
             }
         }
     }
 
     /// All ends that stand, the newest `most` of them.
-    pub fn known(&self, most: usize) -> Vec<SuspectNews> {
-        newest(self.state().book.all_ends(), most)
+    pub fn newest_updates(&self, most: usize) -> Vec<SuspectUpdate> {
+        newest(self.state().book.all_crashes(), most)
     }
 
     /// The same of requests under which more than one backend server has ended.
-    pub fn repeated(&self, most: usize) -> Vec<SuspectNews> {
-        let mut ends = self.state().book.all_ends();
-        let mut counts: HashMap<RequestPrint, usize> = HashMap::new();
+    pub fn newest_repeated(&self, most: usize) -> Vec<SuspectUpdate> {
+        let mut ends = self.state().book.all_crashes();
+        let mut counts: HashMap<RequestFingerprint, usize> = HashMap::new();
         for end in &ends {
-            *counts.entry(end.print).or_default() += 1;
+            *counts.entry(end.fingerprint).or_default() += 1;
         }
-        ends.retain(|end| counts.get(&end.print).is_some_and(|count| *count > 1));
+        ends.retain(|end| counts.get(&end.fingerprint).is_some_and(|count| *count > 1));
         newest(ends, most)
     }
 
     /// Forgets what stands against nobody any more.
-    pub fn forget(&self) {
+    pub fn remove_expired(&self) {
         let now = self.now();
-        self.state().book.forget(now);
+        self.state().book.remove_expired(now);
     }
 
     /// Requests that are watched, and those that are refused.
@@ -154,13 +156,13 @@
     }
 
     /// What is known of a request now.
-    pub fn decide(&self, print: RequestPrint) -> SuspectDecision {
+    pub fn decide(&self, print: RequestFingerprint) -> SuspectDecision {
         let now = self.now();
         self.state().decide(print, now)
     }
 
     /// Whether it should be known why a run broke off before the request is sent once more.
-    pub fn should_wait(&self, print: RequestPrint) -> bool {
+    pub fn needs_failure_cause(&self, print: RequestFingerprint) -> bool {
         let now = self.now();
         self.state().book.is_near_refusal(print, now)
     }
@@ -170,7 +172,7 @@
     /// # Errors
     ///
     /// [`CopyRefusal`] when backend servers end under it, or another copy shall show first whether they do.
-    pub fn enter(&self, print: RequestPrint) -> Result<CopyGuard, CopyRefusal> {
+    pub fn admit(&self, print: RequestFingerprint) -> Result<CopyGuard, CopyRefusal> {
         let now = self.now();
         let mut state = self.state();
         let under_way = state.under_way.get(&print).copied().unwrap_or_default();
@@ -189,38 +191,43 @@
     }
 
     /// Notes that a backend server ended under a request that ran there.
-    pub fn note_end(&self, print: RequestPrint, backend: EndedBackend) {
-        self.note_end_at(RunEnd { print, backend, at: self.now() });
+    pub fn record_crash(&self, print: RequestFingerprint, backend: CrashedInstance) {
+        self.note_end_at(BackendCrash { fingerprint: print, backend, at: self.now() });
     }
 
-    fn note_end_at(&self, end: RunEnd) {
-        let print = end.print;
+    fn note_end_at(&self, end: BackendCrash) {
+        let print = end.fingerprint;
         let mut state = self.state();
-        if !state.book.note_end(&end) {
+        if !state.book.record_crash(&end) {
             return;
         }
         let decision = state.book.decide(print, end.at);
-        state.tell(SuspectNews::Ended(end));
+        state.tell(SuspectUpdate::Crashed(end));
         drop(state);
         log_decision(print, decision, "seen");
         self.changed.notify_one();
     }
 
     /// Notes that a backend server ended under a request some time ago, where nothing tells its start.
-    pub fn note_unnamed_end(&self, print: RequestPrint, backend: &str, age: Duration) {
+    pub fn record_unidentified_crash(
+        &self,
+        print: RequestFingerprint,
+        backend: &str,
+        age: Duration,
+    ) {
         let at = self.now().before(age);
         let start = self.state().starts.name(backend, at);
-        self.note_end_at(RunEnd { print, backend: start, at });
+        self.note_end_at(BackendCrash { fingerprint: print, backend: start, at });
     }
 
     /// Notes that a copy came to a good end.
-    pub fn note_whole(&self, print: RequestPrint) {
+    pub fn record_success(&self, print: RequestFingerprint) {
         let at = self.now();
         let mut state = self.state();
-        if !state.book.note_whole(print, at) {
+        if !state.book.record_success(print, at) {
             return;
         }
-        state.tell(SuspectNews::Whole { print, at });
+        state.tell(SuspectUpdate::Succeeded { fingerprint: print, at });
         drop(state);
         log_decision(print, SuspectDecision::Clear, "seen");
         self.changed.notify_one();
@@ -228,14 +235,14 @@
 }
 
 impl DeskState {
-    fn decide(&self, print: RequestPrint, now: Moment) -> SuspectDecision {
+    fn decide(&self, print: RequestFingerprint, now: Moment) -> SuspectDecision {
         if self.lifted.contains(&print) {
             return SuspectDecision::Clear;
         }
         self.book.decide(print, now)
     }
 
-    fn tell(&mut self, news: SuspectNews) {
+    fn tell(&mut self, news: SuspectUpdate) {
         if self.news.len() >= MOST_NEWS {
             self.news.pop_front();
         }
@@ -244,20 +251,20 @@
 }
 
 /// The newest `most` of some ends.
-fn newest(mut ends: Vec<RunEnd>, most: usize) -> Vec<SuspectNews> {
+fn newest(mut ends: Vec<BackendCrash>, most: usize) -> Vec<SuspectUpdate> {
     ends.sort_by_key(|end| std::cmp::Reverse(end.at));
-    ends.into_iter().take(most).map(SuspectNews::Ended).collect()
+    ends.into_iter().take(most).map(SuspectUpdate::Crashed).collect()
 }
 
-fn log_decision(print: RequestPrint, decision: SuspectDecision, from: &str) {
+fn log_decision(print: RequestFingerprint, decision: SuspectDecision, from: &str) {
     log::info!("event=suspect print={print} decision={decision:?} from={from}");
 }
 
 /// A copy that runs here; dropping it ends it.
 #[derive(Debug)]
 pub struct CopyGuard {
-    desk: SuspectDesk,
-    print: RequestPrint,
+    desk: SuspectTracker,
+    print: RequestFingerprint,
 }
 
 impl Drop for CopyGuard {
--- a/crates/dillspool_suspects/src/print.rs
+++ b/crates/dillspool_suspects/src/print.rs
@@ -15,17 +15,17 @@
 /// The fleet's key for prints: without it nobody can tell from a print whether a guessed body is the one
 /// that was sent.
 #[derive(Clone)]
-pub struct PrintKey {
+pub struct FingerprintKey {
     keyed: Hasher,
 }
 
-impl fmt::Debug for PrintKey {
+impl fmt::Debug for FingerprintKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("PrintKey")
     }
 }
 
-impl PrintKey {
+impl FingerprintKey {
     /// A key; all hosts need the same one.
     pub fn new(key: &str) -> Self {
         // The library takes keys of any length and pads or hashes them.
@@ -34,7 +34,7 @@
     }
 }
 
-impl Default for PrintKey {
+impl Default for FingerprintKey {
     fn default() -> Self {
         Self::new("dillspool")
     }
@@ -42,7 +42,7 @@
 
 /// What a print is made of.
 #[derive(Clone, Copy, Debug)]
-pub struct PrintParts<'a> {
+pub struct FingerprintInput<'a> {
     /// Who sent the request, as far as it says so: its workspace.
     pub caller: &'a str,
     /// Its host name, lower case.
@@ -57,11 +57,11 @@
 ///
 /// Two copies of a request have the same print whatever their ids are; the body cannot be read from it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestPrint([u8; PRINT_BYTES]);
+pub struct RequestFingerprint([u8; PRINT_BYTES]);
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// The print of a request.
-    pub fn of(key: &PrintKey, parts: &PrintParts<'_>) -> Self {
+    pub fn of(key: &FingerprintKey, parts: &FingerprintInput<'_>) -> Self {
         let mut hasher = key.keyed.clone();
         for part in [parts.caller.as_bytes(), parts.host.as_bytes(), parts.path.as_bytes()] {
             // The length keeps the end of one part apart from the start of the next.
@@ -76,13 +76,13 @@
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-impl fmt::Debug for RequestPrint {
+impl fmt::Debug for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
@@ -90,26 +90,26 @@
 
 /// A text that is no print.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MalformedPrint;
+pub struct FingerprintError;
 
-impl fmt::Display for MalformedPrint {
+impl fmt::Display for FingerprintError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "a print has {} hexadecimal digits", PRINT_BYTES * 2)
     }
 }
 
-impl std::error::Error for MalformedPrint {}
+impl std::error::Error for FingerprintError {}
 
-impl FromStr for RequestPrint {
-    type Err = MalformedPrint;
+impl FromStr for RequestFingerprint {
+    type Err = FingerprintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut print = [0; PRINT_BYTES];
         if text.len() != PRINT_BYTES * 2 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(MalformedPrint);
+            return Err(FingerprintError);
         }
         for (byte, at) in print.iter_mut().zip((0..).step_by(2)) {
-            *byte = u8::from_str_radix(&text[at..at + 2], 16).map_err(|_error| MalformedPrint)?;
+            *byte = u8::from_str_radix(&text[at..at + 2], 16).map_err(|_error| FingerprintError)?;
         }
         Ok(Self(print))
     }
--- a/crates/dillspool_suspects/src/recent.rs
+++ b/crates/dillspool_suspects/src/recent.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use crate::print::RequestPrint;
+use crate::print::RequestFingerprint;
 
 /// Prints that came to a good end, the newest of them.
 ///
@@ -10,8 +10,8 @@
 /// search for the oldest.
 #[derive(Clone, Debug)]
 pub(crate) struct RecentPrints {
-    newer: HashSet<RequestPrint>,
-    older: HashSet<RequestPrint>,
+    newer: HashSet<RequestFingerprint>,
+    older: HashSet<RequestFingerprint>,
     /// Prints of a set at most.
     most: usize,
 }
@@ -22,14 +22,14 @@
         Self { newer: HashSet::new(), older: HashSet::new(), most }
     }
 
-    pub(crate) fn note(&mut self, print: RequestPrint) {
+    pub(crate) fn note(&mut self, print: RequestFingerprint) {
         if self.newer.len() >= self.most {
             self.older = std::mem::take(&mut self.newer);
         }
         self.newer.insert(print);
     }
 
-    pub(crate) fn contains(&self, print: RequestPrint) -> bool {
+    pub(crate) fn contains(&self, print: RequestFingerprint) -> bool {
         self.newer.contains(&print) || self.older.contains(&print)
     }
 }
--- a/crates/dillspool_suspects/tests/book.rs
+++ b/crates/dillspool_suspects/tests/book.rs
@@ -4,13 +4,13 @@
 
 use dillspool_moment::Moment;
 use dillspool_suspects::{
-    EndedBackend, PrintKey, PrintParts, RequestPrint, RunEnd, SuspectBook, SuspectDecision,
-    SuspectPolicy,
+    BackendCrash, CrashedInstance, FingerprintInput, FingerprintKey, RequestFingerprint,
+    SuspectDecision, SuspectPolicy, SuspectRegistry,
 };
 
-fn print(name: &str) -> RequestPrint {
-    let parts = PrintParts { caller: name, host: "a.example", path: "/x", body: b"body" };
-    RequestPrint::of(&PrintKey::default(), &parts)
+fn print(name: &str) -> RequestFingerprint {
+    let parts = FingerprintInput { caller: name, host: "a.example", path: "/x", body: b"body" };
+    RequestFingerprint::of(&FingerprintKey::default(), &parts)
 }
 
 fn at(seconds: u64) -> Moment {
@@ -223,18 +223,18 @@
     End(10_803, "e6", &["a"]),
 ];
 
-fn play(book: &mut SuspectBook, seen: &[Seen]) {
+fn play(book: &mut SuspectRegistry, seen: &[Seen]) {
     for seen in seen {
         match seen {
             End(seconds, backend, prints) => {
                 for name in *prints {
-                    let backend = EndedBackend::from(*backend);
-                    let end = RunEnd { print: print(name), backend, at: at(*seconds) };
-                    book.note_end(&end);
+                    let backend = CrashedInstance::from(*backend);
+                    let end = BackendCrash { fingerprint: print(name), backend, at: at(*seconds) };
+                    book.record_crash(&end);
                 }
             }
             Whole(seconds, name) => {
-                book.note_whole(print(name), at(*seconds));
+                book.record_success(print(name), at(*seconds));
             }
         }
     }
@@ -243,10 +243,10 @@
 #[test]
 fn copies_are_decided_on_by_what_was_seen() {
     for case in &CASES {
-        let mut book = SuspectBook::new(SuspectPolicy::default());
+        let mut book = SuspectRegistry::new(SuspectPolicy::default());
         play(&mut book, case.seen);
         assert_eq!(book.decide(print("a"), at(case.comes)), case.decision, "{}", case.name);
-        book.forget(at(case.comes));
+        book.remove_expired(at(case.comes));
         assert_eq!(
             book.decide(print("a"), at(case.comes)),
             case.decision,
@@ -259,7 +259,7 @@
 #[test]
 fn the_order_in_which_rows_tell_ends_does_not_matter() {
     for case in CASES.iter().filter(|case| !case.seen.iter().any(|it| matches!(it, Whole(..)))) {
-        let mut book = SuspectBook::new(SuspectPolicy::default());
+        let mut book = SuspectRegistry::new(SuspectPolicy::default());
         for seen in case.seen.iter().rev() {
             play(&mut book, std::slice::from_ref(seen));
         }
@@ -269,13 +269,13 @@
 
 #[test]
 fn a_full_book_keeps_those_with_most_ends() {
-    let policy = SuspectPolicy { most_prints: 64, ..SuspectPolicy::default() };
-    let mut book = SuspectBook::new(policy);
+    let policy = SuspectPolicy { max_fingerprints: 64, ..SuspectPolicy::default() };
+    let mut book = SuspectRegistry::new(policy);
     play(&mut book, &[End(1, "e1", &["a"]), End(2, "e2", &["a"]), End(3, "e3", &["a"])]);
     for number in 0..10_000_u64 {
         let print = print(&number.to_string());
-        let backend = EndedBackend::from(format!("f{}", number / 20));
-        book.note_end(&RunEnd { print, backend, at: at(4 + number / 100) });
+        let backend = CrashedInstance::from(format!("f{}", number / 20));
+        book.record_crash(&BackendCrash { fingerprint: print, backend, at: at(4 + number / 100) });
     }
     assert_eq!(book.decide(print("a"), at(110)), SuspectDecision::Refused { ends: 3 });
     let (watched, refused) = book.counts(at(110));
--- a/crates/dillspool_suspects/tests/desk.rs
+++ b/crates/dillspool_suspects/tests/desk.rs
@@ -4,12 +4,13 @@
 
 use dillspool_io::HostClock;
 use dillspool_suspects::{
-    CopyRefusal, PrintKey, PrintParts, RequestPrint, SuspectDecision, SuspectDesk, SuspectPolicy,
+    CopyRefusal, FingerprintInput, FingerprintKey, RequestFingerprint, SuspectDecision,
+    SuspectPolicy, SuspectTracker,
 };
 
-fn print(name: &str) -> RequestPrint {
-    let parts = PrintParts { caller: name, host: "", path: "/x", body: b"body" };
-    RequestPrint::of(&PrintKey::default(), &parts)
+fn print(name: &str) -> RequestFingerprint {
+    let parts = FingerprintInput { caller: name, host: "", path: "/x", body: b"body" };
+    RequestFingerprint::of(&FingerprintKey::default(), &parts)
 }
 
 struct UnnamedCase {
@@ -43,8 +44,8 @@
     UnnamedCase { name: "nothing", ends: &[], decision: SuspectDecision::Clear },
 ];
 
-fn desk() -> SuspectDesk {
-    SuspectDesk::new(SuspectPolicy::default(), HostClock::steady())
+fn desk() -> SuspectTracker {
+    SuspectTracker::new(SuspectPolicy::default(), HostClock::steady())
 }
 
 #[tokio::test(start_paused = true)]
@@ -53,7 +54,7 @@
         let desk = desk();
         tokio::time::sleep(Duration::from_mins(1)).await;
         for (backend, age_ms) in case.ends {
-            desk.note_unnamed_end(print("a"), backend, Duration::from_millis(*age_ms));
+            desk.record_unidentified_crash(print("a"), backend, Duration::from_millis(*age_ms));
         }
         assert_eq!(desk.decide(print("a")), case.decision, "{}", case.name);
     }
@@ -63,19 +64,19 @@
 async fn one_copy_of_a_suspect_runs_at_a_time() {
     let desk = desk();
     tokio::time::sleep(Duration::from_mins(1)).await;
-    let first = desk.enter(print("a")).expect("nothing is known of it");
-    let second = desk.enter(print("a")).expect("nothing is known of it");
+    let first = desk.admit(print("a")).expect("nothing is known of it");
+    let second = desk.admit(print("a")).expect("nothing is known of it");
     for (backend, age_ms) in [("one", 4000), ("two", 1000)] {
-        desk.note_unnamed_end(print("a"), backend, Duration::from_millis(age_ms));
+        desk.record_unidentified_crash(print("a"), backend, Duration::from_millis(age_ms));
     }
     let refused = CopyRefusal::CopyRuns { ends: 2 };
-    assert_eq!(desk.enter(print("a")).err(), Some(refused));
+    assert_eq!(desk.admit(print("a")).err(), Some(refused));
     drop(first);
-    assert_eq!(desk.enter(print("a")).err(), Some(refused));
+    assert_eq!(desk.admit(print("a")).err(), Some(refused));
     drop(second);
-    let third = desk.enter(print("a")).expect("it runs alone");
-    assert!(desk.enter(print("b")).is_ok(), "another request");
-    desk.note_whole(print("a"));
-    assert!(desk.enter(print("a")).is_ok(), "it came to a good end");
+    let third = desk.admit(print("a")).expect("it runs alone");
+    assert!(desk.admit(print("b")).is_ok(), "another request");
+    desk.record_success(print("a"));
+    assert!(desk.admit(print("a")).is_ok(), "it came to a good end");
     drop(third);
 }
--- a/crates/dillspool_suspects/tests/model.rs
+++ b/crates/dillspool_suspects/tests/model.rs
@@ -11,8 +11,8 @@
 
 use dillspool_moment::Moment;
 use dillspool_suspects::{
-    EndWeight, PrintKey, PrintParts, RequestPrint, RunEnd, SuspectBook, SuspectDecision,
-    SuspectPolicy,
+    BackendCrash, CrashAttribution, FingerprintInput, FingerprintKey, RequestFingerprint,
+    SuspectDecision, SuspectPolicy, SuspectRegistry,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -137,22 +137,22 @@
 
 struct ModelWay {
     name: &'static str,
-    weight: EndWeight,
+    weight: CrashAttribution,
     ends: usize,
 }
 
 const WAYS: [ModelWay; 5] = [
-    ModelWay { name: "each end, 2", weight: EndWeight::Each, ends: 2 },
-    ModelWay { name: "each end, 3", weight: EndWeight::Each, ends: 3 },
-    ModelWay { name: "singled, 2", weight: EndWeight::Singled, ends: 2 },
-    ModelWay { name: "singled, 3", weight: EndWeight::Singled, ends: 3 },
-    ModelWay { name: "unexplained, 3", weight: EndWeight::Unexplained, ends: 3 },
+    ModelWay { name: "each end, 2", weight: CrashAttribution::Each, ends: 2 },
+    ModelWay { name: "each end, 3", weight: CrashAttribution::Each, ends: 3 },
+    ModelWay { name: "singled, 2", weight: CrashAttribution::Singled, ends: 2 },
+    ModelWay { name: "singled, 3", weight: CrashAttribution::Singled, ends: 3 },
+    ModelWay { name: "unexplained, 3", weight: CrashAttribution::Unexplained, ends: 3 },
 ];
 
 /// A copy that runs or will.
 #[derive(Clone, Copy)]
 struct Copy {
-    print: RequestPrint,
+    print: RequestFingerprint,
     left: usize,
     is_deadly: bool,
 }
@@ -179,12 +179,12 @@
     /// A deadly copy ends its engine.
     Kill(Copy, usize),
     /// A copy comes to a good end.
-    Whole(RequestPrint, usize),
+    Whole(RequestFingerprint, usize),
 }
 
 struct Model {
     scenario: ModelScenario,
-    book: SuspectBook,
+    book: SuspectRegistry,
     rng: SmallRng,
     events: BTreeMap<(Duration, u64), Event>,
     next: u64,
@@ -193,9 +193,9 @@
     away: BTreeMap<usize, f64>,
     starts: BTreeMap<usize, usize>,
     prints: u64,
-    refused: BTreeSet<RequestPrint>,
+    refused: BTreeSet<RequestFingerprint>,
     counts: ModelCounts,
-    by_deadly: BTreeMap<RequestPrint, u32>,
+    by_deadly: BTreeMap<RequestFingerprint, u32>,
 }
 
 fn moment(at_s: f64) -> Moment {
@@ -205,13 +205,13 @@
 impl Model {
     fn new(scenario: ModelScenario, way: &ModelWay) -> Self {
         let policy = SuspectPolicy {
-            weight: way.weight,
-            ends_refused: way.ends,
+            attribution: way.weight,
+            refuse_after: way.ends,
             ..SuspectPolicy::default()
         };
         let mut model = Self {
             scenario,
-            book: SuspectBook::new(policy),
+            book: SuspectRegistry::new(policy),
             rng: SmallRng::seed_from_u64(7),
             events: BTreeMap::new(),
             next: 0,
@@ -242,11 +242,11 @@
         self.events.insert((Duration::from_secs_f64(at_s), self.next), event);
     }
 
-    fn print(&mut self) -> RequestPrint {
+    fn print(&mut self) -> RequestFingerprint {
         self.prints += 1;
         let body = self.prints.to_le_bytes();
-        let parts = PrintParts { caller: "", host: "", path: "", body: &body };
-        RequestPrint::of(&PrintKey::default(), &parts)
+        let parts = FingerprintInput { caller: "", host: "", path: "", body: &body };
+        RequestFingerprint::of(&FingerprintKey::default(), &parts)
     }
 
     fn draw(&mut self, below: usize) -> usize {
@@ -295,7 +295,7 @@
                         let before = runs.len();
                         runs.retain(|it| it.print != print);
                         if runs.len() < before {
-                            self.book.note_whole(print, moment(now_s));
+                            self.book.record_success(print, moment(now_s));
                         }
                     }
                 }
@@ -342,9 +342,12 @@
             runs.push(copy);
         }
         for copy in runs {
-            let end =
-                RunEnd { print: copy.print, backend: Arc::clone(&backend), at: moment(now_s) };
-            self.book.note_end(&end);
+            let end = BackendCrash {
+                fingerprint: copy.print,
+                backend: Arc::clone(&backend),
+                at: moment(now_s),
+            };
+            self.book.record_crash(&end);
             self.counts.broken += u32::from(!copy.is_deadly);
             self.come_again(copy, now_s);
         }
--- a/crates/dillspool_suspects/tests/print.rs
+++ b/crates/dillspool_suspects/tests/print.rs
@@ -1,29 +1,29 @@
 //! What makes two requests the same one.
 
-use dillspool_suspects::{MalformedPrint, PrintKey, PrintParts, RequestPrint};
+use dillspool_suspects::{FingerprintError, FingerprintInput, FingerprintKey, RequestFingerprint};
 
-const PARTS: PrintParts<'_> =
-    PrintParts { caller: "caller", host: "a.example", path: "/x/1?y", body: b"body" };
+const PARTS: FingerprintInput<'_> =
+    FingerprintInput { caller: "caller", host: "a.example", path: "/x/1?y", body: b"body" };
 
-fn print(parts: &PrintParts<'_>) -> RequestPrint {
-    RequestPrint::of(&PrintKey::default(), parts)
+fn print(parts: &FingerprintInput<'_>) -> RequestFingerprint {
+    RequestFingerprint::of(&FingerprintKey::default(), parts)
 }
 
 #[test]
 fn a_print_is_of_caller_host_path_and_body() {
     let others = [
-        ("caller", PrintParts { caller: "other", ..PARTS }),
-        ("host", PrintParts { host: "b.example", ..PARTS }),
-        ("path", PrintParts { path: "/x/1", ..PARTS }),
-        ("body", PrintParts { body: b"bodz", ..PARTS }),
-        ("no body", PrintParts { body: b"", ..PARTS }),
-        ("a part moved", PrintParts { caller: "callera.exa", host: "mple", ..PARTS }),
+        ("caller", FingerprintInput { caller: "other", ..PARTS }),
+        ("host", FingerprintInput { host: "b.example", ..PARTS }),
+        ("path", FingerprintInput { path: "/x/1", ..PARTS }),
+        ("body", FingerprintInput { body: b"bodz", ..PARTS }),
+        ("no body", FingerprintInput { body: b"", ..PARTS }),
+        ("a part moved", FingerprintInput { caller: "callera.exa", host: "mple", ..PARTS }),
     ];
     assert_eq!(print(&PARTS), print(&PARTS));
     for (name, other) in others {
         assert_ne!(print(&PARTS), print(&other), "{name}");
     }
-    assert_ne!(print(&PARTS), RequestPrint::of(&PrintKey::new("another key"), &PARTS));
+    assert_ne!(print(&PARTS), RequestFingerprint::of(&FingerprintKey::new("another key"), &PARTS));
 }
 
 #[test]
@@ -33,6 +33,6 @@
     for text in
         ["", "00", "g0000000000000000000000000000000", &"0".repeat(34), "ä".repeat(16).as_str()]
     {
-        assert_eq!(text.parse::<RequestPrint>(), Err(MalformedPrint), "{text}");
+        assert_eq!(text.parse::<RequestFingerprint>(), Err(FingerprintError), "{text}");
     }
 }
