--- a/crates/dillspool_forward/src/generate/preparing.rs
+++ b/crates/dillspool_forward/src/generate/prepare.rs
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 
 use super::{Generation, PreparedSend};
-use crate::broken_run::may_run_again;
-use crate::calls::WorkRank;
+use crate::backend_probe::may_retry;
+use crate::calls::WorkPriority;
 use crate::placement::{Placement, place, placement_request};
 use crate::prefill::{PrefillGuard, prefill};
 use crate::refusal::{Refusal, RefusalCause};
@@ -17,7 +17,7 @@
 use crate::throttle::{
     blocked_backends, pick_with_permit, refusal_if_blocked, wait_until_unblocked,
 };
-use crate::trace::log_budget_empty;
+use crate::trace::log_retry_budget_exhausted;
 
 /// Time without an event after which callers leave: the longest of this, and so many objectives and
 /// pause targets; as the platform's callers do.
@@ -33,7 +33,7 @@
         if self.request.remaining().is_zero() || self.sends >= self.request.route.max_attempts {
             return Err(self.conclude());
         }
-        if self.may_have_run && !may_run_again(&self.context, &self.request, &mut self.look).await {
+        if self.may_have_run && !may_retry(&self.context, &self.request, &mut self.look).await {
             return Err(self.conclude());
         }
         let placing = self.request.clock.timeout_at(self.request.deadline, self.place()).await;
@@ -51,7 +51,7 @@
             self.stages = FirstEventStages { reserved, prefilled, ..FirstEventStages::default() };
         }
         // Its prompt alone may have ended engines.
-        let is_deadly = !may_run_again(&self.context, &self.request, &mut None).await;
+        let is_deadly = !may_retry(&self.context, &self.request, &mut None).await;
         if is_deadly || self.request.remaining().is_zero() {
             return Err(self.conclude());
         }
@@ -69,12 +69,12 @@
 
     /// An answer that is late anyway, as when many callers come back at once, yields to those that
     /// can be in time.
-    fn rank(&self) -> WorkRank {
+    fn rank(&self) -> WorkPriority {
         let under_way = !self.is_before_first_event();
         if self.request.is_past_objective() && !under_way {
-            WorkRank::Late
+            WorkPriority::Late
         } else {
-            WorkRank::Normal
+            WorkPriority::Normal
         }
     }
 
@@ -88,7 +88,7 @@
             self.context.metrics.note_repeated_send();
             return Ok(());
         }
-        log_budget_empty(&self.request, &self.context.budgets);
+        log_retry_budget_exhausted(&self.request, &self.context.budgets);
         Err(self.conclude())
     }
 
@@ -142,7 +142,7 @@
         if let Some((entry, _permit)) = pick_with_permit(context, request, choose).await {
             return Ok(Placement::without_memory(context, entry));
         }
-        let none = Refusal::come_back(RefusalCause::NoBackend, NO_ENGINE_RETRY);
+        let none = Refusal::with_retry_after(RefusalCause::NoBackend, NO_ENGINE_RETRY);
         Err(refusal_if_blocked(context, request).unwrap_or(none))
     }
 }
