--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -133,7 +133,7 @@
         });
     let spent = request.spent_before + request.age();
     let part =
-        context.directory.borrow().subset.as_ref().map(|part| part.of_class(&request.service));
+        context.directory.borrow().subset.as_ref().map(|part| part.for_class(&request.service));
     PlacementRequest {
         class,
         workspace_priority: request.workspace.as_ref().map_or(0, |it| it.priority),
--- a/crates/dillspool_suspects/src/desk.rs
+++ b/crates/dillspool_suspects/src/desk.rs
@@ -215,7 +215,7 @@
         backend: &str,
         age: Duration,
     ) {
-        let at = self.now().before(age);
+        let at = self.now().saturating_sub(age);
         let start = self.state().starts.name(backend, at);
         self.note_end_at(BackendCrash { fingerprint: print, backend: start, at });
     }
