--- a/crates/dillspool_forward/src/backend_probe.rs
+++ b/crates/dillspool_forward/src/backend_probe.rs
@@ -101,7 +101,7 @@
     probe: &mut Option<ProbeHandle>,
 ) -> bool {
     if let Some(probe) = probe.take()
-        && context.suspects.should_wait(request.fingerprint)
+        && context.suspects.needs_failure_cause(request.fingerprint)
     {
         // Its sender is dropped once the look is over.
         let _finished = tokio::time::timeout(PROBE_WAIT, probe.finished).await;
@@ -132,7 +132,7 @@
             }
         };
         if cause == FailureCause::Crashed {
-            context.suspects.note_end(print, entry.instance().label());
+            context.suspects.record_crash(print, entry.instance().label());
         }
         drop(running);
         context.metrics.record_failed_attempt(cause.name());
