--- a/crates/dillspool_forward/src/backend_probe.rs
+++ b/crates/dillspool_forward/src/backend_probe.rs
@@ -1,7 +1,7 @@
-//! Why a run broke off: because its backend server ended, or only its connection.
+//! Determines why an attempt failed: because its backend server crashed, or because only the connection did.
 //!
-//! The break itself does not tell. One that has ended refuses connections at once, or its row shows
-//! another start some seconds later; one whose machine has gone lets its row lapse. See
+//! A broken connection looks the same in both cases. A crashed backend server refuses connections at once, or
+//! its directory row shows a new start some seconds later; if its whole machine is gone, the row expires. See
 //! `docs/design/suspects.md`.
 
 use std::collections::HashMap;
@@ -22,25 +22,25 @@
 use crate::calls::ProbeResult;
 use crate::context::ForwardContext;
 
-/// Time for which the directory is watched for a word on a backend server that does not answer: its row
-/// lapses after three heartbeats of about a second, and one that starts again is listed some seconds later.
+/// How long the directory row of an unresponsive backend server is watched. The row expires after three
+/// missed heartbeats of about a second, and a restarted backend server is listed some seconds later.
 const ROW_WATCH_TIME: Duration = Duration::from_secs(10);
 
-/// Why a run broke off.
+/// Why an attempt failed after the request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum FailureCause {
-    /// Its backend server ended while it ran.
+    /// The backend server crashed during the attempt.
     Crashed,
-    /// Its backend server lives on.
+    /// The backend server is still running.
     Alive,
-    /// Its backend server was known to leave before.
+    /// The backend server was already known to be leaving.
     Leaving,
-    /// It cannot be changed.
+    /// The cause cannot be determined.
     Unknown,
 }
 
 impl FailureCause {
-    /// Name in logs and metrics.
+    /// Value in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Crashed => "ended",
@@ -53,7 +53,7 @@
 
 type SharedProbe = Shared<BoxFuture<ProbeResult>>;
 
-/// Looks at backend servers, one at a time for each start, however many runs broke off there.
+/// Probes of backend servers; all attempts that failed at one instance share a single probe.
 #[derive(Clone, Default)]
 pub struct BackendProbes {
     in_progress: Arc<Mutex<HashMap<BackendInstance, SharedProbe>>>,
@@ -81,11 +81,11 @@
     }
 }
 
-/// Time for which a request that may be sent once more waits for a look at the backend server before. A
-/// machine that answers does so within a round trip; one that does not has gone, or is cut off.
+/// How long a retry waits for the probe of the previous backend server. A reachable machine answers within a
+/// round trip; one that does not is down or partitioned.
 const PROBE_WAIT: Duration = Duration::from_millis(300);
 
-/// A look at the backend server of a run that broke off.
+/// A running probe of the backend server of a failed attempt.
 #[derive(Debug)]
 pub(crate) struct ProbeHandle {
     finished: oneshot::Receiver<()>,
@@ -93,8 +93,8 @@
 
 /// Whether a request that may have run may be sent to another backend server.
 ///
-/// Where one more end would have it refused, the look at the one before is waited for; without that a
-/// request that may go on elsewhere ends one backend server more.
+/// If one more crash would get the request refused, this waits for the probe of the previous backend server.
+/// Otherwise the retry could crash another backend server before the last crash is counted.
 pub(crate) async fn may_retry(
     context: &ForwardContext,
     request: &RoutedRequest,
@@ -103,13 +103,13 @@
     if let Some(probe) = probe.take()
         && context.suspects.needs_failure_cause(request.fingerprint)
     {
-        // Its sender is dropped once the look is over.
+        // The probe drops its sender when it is done.
         let _finished = tokio::time::timeout(PROBE_WAIT, probe.finished).await;
     }
     !matches!(context.suspects.decide(request.fingerprint), SuspectDecision::Refused { .. })
 }
 
-/// Finds out why a run broke off, beside the request; an end of its backend server is held against the
+/// Determines in the background why an attempt failed, and counts a crash of its backend server against the
 /// request.
 pub(crate) fn spawn_failure_probe(
     context: &ForwardContext,
@@ -118,26 +118,26 @@
 ) -> ProbeHandle {
     let (running, finished) = oneshot::channel();
     let (context, entry) = (context.clone(), Arc::clone(entry));
-    // Not the request itself: its body would be kept for as long as the row is watched.
-    let (id, print) = (Name::clone(&request.id), request.fingerprint);
+    // Clones only the id and the fingerprint: the request's body would stay in memory while the row is watched.
+    let (id, fingerprint) = (Name::clone(&request.id), request.fingerprint);
     let tasks = context.tasks.clone();
     tasks.spawn(async move {
         let mut running = Some(running);
         let cause = match probe_backend(&context, &entry).await {
             ProbeVerdict::Known(cause) => cause,
             ProbeVerdict::Undecided(result) => {
-                // The request does not wait for the row.
+                // The request waits for the probe only, not for the directory row.
                 drop(running.take());
                 watch_directory_row(&context, &entry, result).await
             }
         };
         if cause == FailureCause::Crashed {
-            context.suspects.record_crash(print, entry.instance().label());
+            context.suspects.record_crash(fingerprint, entry.instance().label());
         }
         drop(running);
         context.metrics.record_failed_attempt(cause.name());
         log::info!(
-            "event=break_traced id={id} print={print} backend={} start={} found={}",
+            "event=break_traced id={id} print={fingerprint} backend={} start={} found={}",
             entry.id,
             entry.start.map_or(0, |start| start.0),
             cause.name(),
@@ -146,12 +146,12 @@
     ProbeHandle { finished }
 }
 
-/// What a first look says.
+/// Result of the first check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeVerdict {
-    /// All there is to know.
+    /// The cause is known.
     Known(FailureCause),
-    /// What its row shows later decides.
+    /// The directory row decides later.
     Undecided(ProbeResult),
 }
 
@@ -169,7 +169,7 @@
     }
 }
 
-/// Watches the row of a backend server that takes connections, or does not answer.
+/// Watches the directory row of a backend server that accepts connections or does not respond.
 async fn watch_directory_row(
     context: &ForwardContext,
     entry: &Arc<BackendEntry>,
@@ -192,7 +192,7 @@
     }
 }
 
-/// What the directory shows of a backend server.
+/// State of a backend server in the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RowState {
     Ready,
--- a/crates/dillspool_forward/src/calls.rs
+++ b/crates/dillspool_forward/src/calls.rs
@@ -1,4 +1,4 @@
-//! What can be asked of a backend server, as closures that a site's protocol fills.
+//! The calls to backend servers, as closures that a site's protocol implements.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,124 +11,124 @@
 use hyper::{HeaderMap, StatusCode};
 use snafu::Snafu;
 
-/// How a call failed, by what is known of its effect.
+/// How a call failed, by what is known about its effect.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// No connection was made, so nothing ran.
+    /// No connection was established, so nothing ran.
     #[snafu(display("not sent: {reason}"))]
     NotSent {
-        /// What the connection attempt met.
+        /// Error of the connection attempt.
         reason: String,
     },
-    /// The backend server answered that it did not do it.
+    /// The backend server responded that it did not execute the call.
     #[snafu(display("refused with {status}"))]
     Refused {
         /// Status of the refusal.
         status: StatusCode,
     },
-    /// It may have run.
-    #[snafu(display("no proper answer: {reason}"))]
+    /// No valid response arrived; the call may have run.
+    #[snafu(display("no valid response: {reason}"))]
     Lost {
-        /// What was wrong.
+        /// What went wrong.
         reason: String,
     },
 }
 
-/// The result of a prefill, kept at its engine for a short time.
+/// The result of a prefill, which its engine keeps for a short time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrefilledPrompt {
-    /// Engine that keeps it.
+    /// Engine that holds the KV cache.
     pub engine: Arc<BackendEntry>,
-    /// Names it there.
+    /// Handle of the KV cache at that engine.
     pub handle: Name,
     /// Length of the prompt in tokens.
     pub tokens: u64,
 }
 
 impl PrefilledPrompt {
-    /// Where it is fetched from.
+    /// Address that the decode engine fetches it from.
     pub fn address(&self) -> SocketAddr {
         self.engine.address
     }
 }
 
-/// How soon an engine should take up work, relative to other work that waits there.
+/// Priority of work in an engine's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkPriority {
-    /// An answer that can be in time.
+    /// The response can still meet its latency objective.
     Normal,
-    /// An answer that is late whatever happens; it yields to those that can be in time.
+    /// The response misses its objective in any case, so it yields to those that can meet theirs.
     Late,
 }
 
-/// What is said beside the request itself when its prompt is to be read.
+/// Parameters of a prefill beside the request itself.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillParams {
-    /// Time after which the result is of no use.
+    /// Time after which the result is no longer useful.
     pub limit: Duration,
-    /// Its place among the prompts that wait.
+    /// Priority among the queued prompts.
     pub priority: WorkPriority,
 }
 
-/// What is said beside the request itself when it is sent to a backend server.
+/// Parameters of a forwarded request beside the request itself.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardParams {
-    /// Time that the backend server may take.
+    /// Time limit for the backend server.
     pub time_budget: Duration,
-    /// Reservation of memory that the request uses up.
+    /// Memory reservation that the request consumes.
     pub reservation: Option<Name>,
     /// Where the engine fetches the prompt's KV cache.
     pub prefilled: Option<PrefilledPrompt>,
-    /// Last event that the caller has; the stream goes on behind it.
+    /// Last event that the caller received; the stream resumes after it.
     pub resume_after: Option<u64>,
 }
 
-/// How much memory is reserved, and for how long.
+/// Size and lifetime of a memory reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReservationParams {
     /// Tokens to reserve.
     pub tokens: u64,
-    /// Life of the reservation.
+    /// Time after which the reservation expires.
     pub ttl: Duration,
 }
 
-/// A change of the part that an engine plays.
+/// A command that switches an engine to another stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageOrder {
-    /// The new part.
+    /// The new stage.
     pub stage: EngineStage,
-    /// Host that gives the order.
+    /// Host that issues the order as the lease holder.
     pub holder: Name,
-    /// Fencing token; never falls.
+    /// Fencing token, which never decreases.
     pub fence: u64,
 }
 
-/// What an engine answered to an order.
+/// An engine's response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is being carried out.
+    /// The switch has started.
     Started,
-    /// The engine plays that part already.
+    /// The engine already has that stage.
     Holds,
-    /// Another order is under way, or the engine has taken other orders.
+    /// Another switch is in progress, or the engine has accepted other orders.
     Conflict,
-    /// A higher fencing token was seen.
+    /// The engine has seen a higher fencing token.
     Fenced,
 }
 
-/// Head and body of an answer, with what its head proves.
+/// A backend server's response, with the facts that its head proves.
 #[derive(Debug)]
-#[expect(clippy::struct_excessive_bools, reason = "each is one fact of the head")]
+#[expect(clippy::struct_excessive_bools, reason = "each is a separate fact about the head")]
 pub struct BackendResponse {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Headers for the caller.
+    /// Headers to pass to the caller.
     pub headers: HeaderMap,
-    /// Whether the answer names the request it belongs to.
+    /// Whether the response echoes the id of the request.
     pub matches_request_id: bool,
-    /// Whether it carries the backend server's own seal.
+    /// Whether it carries the backend server's own seal, which proves its origin.
     pub is_sealed: bool,
-    /// Whether the body is encoded, though nobody asked for that.
+    /// Whether the body has a content encoding, which no request asks for.
     pub is_encoded: bool,
     /// Whether the backend server says that the request did not run.
     pub did_not_run: bool,
@@ -137,15 +137,16 @@
 }
 
 impl BackendResponse {
-    /// Whether it is a success that this backend server gave to this request.
+    /// Whether it is verifiably this backend server's success response to this request.
     pub fn is_verified_success(&self) -> bool {
         self.status.is_success() && self.matches_request_id && self.is_sealed && !self.is_encoded
     }
 
-    /// Whether it is a failure that may be given to the caller as it is.
+    /// Whether it is verifiably this backend server's failure and may be passed to the caller unchanged.
     pub fn is_verified_failure(&self) -> bool {
-        // A promise that nothing ran must be backed by the backend server's own word.
-        let promises = matches!(
+        // These statuses tell the caller that nothing ran, so they need the backend server's explicit statement
+        // (`did_not_run`).
+        let means_not_run = matches!(
             self.status,
             StatusCode::SERVICE_UNAVAILABLE
                 | StatusCode::TOO_MANY_REQUESTS
@@ -153,18 +154,18 @@
                 | StatusCode::MISDIRECTED_REQUEST
         );
         let failed = self.status.is_client_error() || self.status.is_server_error();
-        failed && !promises && self.matches_request_id && self.is_sealed && !self.is_encoded
+        failed && !means_not_run && self.matches_request_id && self.is_sealed && !self.is_encoded
     }
 }
 
-/// What a look at a backend server found.
+/// Result of a connection probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It takes connections.
+    /// It accepted the connection.
     Reachable,
-    /// Its machine says that nobody takes connections there.
+    /// Its machine refused the connection.
     Refused,
-    /// No answer.
+    /// No response.
     NoResponse,
 }
 
@@ -182,22 +183,22 @@
 
 /// The calls to backend servers.
 ///
-/// Dropping a call closes its connection, which tells the backend server to stop.
+/// Dropping a call's future closes its connection, which tells the backend server to stop.
 #[derive(Clone)]
 pub struct BackendCalls {
-    /// Sends a request and returns once the head of its answer is there.
+    /// Sends a request and returns when the head of its response arrives.
     pub forward: Arc<ForwardFn>,
-    /// Computes and keeps the KV cache of a request's prompt.
+    /// Runs the prefill of a request's prompt and keeps its KV cache.
     pub prefill: Arc<PrefillFn>,
-    /// Reserves memory and a slot.
+    /// Reserves memory and a slot at an engine.
     pub reserve: Arc<ReserveFn>,
-    /// Gives a reservation back.
+    /// Releases a reservation.
     pub release_reservation: Arc<ReleaseFn>,
-    /// Gives a prefill's result up.
+    /// Releases the result of a prefill.
     pub release_prefill: Arc<ReleaseFn>,
-    /// Opens a connection and closes it, to see whether the backend server takes any.
+    /// Opens and closes a connection to check whether the backend server accepts any.
     pub probe: Arc<ProbeFn>,
-    /// Gives an order.
+    /// Orders an engine to switch its stage.
     pub order: Arc<OrderFn>,
 }
 
--- a/crates/dillspool_forward/src/events.rs
+++ b/crates/dillspool_forward/src/events.rs
@@ -1,36 +1,36 @@
-//! Splits the bytes of an event stream into whole events.
+//! Splits the bytes of a server-sent event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is taken, in bytes; one of 64 tokens has some hundred.
+/// Longest event that is accepted. An event of 64 tokens has a few hundred bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// A whole event, with the blank line that ends it.
+/// A complete event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its number, if it carries one.
+    /// Value of its `id` field, if it is a number.
     pub id: Option<u64>,
-    /// Its bytes as they came.
+    /// Its unmodified bytes.
     pub bytes: Bytes,
 }
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 ///
-/// An event that breaks off half-way never leaves the splitter.
+/// An incomplete event is never returned.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes of the buffer that hold no end of an event.
+    /// Number of leading bytes known to contain no end of an event.
     scanned: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         let bytes = self.buffer.split_to(end).freeze();
@@ -38,22 +38,22 @@
         Some(StreamEvent { id: event_id(&bytes), bytes })
     }
 
-    /// Whether no part of an event is left.
+    /// Whether no incomplete event is buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Bytes of the event that is not whole yet.
+    /// Number of buffered bytes.
     pub fn len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether an event is longer than any real one.
+    /// Whether the buffered event exceeds the maximum length.
     pub fn is_too_long(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// End of the first event: a line end followed by an empty line.
+    /// End of the first event: a line followed by an empty line.
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
         let mut at = self.scanned;
--- a/crates/dillspool_forward/src/generate.rs
+++ b/crates/dillspool_forward/src/generate.rs
@@ -1,4 +1,4 @@
-//! Model requests: decode memory first, then the prefill, then the stream.
+//! Handles a model request: reserves decode memory, prefills the prompt, then opens the stream.
 
 mod prepare;
 mod send;
@@ -24,9 +24,10 @@
 use crate::trace::RequestTrace;
 use crate::tried::TriedBackends;
 
-/// When to come back after an engine's refusal of a request that had its memory.
+/// Retry delay for a request that engines refused although they had reserved memory for it.
 const NOT_RUN_RETRY_AFTER_MS: std::ops::Range<u64> = 100..400;
-/// Answers a streaming request.
+
+/// Handles a streaming request.
 pub(crate) async fn handle_stream(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
@@ -42,7 +43,7 @@
             let mut response = Response::new(relay.into_body());
             *response.status_mut() = status;
             *response.headers_mut() = headers;
-            // The stream may go on at another engine, so its length is not the first engine's.
+            // The stream may resume at another engine, so the first engine's length need not apply.
             response.headers_mut().remove(hyper::header::CONTENT_LENGTH);
             Ok(response)
         }
@@ -54,41 +55,41 @@
     }
 }
 
-/// A stream that an engine has begun.
+/// A stream that an engine has opened.
 pub(crate) struct OpenStream {
     pub(crate) entry: Arc<BackendEntry>,
     pub(crate) status: StatusCode,
     pub(crate) body: ResponseBody,
-    /// Whether the engine reads the prompt itself.
+    /// Whether the decode engine prefills the prompt itself.
     pub(crate) read_at_decode: bool,
     ticket: StreamTicket,
 }
 
-/// How opening ended, if not by a refusal.
+/// Result of opening a stream, unless it is refused.
 enum OpenOutcome {
     Stream(OpenStream, HeaderMap),
-    /// An engine's own failure, for the caller.
+    /// An engine's failure response, for the caller.
     Failure(Response<ResponseBody>),
 }
 
-/// A request that a decode engine took.
+/// A request that a decode engine responded to.
 struct AcceptedRequest {
     entry: Arc<BackendEntry>,
     ticket: StreamTicket,
-    /// Whether the engine reads the prompt itself.
+    /// Whether the decode engine prefills the prompt itself.
     read_at_decode: bool,
 }
 
-/// A decode engine with memory and, if there is one, the prefill's result; given back unless
-/// the request is sent there.
+/// A decode engine with reserved memory and the prefill's result, if any. Both are released unless the
+/// request is sent there.
 pub(crate) struct PreparedAttempt {
     placement: Placement,
     prefill: PrefillGuard,
 }
 
-/// One model request and its sends so far.
+/// A model request and the state of its attempts.
 pub(crate) struct ModelRequest {
-    /// Counts among the copies of the request that run here.
+    /// Counts this copy of the request as running.
     _copy: CopyGuard,
     context: ForwardContext,
     pub(crate) request: Arc<RoutedRequest>,
@@ -96,13 +97,13 @@
     prefills: u32,
     tried: TriedBackends,
     may_have_run: bool,
-    /// Finds out why the last run broke off.
+    /// Determines why the last attempt failed.
     probe: Option<ProbeHandle>,
-    /// Until when an answer under way waits for other engines.
+    /// Until when a stream in progress waits for another engine.
     engine_wait_deadline: Option<Instant>,
-    /// How the stream came to its first event.
+    /// Timing of the stages before the first event.
     pub(crate) stages: FirstEventStages,
-    /// Last event that the caller has.
+    /// Last event that the caller received.
     pub(crate) last_event: Option<u64>,
 }
 
@@ -123,29 +124,29 @@
         }
     }
 
-    /// Whether the stream may go on at another engine.
+    /// Whether the stream may be resumed at another engine.
     pub(crate) fn can_resume(&self) -> bool {
         let route = &self.request.route;
         route.resumable && self.attempts < route.max_attempts
     }
 
-    /// Waits for other engines until then, if that is later than before.
+    /// Extends the wait for another engine to `until`, unless it is longer already.
     pub(crate) fn extend_engine_wait(&mut self, until: Instant) {
         self.engine_wait_deadline = self.engine_wait_deadline.max(Some(until));
     }
 
-    /// Prepares another engine while one that is silent still has the stream.
+    /// Prepares another engine while the stalled one still has the stream.
     pub(crate) async fn prepare_replacement(
         &mut self,
-        silent: &BackendEntry,
+        stalled: &BackendEntry,
     ) -> Result<PreparedAttempt, Refusal> {
-        self.tried.push(silent);
+        self.tried.push(stalled);
         let deadline = self.request.clock.wake_at(self.request.deadline);
         self.extend_engine_wait(deadline);
         self.prepare().await
     }
 
-    /// Opens the rest of the stream behind the last event that the caller has.
+    /// Resumes the stream after the last event that the caller received.
     pub(crate) async fn resume(
         &mut self,
         prepared: Option<PreparedAttempt>,
@@ -159,14 +160,14 @@
         }
     }
 
-    /// Ends when a stream is over whatever still comes: at the request's deadline, or once its engine is known
-    /// to have started again, and a moment longer.
+    /// Resolves to the cause when the stream must end even if data still arrives: the request's deadline passed, or
+    /// its engine restarted and the grace period is over.
     pub(crate) fn wait_for_cutoff(&self, entry: &Arc<BackendEntry>) -> BoxFuture<&'static str> {
         let (context, request) = (self.context.clone(), Arc::clone(&self.request));
         let entry = Arc::clone(entry);
         Box::pin(async move {
             tokio::select! {
-                () = request.wait_for_deadline() => "the time limit",
+                () = request.wait_for_deadline() => "the deadline passed",
                 () = context.wait_for_restart(&entry) => RESTARTED_CAUSE,
             }
         })
@@ -176,9 +177,9 @@
         self.context.metrics.record_first_part(after);
     }
 
-    /// Notes a whole answer, with the mean gap between two of its events.
+    /// Records a complete response, with the mean gap between its events.
     pub(crate) fn record_success(&self, open: &mut OpenStream, event_gap: Option<Duration>) {
-        open.ticket.end_whole(event_gap);
+        open.ticket.record_complete(event_gap);
         self.context.suspects.record_success(self.request.fingerprint);
         if open.entry.stage.is_none() {
             self.context.backend_tracker.record_success(&open.entry.instance(), self.request.age());
@@ -192,15 +193,15 @@
         self.tried.push(&open.entry);
     }
 
-    /// A model engine is judged where its pool is scheduled, any other backend server here.
+    /// The pool's scheduler tracks the failures of model engines; those of other backend servers are tracked here.
     fn record_no_response(&self, entry: &BackendEntry, ticket: &StreamTicket, cause: &str) {
         if entry.stage.is_none() {
             self.context.backend_tracker.record_no_response(&entry.instance(), cause);
         }
-        ticket.note_fault(entry, EngineFault::NoResponse);
+        ticket.record_fault(entry, EngineFault::NoResponse);
     }
 
-    /// Opens the stream, at the prepared engine first.
+    /// Opens the stream, first at the prepared engine if there is one.
     async fn open(&mut self, prepared: Option<PreparedAttempt>) -> Result<OpenOutcome, Refusal> {
         let mut next = prepared;
         loop {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// The final answer when no more sends are possible.
+    /// The refusal when no further attempt is possible.
     fn final_refusal(&self) -> Refusal {
         let decision = self.context.suspects.decide(self.request.fingerprint);
         if !self.may_have_run && matches!(decision, SuspectDecision::Refused { .. }) {
--- a/crates/dillspool_forward/src/generate/prepare.rs
+++ b/crates/dillspool_forward/src/generate/prepare.rs
@@ -1,4 +1,4 @@
-//! Before a send: engines with memory, the prompt read, a place in the retry budget.
+//! Prepares an attempt: reserves memory, prefills the prompt, and withdraws from the retry budget.
 
 use std::time::Duration;
 
@@ -19,16 +19,16 @@
 };
 use crate::trace::log_retry_budget_exhausted;
 
-/// Time without an event after which callers leave: the longest of this, and so many objectives and
-/// pause targets; as the platform's callers do.
+/// Callers disconnect after this time without an event, or after the multiples below of their latency
+/// objective or maximum event gap if those are longer. The platform's callers do the same.
 const MIN_CALLER_SILENCE: Duration = Duration::from_secs(2);
 const CALLER_SILENCE_OBJECTIVES: u32 = 4;
 const CALLER_SILENCE_EVENT_GAPS: u32 = 8;
-/// When to come back if no engine is known; directories recover within seconds.
+/// Retry delay when no engine is known; directories recover within seconds.
 const NO_ENGINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl ModelRequest {
-    /// Finds memory and prefills.
+    /// Reserves memory and prefills the prompt.
     pub(super) async fn prepare(&mut self) -> Result<PreparedAttempt, Refusal> {
         if self.request.remaining().is_zero() || self.attempts >= self.request.route.max_attempts {
             return Err(self.final_refusal());
@@ -50,7 +50,7 @@
             let prefilled = self.request.age();
             self.stages = FirstEventStages { reserved, prefilled, ..FirstEventStages::default() };
         }
-        // Its prompt alone may have ended engines.
+        // The prefill alone may have crashed engines.
         let is_deadly = !may_retry(&self.context, &self.request, &mut None).await;
         if is_deadly || self.request.remaining().is_zero() {
             return Err(self.final_refusal());
@@ -58,7 +58,7 @@
         Ok(PreparedAttempt { placement, prefill })
     }
 
-    /// Prefills, if the budget allows it: only the first prefill of a request is not a repeat.
+    /// Prefills the prompt. Every prefill of a request but the first is a retry and needs budget.
     async fn prefill(&mut self, placement: &Placement) -> PrefillGuard {
         if self.prefills > 0 && !self.context.budgets.try_withdraw(&self.request.service) {
             return PrefillGuard::empty(&self.context);
@@ -67,8 +67,8 @@
         prefill(&self.context, &self.request, placement, self.priority()).await
     }
 
-    /// An answer that is late anyway, as when many callers come back at once, yields to those that
-    /// can be in time.
+    /// Requests that miss their objective in any case, as when many callers retry at once, yield to those
+    /// that can meet theirs.
     fn priority(&self) -> WorkPriority {
         let under_way = !self.is_before_first_event();
         if self.request.is_past_objective() && !under_way {
@@ -82,7 +82,7 @@
         self.last_event == self.request.resume_after
     }
 
-    /// Takes a repeated send from the budget of all hosts.
+    /// Withdraws a retry from the retry budget.
     fn withdraw_retry(&self) -> Result<(), Refusal> {
         if self.context.budgets.try_withdraw(&self.request.service) {
             self.context.metrics.record_retry();
@@ -92,20 +92,19 @@
         Err(self.final_refusal())
     }
 
-    /// Finds engines: one that decodes and has reserved memory, and mostly one that prefills.
+    /// Finds a decode engine that reserves memory and usually a prefill engine.
     async fn place(&self) -> Result<Placement, Refusal> {
         let view = self.context.view();
         let mut backends = view.ready(&self.request.service).peekable();
         if backends.peek().is_some() && backends.all(|entry| entry.stage.is_none()) {
             return self.place_without_stages(&view).await;
         }
-        let (class, patience) = (self.class(), self.max_wait());
+        let (class, max_wait) = (self.class(), self.max_wait());
         let placed = loop {
             let mut excluded = self.tried.ids(&view);
             excluded.extend(blocked_backends(&self.context, &self.request));
-            let question =
-                placement_request(&self.context, &self.request, class, patience, &excluded);
-            let placed = place(&self.context, &self.request, question).await;
+            let query = placement_request(&self.context, &self.request, class, max_wait, &excluded);
+            let placed = place(&self.context, &self.request, query).await;
             let is_limited = placed.as_ref().is_err_and(Refusal::is_backends_limited);
             if !is_limited || !Box::pin(wait_until_unblocked(&self.context, &self.request)).await {
                 break placed;
@@ -124,7 +123,7 @@
         }
     }
 
-    /// Longest wait for engines that is of any use: callers leave after some time without an event.
+    /// Longest useful wait for engines: callers disconnect after some time without an event.
     fn max_wait(&self) -> Duration {
         let route = &self.request.route;
         let silence = (route.objective * CALLER_SILENCE_OBJECTIVES).max(MIN_CALLER_SILENCE);
@@ -136,7 +135,7 @@
         })
     }
 
-    /// A service whose backend servers play no parts takes its streams like plain requests.
+    /// Places a stream like a plain request, for services whose backend servers have no stages.
     async fn place_without_stages(&self, view: &DirectoryView) -> Result<Placement, Refusal> {
         let (context, request) = (&self.context, &self.request);
         let choose = || context.picker(view).pick_plain(&request.service, &self.tried);
--- a/crates/dillspool_forward/src/generate/send.rs
+++ b/crates/dillspool_forward/src/generate/send.rs
@@ -1,4 +1,4 @@
-//! A send to the engine that was prepared, and what its answer says.
+//! Sends a request to the prepared engine and handles the head of its response.
 
 use std::iter;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
 use crate::response_body::read_within_budget;
 use crate::trace::log_send_failed;
 
-/// Largest failure body that is passed on, in bytes.
+/// Largest body of a failure response that is relayed.
 const MAX_FAILURE_BODY_BYTES: usize = 1024 * 1024;
 
 impl ModelRequest {
-    /// Sends to the prepared engine; `None` when another one should be prepared.
+    /// Sends the request to the prepared engine; `None` if another engine should be prepared.
     pub(super) async fn send(
         &mut self,
         prepared: PreparedAttempt,
@@ -33,14 +33,14 @@
         }
         let PreparedAttempt { placement, mut prefill } = prepared;
         let Placement { entry, reserved_tokens, mut reservation, ticket, prefill: _ } = placement;
-        let terms = ForwardParams {
+        let params = ForwardParams {
             time_budget: self.request.remaining(),
             reservation: reservation.reservation.clone(),
             prefilled: prefill.prefilled.clone(),
             resume_after: self.last_event,
         };
-        self.log_placed(&entry, reserved_tokens, &terms);
-        let sent = self.forward(&entry, terms).await;
+        self.log_placed(&entry, reserved_tokens, &params);
+        let sent = self.forward(&entry, params).await;
         let read_at_decode = prefill.prefilled.is_none() && entry.stage.is_some();
         if let Err(CallError::NotSent { reason }) = &sent {
             self.record_not_sent(&entry, &ticket, reason);
@@ -50,9 +50,9 @@
         reservation.reservation = None;
         prefill.prefilled = None;
         match sent {
-            Ok(answer) => {
-                let taken = AcceptedRequest { entry, ticket, read_at_decode };
-                self.handle_response_head(taken, answer).await
+            Ok(response) => {
+                let accepted = AcceptedRequest { entry, ticket, read_at_decode };
+                self.handle_response_head(accepted, response).await
             }
             Err(CallError::Refused { status }) => {
                 self.record_refused_reservation(&entry, &ticket, status);
@@ -64,37 +64,40 @@
         }
     }
 
-    /// Whether the engines are as they were when they were prepared, as far as this host knows.
+    /// Whether the prepared engines are still available, as far as this host knows.
     fn is_still_valid(&mut self, prepared: &PreparedAttempt) -> bool {
         let decode = &prepared.placement.entry;
-        // It began to leave, or asked another request of this host for rest, while the prompt was prefilled.
+        // During the prefill the decode engine may have started to leave, or asked this host to back off.
         let is_ready = self.context.ready_entry(&self.request, &decode.id).is_some();
         if !is_ready || self.context.throttle.rests_until(&decode.instance()).is_some() {
             self.tried.push(decode);
             return false;
         }
         let view = self.context.view();
-        let reader = prepared.prefill.prefilled.as_ref().map(|prefilled| &prefilled.engine);
-        let mut engines = iter::once(decode).chain(reader);
+        let prefiller = prepared.prefill.prefilled.as_ref().map(|prefilled| &prefilled.engine);
+        let mut engines = iter::once(decode).chain(prefiller);
         let lost = engines.find(|engine| view.has_restarted(engine));
         if let Some(lost) = lost {
-            // The reservation, or the prompt that was read, is gone with the start before.
+            // The restart lost the reservation or the prefill's result.
             log_send_failed(&self.request, &lost.id, RESTARTED_CAUSE);
         }
         lost.is_none()
     }
 
-    fn log_placed(&self, entry: &BackendEntry, reserved_tokens: u64, terms: &ForwardParams) {
+    fn log_placed(&self, entry: &BackendEntry, reserved_tokens: u64, params: &ForwardParams) {
         let generation = self.request.generation.as_ref();
-        let (prompt, guess) = generation.map_or((0, 0), |terms| {
-            (terms.prompt_tokens, terms.expected_output_tokens.unwrap_or(terms.max_output_tokens))
+        let (prompt, estimate) = generation.map_or((0, 0), |generation| {
+            (
+                generation.prompt_tokens,
+                generation.expected_output_tokens.unwrap_or(generation.max_output_tokens),
+            )
         });
         log::info!(
-            "event=stream_placed id={} backend={} directory={} reserved={reserved_tokens} prompt={prompt} guess={guess} prefill={} after_ms={} resume_after={}",
+            "event=stream_placed id={} backend={} directory={} reserved={reserved_tokens} prompt={prompt} guess={estimate} prefill={} after_ms={} resume_after={}",
             self.request.id,
             entry.id,
             self.context.view().version,
-            terms.prefilled.as_ref().map_or("none", |prefilled| &*prefilled.engine.id),
+            params.prefilled.as_ref().map_or("none", |prefilled| &*prefilled.engine.id),
             self.request.age().as_millis(),
             self.last_event.unwrap_or(0),
         );
@@ -103,52 +106,55 @@
     async fn forward(
         &self,
         entry: &Arc<BackendEntry>,
-        terms: ForwardParams,
+        params: ForwardParams,
     ) -> Result<BackendResponse, CallError> {
         let remaining = self.request.remaining();
         let call =
-            (self.context.calls.forward)(Arc::clone(entry), Arc::clone(&self.request), terms);
+            (self.context.calls.forward)(Arc::clone(entry), Arc::clone(&self.request), params);
         let call = self.context.cancel_on_restart(entry, call);
-        let silent = |MomentPassed| CallError::Lost { reason: format!("silent for {remaining:?}") };
-        self.request.clock.timeout_at(self.request.deadline, call).await.map_err(silent)?
+        let timed_out =
+            |MomentPassed| CallError::Lost { reason: format!("no response within {remaining:?}") };
+        self.request.clock.timeout_at(self.request.deadline, call).await.map_err(timed_out)?
     }
 
     async fn handle_response_head(
         &mut self,
         sent: AcceptedRequest,
-        answer: BackendResponse,
+        response: BackendResponse,
     ) -> Result<Option<OpenOutcome>, Refusal> {
         let AcceptedRequest { entry, ticket, read_at_decode } = sent;
-        if answer.did_not_run {
-            self.record_refused_reservation(&entry, &ticket, answer.status);
+        if response.did_not_run {
+            self.record_refused_reservation(&entry, &ticket, response.status);
             return Ok(None);
         }
-        let (status, headers) = (answer.status, answer.headers.clone());
-        if answer.is_verified_success() {
-            ticket.note(&DeskNote::Started);
+        let (status, headers) = (response.status, response.headers.clone());
+        if response.is_verified_success() {
+            ticket.record(&DeskNote::Started);
             if self.is_before_first_event() {
                 self.stages.opened = self.request.age();
             }
-            let body = answer.body;
+            let body = response.body;
             let open = OpenStream { entry, status, body, read_at_decode, ticket };
             return Ok(Some(OpenOutcome::Stream(open, headers)));
         }
-        if !answer.is_verified_failure() {
-            let cause = format!("status {} without proof of its origin", status.as_u16());
+        if !response.is_verified_failure() {
+            let cause = format!("unverified response with status {}", status.as_u16());
             return self.record_ambiguous(&entry, &ticket, &cause);
         }
         let reading =
-            read_within_budget(&self.request.held_bytes, answer.body, MAX_FAILURE_BODY_BYTES);
+            read_within_budget(&self.request.held_bytes, response.body, MAX_FAILURE_BODY_BYTES);
         match self.request.clock.timeout_at(self.request.deadline, reading).await {
             Ok(Ok(body)) => Ok(Some(self.relay_failure(&entry, &ticket, status, headers, body))),
             Ok(Err(error)) => self.record_ambiguous(&entry, &ticket, &error.to_string()),
-            Err(MomentPassed) => {
-                self.record_ambiguous(&entry, &ticket, "the failure did not come whole")
-            }
+            Err(MomentPassed) => self.record_ambiguous(
+                &entry,
+                &ticket,
+                "the failure response was incomplete at the deadline",
+            ),
         }
     }
 
-    /// An engine's own failure, for the caller.
+    /// An engine's failure response, for the caller.
     fn relay_failure(
         &self,
         entry: &BackendEntry,
@@ -161,7 +167,7 @@
             self.context.backend_tracker.record_failure(&entry.instance());
         }
         if status.is_server_error() {
-            ticket.note_fault(entry, EngineFault::Failed);
+            ticket.record_fault(entry, EngineFault::Failed);
         }
         let mut response = Response::new(dillspool_io::full_body(body));
         *response.status_mut() = status;
@@ -170,7 +176,7 @@
         OpenOutcome::Failure(response)
     }
 
-    /// It may have run: only a stream that can be resumed goes on.
+    /// Records an attempt that may have run; only a resumable stream is retried.
     fn record_ambiguous(
         &mut self,
         entry: &Arc<BackendEntry>,
@@ -184,23 +190,24 @@
         if self.request.route.is_idempotent() { Ok(None) } else { Err(self.final_refusal()) }
     }
 
-    /// Nothing was sent, so another engine may be.
+    /// Records an attempt that was not sent, so another engine may be tried.
     fn record_not_sent(&mut self, entry: &BackendEntry, ticket: &StreamTicket, cause: &str) {
         if entry.stage.is_none() {
             self.context.backend_tracker.record_connect_failure(&entry.instance(), cause);
         }
-        ticket.note_fault(entry, EngineFault::Unreachable);
+        ticket.record_fault(entry, EngineFault::Unreachable);
         self.record_failed_send(entry, cause);
     }
 
-    /// It did not run: an engine that reserves memory and refuses the request changes its part.
+    /// Records a refusal by an engine that had reserved memory; it did not run the request. Such an engine is
+    /// switching its stage.
     fn record_refused_reservation(
         &mut self,
         entry: &BackendEntry,
         ticket: &StreamTicket,
         status: StatusCode,
     ) {
-        ticket.note_fault(entry, EngineFault::ReservedRequestRefused);
+        ticket.record_fault(entry, EngineFault::ReservedRequestRefused);
         self.record_failed_send(entry, &format!("refused with {status}, not run"));
     }
 
--- a/crates/dillspool_forward/src/handle.rs
+++ b/crates/dillspool_forward/src/handle.rs
@@ -1,4 +1,4 @@
-//! From a routed request to the answer, whatever its kind.
+//! Entry point: handles a routed request of any kind.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use crate::trace::{RequestTrace, log_suspect_refused};
 use crate::workspace_limit::spend_workspace_limit;
 
-/// Answers a request; the answer is always final.
+/// Handles a request and returns its final response.
 pub async fn handle_request(
     context: ForwardContext,
     request: RoutedRequest,
@@ -36,29 +36,29 @@
             return refusal.response();
         }
     };
-    let answered = match request.route.kind {
+    let result = match request.route.kind {
         RequestKind::Idempotent | RequestKind::NonIdempotent => {
             match handle_plain(&context, &request, &mut trace).await {
-                Ok(PlainResponse::Complete(answer)) => {
+                Ok(PlainResponse::Complete(response)) => {
                     drop(copy);
-                    let status = answer.status();
+                    let status = response.status();
                     if status.is_success() {
                         trace.answered(status.as_u16());
                     } else {
                         trace.failed(status.as_u16());
                     }
-                    Ok(answer)
+                    Ok(response)
                 }
-                Ok(PlainResponse::Streamed(answer)) => {
-                    Ok(answer.relay(&context, &request, trace, copy))
+                Ok(PlainResponse::Streamed(response)) => {
+                    Ok(response.relay(&context, &request, trace, copy))
                 }
                 Err(refusal) => Err((refusal, trace)),
             }
         }
-        // On the heap, so that plain requests do not take the room of a stream.
+        // Boxed, so that the futures of plain requests do not grow to the size of a stream's.
         RequestKind::Streaming => Box::pin(handle_stream(&context, &request, copy, trace)).await,
     };
-    match answered {
+    match result {
         Ok(response) => response,
         Err((refusal, mut trace)) => {
             if let Some(spent) = spent.filter(|_spent| refusal.cause.did_not_run()) {
@@ -70,15 +70,15 @@
     }
 }
 
-/// Lets a copy of a request run, unless backend servers end under it.
+/// Admits a copy of a request, unless the request is suspected of crashing backend servers.
 ///
-/// A request that crashes what runs it comes again under another id and at any host: where each copy is
-/// taken for a new request, every one of them ends an engine, with all that runs there.
+/// Callers retry a request that crashes its engine under another id and at any host. If each copy were treated
+/// as a new request, each would crash another engine along with everything that runs there.
 fn admit_copy(context: &ForwardContext, request: &RoutedRequest) -> Result<CopyGuard, Refusal> {
     context.suspects.admit(request.fingerprint).map_err(|refused| {
         log_suspect_refused(request, refused);
         match refused {
-            // No time to come back: whenever it comes, it is not run.
+            // No Retry-After: a retry would be refused at any time.
             CopyRefusal::Deadly { .. } => Refusal::new(RefusalCause::Deadly),
             CopyRefusal::CopyRuns { .. } => {
                 Refusal::with_retry_after(RefusalCause::CopyRuns, COPY_RETRY_DELAY)
--- a/crates/dillspool_forward/src/lib.rs
+++ b/crates/dillspool_forward/src/lib.rs
@@ -1,8 +1,8 @@
-//! The path of a request to its backend server and of the answer back.
+//! Forwards requests to backend servers and relays their responses.
 //!
 //! Plain requests go to one backend server of their service. Model requests reserve decode
-//! memory, are prefilled, and are streamed event by event. What may be sent again, and when,
-//! is decided here and nowhere else; `docs/design/platform_site.md` has the reasons.
+//! memory, are prefilled, and are streamed event by event. All retry decisions are made in this
+//! crate; `docs/design/platform_site.md` has the reasons.
 
 mod backend_probe;
 mod backend_tracker;
--- a/crates/dillspool_forward/src/metrics.rs
+++ b/crates/dillspool_forward/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a host counts of the requests that it forwards.
+//! Metrics of the requests that a host forwards.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
-/// A route and how its request ended.
+/// Labels of a finished request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OutcomeLabels {
-    /// Name of the route; empty when none was found.
+    /// Name of the route, or empty if none matched.
     pub route: Name,
     /// `answered`, `failed`, `refused`, `broken` or `caller_gone`.
     pub outcome: &'static str,
-    /// Cause of a refusal, empty otherwise.
+    /// Cause of a refusal, or empty.
     pub cause: &'static str,
 }
 
@@ -29,10 +29,10 @@
     }
 }
 
-/// What became of the backend server of a run that broke off.
+/// Labels of a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct FailureLabels {
-    /// `ended`, `lives`, `leaving` or `unclear`.
+    /// State of its backend server: `ended`, `lives`, `leaving` or `unclear`.
     found: &'static str,
 }
 
@@ -48,7 +48,7 @@
     requests: Family<OutcomeLabels, Counter>,
     in_flight: Gauge,
     first_part: Histogram,
-    whole: Histogram,
+    duration: Histogram,
     retries: Counter,
     prefills: Counter,
     prefill_time: Histogram,
@@ -60,13 +60,13 @@
 
 impl Default for ForwardMetrics {
     fn default() -> Self {
-        // 5 ms to 10 s in steps of a factor 1.6.
+        // 5 ms to about 9 s, each bucket 1.6 times the one before.
         let buckets = || exponential_buckets(0.005, 1.6, 17);
         Self {
             requests: Family::default(),
             in_flight: Gauge::default(),
             first_part: Histogram::new(buckets()),
-            whole: Histogram::new(buckets()),
+            duration: Histogram::new(buckets()),
             retries: Counter::default(),
             prefills: Counter::default(),
             prefill_time: Histogram::new(buckets()),
@@ -79,7 +79,7 @@
 }
 
 impl ForwardMetrics {
-    /// Registers all stats.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("forward_requests", "Requests by outcome", self.requests.clone());
         registry.register("forward_in_flight", "Requests in flight", self.in_flight.clone());
@@ -93,7 +93,7 @@
             "forward_whole",
             "Time to the end of an answer",
             Unit::Seconds,
-            self.whole.clone(),
+            self.duration.clone(),
         );
         registry.register(
             "forward_repeated_sends",
@@ -133,10 +133,10 @@
         self.in_flight.inc();
     }
 
-    pub(crate) fn record_end(&self, labels: &OutcomeLabels, lasted: Duration) {
+    pub(crate) fn record_end(&self, labels: &OutcomeLabels, elapsed: Duration) {
         self.in_flight.dec();
         if labels.outcome == "answered" {
-            self.whole.observe(lasted.as_secs_f64());
+            self.duration.observe(elapsed.as_secs_f64());
         }
         self.requests.get_or_create(labels).inc();
     }
--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -1,7 +1,7 @@
-//! From a decision to engines that have taken it: memory at a decode engine, or another decision.
+//! Places model requests: asks the scheduler for engines and reserves memory at the decode engine.
 //!
-//! A reservation is kept at its engine for as long as the request runs there, whatever of it the
-//! answer has grown into. `docs/design/admission.md` has the reasons for its size.
+//! A reservation keeps its size for as long as the request runs at the engine, however much of it the
+//! response has filled. `docs/design/admission.md` has the reasons for its size.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,14 +23,13 @@
 };
 use crate::trace::log_placement_rejected;
 
-/// Life of a reservation: a prefill, its move and the first event take well under a second, and
-/// a longer one keeps memory from others.
+/// Lifetime of a reservation. A prefill, its KV transfer and the first event take well under a second,
+/// and a longer lifetime would block memory for other requests.
 const RESERVATION_TTL: Duration = Duration::from_secs(2);
-/// When to come back if a pool is not known yet; directories and configurations come within
-/// seconds.
+/// Retry delay when a pool is not known yet; directories and configurations arrive within seconds.
 const UNKNOWN_POOL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Memory reserved at an engine, given back unless it was used.
+/// Memory reserved at an engine; dropping it releases the reservation unless a request used it.
 pub(crate) struct ReservationGuard {
     context: ForwardContext,
     entry: Arc<BackendEntry>,
@@ -38,7 +37,7 @@
 }
 
 impl ReservationGuard {
-    /// For a backend server that reserves nothing.
+    /// A guard without a reservation, for backend servers that have no memory to reserve.
     pub(crate) fn empty(context: &ForwardContext, entry: &Arc<BackendEntry>) -> Self {
         Self { context: context.clone(), entry: Arc::clone(entry), reservation: None }
     }
@@ -54,7 +53,7 @@
             (self.context.calls.release_reservation)(Arc::clone(&self.entry), reservation);
         let id = BackendId::clone(&self.entry.id);
         self.context.tasks.spawn(async move {
-            // A reservation that is not given back lapses by itself.
+            // A reservation that is not released expires.
             if let Err(error) = release.await {
                 log::debug!("event=hold_not_released backend={id} cause=\"{error}\"");
             }
@@ -62,19 +61,19 @@
     }
 }
 
-/// A decode engine with memory for the request.
+/// A decode engine that reserved memory for the request.
 pub(crate) struct Placement {
     pub(crate) entry: Arc<BackendEntry>,
-    /// Tokens reserved there; 0 at a backend server that reserves nothing.
+    /// Reserved tokens; 0 at a backend server without reservations.
     pub(crate) reserved_tokens: u64,
-    /// Engine that reads the prompt; `None` when the decode engine does.
+    /// Engine that prefills the prompt; `None` if the decode engine does.
     pub(crate) prefill: Option<Name>,
     pub(crate) reservation: ReservationGuard,
     pub(crate) ticket: StreamTicket,
 }
 
 impl Placement {
-    /// At a backend server that plays no part and reserves nothing.
+    /// A placement at a backend server without a stage, which reserves no memory.
     pub(crate) fn without_reservation(context: &ForwardContext, entry: Arc<BackendEntry>) -> Self {
         let reservation = ReservationGuard::empty(context, &entry);
         let load = context.backend_tracker.track_request(&entry.instance());
@@ -83,105 +82,105 @@
     }
 }
 
-/// An answer's place in the books, until it has ended.
+/// Accounts for a stream at the scheduler or in the load of its backend server, until it ends.
 pub(crate) struct StreamTicket {
-    /// `None` at a backend server that plays no part.
+    /// `None` at a backend server without a stage.
     schedule: Option<PlacementTicket>,
     _load: Option<LoadGuard>,
 }
 
 impl StreamTicket {
-    /// Tells what became of the request at its engines.
-    pub(crate) fn note(&self, note: &DeskNote) {
+    /// Reports an event of the request to the scheduler.
+    pub(crate) fn record(&self, note: &DeskNote) {
         if let Some(schedule) = &self.schedule {
             schedule.note(note);
         }
     }
 
-    /// Tells that an engine did other than expected.
-    pub(crate) fn note_fault(&self, engine: &BackendEntry, fault: EngineFault) {
-        self.note(&DeskNote::Fault { engine: engine.instance(), fault });
+    /// Reports a fault of an engine to the scheduler.
+    pub(crate) fn record_fault(&self, engine: &BackendEntry, fault: EngineFault) {
+        self.record(&DeskNote::Fault { engine: engine.instance(), fault });
     }
 
     /// Asks for another prefill engine.
-    pub(crate) async fn ask_prefill(&self, request: &PlacementRequest) -> Option<Name> {
+    pub(crate) async fn choose_prefill(&self, request: &PlacementRequest) -> Option<Name> {
         self.schedule.as_ref()?.ask_prefill(request).await
     }
 
-    /// Tells that the answer is whole.
-    pub(crate) fn end_whole(&mut self, event_gap: Option<Duration>) {
+    /// Reports to the scheduler that the response is complete.
+    pub(crate) fn record_complete(&mut self, event_gap: Option<Duration>) {
         if let Some(schedule) = &mut self.schedule {
             schedule.end(StreamEnd { is_complete: true, event_gap });
         }
     }
 }
 
-/// What is asked of the planner for a request as it stands now.
+/// The scheduler's input for a request in its current state.
 pub(crate) fn placement_request(
     context: &ForwardContext,
     request: &RoutedRequest,
     class: WorkClass,
-    patience: Duration,
+    max_wait: Duration,
     excluded: &[BackendId],
 ) -> PlacementRequest {
-    let (prompt_tokens, guess_tokens, most_tokens) =
-        request.generation.as_ref().map_or((0, 0, 0), |terms| {
-            let guess = terms
+    let (prompt_tokens, estimated_tokens, max_tokens) =
+        request.generation.as_ref().map_or((0, 0, 0), |generation| {
+            let estimate = generation
                 .expected_output_tokens
-                .unwrap_or(terms.max_output_tokens)
-                .min(terms.max_output_tokens);
-            (terms.prompt_tokens, guess, terms.max_output_tokens)
+                .unwrap_or(generation.max_output_tokens)
+                .min(generation.max_output_tokens);
+            (generation.prompt_tokens, estimate, generation.max_output_tokens)
         });
     let spent = request.spent_before + request.age();
-    let part =
-        context.directory.borrow().subset.as_ref().map(|part| part.for_class(&request.service));
+    let subset =
+        context.directory.borrow().subset.as_ref().map(|subset| subset.for_class(&request.service));
     PlacementRequest {
         class,
         workspace_priority: request.workspace.as_ref().map_or(0, |it| it.priority),
         priority: request.route.priority,
         failure_domain: Name::clone(&context.failure_domain),
         prompt_tokens,
-        estimated_tokens: guess_tokens,
-        max_tokens: most_tokens,
+        estimated_tokens,
+        max_tokens,
         objective_left: request.route.objective.saturating_sub(spent),
-        max_wait: patience.min(request.remaining()),
+        max_wait: max_wait.min(request.remaining()),
         time_left: request.remaining(),
         max_event_gap: request.route.max_event_gap,
         excluded: excluded.to_vec(),
         refusals: 0,
-        subset: part,
+        subset,
     }
 }
 
-/// What became of a decision for an engine.
+/// Result of trying an engine that the scheduler chose.
 enum PlacementAttempt {
-    /// It has reserved memory.
+    /// The engine reserved memory.
     Reserved(Arc<BackendEntry>, Name),
-    /// It has none, or does not answer.
+    /// The engine has no memory, or does not respond.
     Refused,
-    /// What it takes is spent, so it was not asked.
+    /// The engine is blocked by its rate limit or backoff, so it was not asked.
     Blocked,
-    /// It takes no new requests as far as this host knows.
+    /// The engine accepts no new requests, as far as this host knows.
     Unavailable,
 }
 
-/// Finds engines for a request: asks where it runs and reserves memory there, once more where an
-/// engine has none after all.
+/// Finds engines for a request: asks the scheduler for a placement and reserves memory there, and asks
+/// again if the engine turns out to have none.
 pub(crate) async fn place(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
-    mut question: PlacementRequest,
+    mut query: PlacementRequest,
 ) -> Result<Placement, Refusal> {
     let ticket = context.schedule.open(&request.service);
-    let class = question.class;
+    let class = query.class;
     let mut blocked = 0;
     loop {
-        let decided = ticket.ask(&question).await;
-        let placement = match decided {
+        let decision = ticket.ask(&query).await;
+        let placement = match decision {
             Some(PlacementDecision::Place(placement)) => placement,
-            Some(PlacementDecision::Reject { cause, retry_after: come_back }) => {
-                log_placement_rejected(context, request, &question, cause, come_back);
-                return Err(placement_refusal(context, request, cause, come_back));
+            Some(PlacementDecision::Reject { cause, retry_after }) => {
+                log_placement_rejected(context, request, &query, cause, retry_after);
+                return Err(placement_refusal(context, request, cause, retry_after));
             }
             Some(PlacementDecision::Wait) | None => {
                 return Err(Refusal::with_retry_after(
@@ -190,19 +189,19 @@
                 ));
             }
         };
-        let mut refusals = question.refusals + 1;
+        let mut refusals = query.refusals + 1;
         match try_place(context, request, &ticket, &placement).await {
             PlacementAttempt::Reserved(entry, reservation) => {
                 return Ok(build_placement(context, entry, placement, reservation, ticket));
             }
             PlacementAttempt::Refused => {}
             PlacementAttempt::Blocked => {
-                refusals = question.refusals;
-                question.excluded.push(Name::clone(&placement.decode_engine));
+                refusals = query.refusals;
+                query.excluded.push(Name::clone(&placement.decode_engine));
                 blocked += 1;
             }
             PlacementAttempt::Unavailable => {
-                question.excluded.push(Name::clone(&placement.decode_engine))
+                query.excluded.push(Name::clone(&placement.decode_engine));
             }
         }
         if blocked >= MAX_BLOCKED_BACKENDS
@@ -210,16 +209,15 @@
         {
             return Err(refusal);
         }
-        let fresh =
-            placement_request(context, request, class, question.max_wait, &question.excluded);
-        question = PlacementRequest { refusals, ..fresh };
+        let fresh = placement_request(context, request, class, query.max_wait, &query.excluded);
+        query = PlacementRequest { refusals, ..fresh };
         if request.remaining().is_zero() {
             return Err(Refusal::new(RefusalCause::TooLateNotRun));
         }
     }
 }
 
-/// Asks the engine that was decided on.
+/// Tries to reserve memory at the engine that the scheduler chose.
 async fn try_place(
     context: &ForwardContext,
     request: &RoutedRequest,
@@ -259,16 +257,17 @@
     Placement { entry, reserved_tokens, prefill: placement.prefill_engine, reservation, ticket }
 }
 
-/// The refusal of a request for which there is no engine; where some are closed, until those take requests.
+/// The refusal of a request without a placement. If engines are blocked, its retry delay says when they accept
+/// requests again.
 fn placement_refusal(
     context: &ForwardContext,
     request: &RoutedRequest,
     cause: PlacementRejection,
-    come_back: Duration,
+    retry_after: Duration,
 ) -> Refusal {
     let blocked =
         (cause == PlacementRejection::NoEngine).then(|| refusal_if_blocked(context, request));
-    blocked.flatten().unwrap_or(Refusal::with_retry_after(refusal_cause(cause), come_back))
+    blocked.flatten().unwrap_or(Refusal::with_retry_after(refusal_cause(cause), retry_after))
 }
 
 fn refusal_cause(cause: PlacementRejection) -> RefusalCause {
@@ -280,7 +279,7 @@
     }
 }
 
-/// Asks one engine for memory.
+/// Reserves memory at one engine.
 async fn reserve(
     context: &ForwardContext,
     request: &RoutedRequest,
@@ -288,8 +287,8 @@
     entry: &Arc<BackendEntry>,
     placement: &StreamPlacement,
 ) -> Result<Name, CallError> {
-    let terms = ReservationParams { tokens: placement.reserve_tokens, ttl: RESERVATION_TTL };
-    let error = match (context.calls.reserve)(Arc::clone(entry), terms).await {
+    let params = ReservationParams { tokens: placement.reserve_tokens, ttl: RESERVATION_TTL };
+    let error = match (context.calls.reserve)(Arc::clone(entry), params).await {
         Ok(reservation) => return Ok(reservation),
         Err(error) => error,
     };
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefills: at which engine, and what becomes of a result that is not used.
+//! Prefills prompts: chooses the engine, retries, and releases unused results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,20 +19,19 @@
 };
 use crate::trace::log_retry_budget_exhausted;
 
-/// Longest wait for a prefill; its engine queues prompts one after another. One that is given up
-/// may be read for nothing, at nearly the worth of its answer.
+/// Longest wait for a prefill; an engine processes its queued prompts one after another. The engine may
+/// still compute an abandoned prefill, which wastes nearly as much work as its response is worth.
 const PREFILL_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Age of a request from which no other engine is asked after a failed prefill; the first event
-/// would be late then.
+/// Request age from which a failed prefill is not retried, since the first event would be late.
 const MAX_AGE_FOR_RETRY: Duration = Duration::from_millis(700);
-/// A prefill's result, given up unless it was used.
+/// The result of a prefill; dropping it releases the result unless it was used.
 pub(crate) struct PrefillGuard {
     context: ForwardContext,
     pub(crate) prefilled: Option<PrefilledPrompt>,
 }
 
 impl PrefillGuard {
-    /// No result: the decode engine reads the prompt itself.
+    /// No result: the decode engine prefills the prompt itself.
     pub(crate) fn empty(context: &ForwardContext) -> Self {
         Self { context: context.clone(), prefilled: None }
     }
@@ -55,8 +54,8 @@
     }
 }
 
-/// Prefills at the engine that was decided on; without a result the decode engine prefills itself,
-/// which holds up the streams that run there.
+/// Prefills the prompt at the scheduled engine. If that fails, the decode engine prefills it itself, which
+/// delays the streams that run there.
 pub(crate) async fn prefill(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
@@ -66,12 +65,12 @@
     let mut guard = PrefillGuard::empty(context);
     guard.prefilled = try_prefill_engines(context, request, placement, priority).await;
     if guard.prefilled.is_none() && placement.prefill.is_some() {
-        placement.ticket.note(&DeskNote::ReadsItself);
+        placement.ticket.record(&DeskNote::ReadsItself);
     }
     guard
 }
 
-/// A prefill's result, of the engine that was decided on or, where that failed, of another one.
+/// The prefill's result from the scheduled engine or, if that fails, from another one.
 async fn try_prefill_engines(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
@@ -102,7 +101,7 @@
         let error = match request_prefill(context, request, &entry, priority).await {
             Ok(prefilled) => {
                 permit.release();
-                placement.ticket.note(&DeskNote::Prefilled { took: started.elapsed() });
+                placement.ticket.record(&DeskNote::Prefilled { took: started.elapsed() });
                 return Some(prefilled);
             }
             Err(error) => error,
@@ -113,7 +112,7 @@
             entry.id,
             request.age().as_millis(),
         );
-        placement.ticket.note_fault(&entry, prefill_fault(&error));
+        placement.ticket.record_fault(&entry, prefill_fault(&error));
         if matches!(error, CallError::NotSent { .. }) {
             send.refund();
         }
@@ -131,7 +130,7 @@
     None
 }
 
-/// Another prefill engine than those that were tried.
+/// Asks the scheduler for a prefill engine that was not tried yet.
 async fn next_prefill_engine(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
@@ -140,8 +139,8 @@
     tried: &[BackendId],
 ) -> Option<BackendId> {
     let class = if priority == WorkPriority::Late { WorkClass::Late } else { WorkClass::InTime };
-    let question = placement_request(context, request, class, request.remaining(), tried);
-    placement.ticket.ask_prefill(&question).await
+    let query = placement_request(context, request, class, request.remaining(), tried);
+    placement.ticket.choose_prefill(&query).await
 }
 
 fn prefill_fault(error: &CallError) -> EngineFault {
@@ -152,7 +151,7 @@
     }
 }
 
-/// Asks one engine for a prefill.
+/// Requests a prefill from one engine.
 async fn request_prefill(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
@@ -161,18 +160,19 @@
 ) -> Result<PrefilledPrompt, CallError> {
     context.metrics.record_prefill();
     let limit = request.remaining().min(PREFILL_TIMEOUT);
-    let terms = PrefillParams { limit, priority };
-    let call = (context.calls.prefill)(Arc::clone(entry), Arc::clone(request), terms);
+    let params = PrefillParams { limit, priority };
+    let call = (context.calls.prefill)(Arc::clone(entry), Arc::clone(request), params);
     let call = context.cancel_on_restart(entry, call);
     let started = Instant::now();
     let ended = request.clock.timeout(limit, call).await;
     let took = started.elapsed();
     context.metrics.record_prefill_duration(took);
-    let silent = |MomentPassed| CallError::Lost { reason: format!("no prefill within {limit:?}") };
-    ended.map_err(silent)?
+    let timed_out =
+        |MomentPassed| CallError::Lost { reason: format!("no prefill within {limit:?}") };
+    ended.map_err(timed_out)?
 }
 
-/// Settles the budget of a failed prefill and tells whether another engine may be asked.
+/// Settles the retry budget of a failed prefill and returns whether another engine may be tried.
 fn settle_failed_prefill(
     context: &ForwardContext,
     request: &RoutedRequest,
@@ -190,7 +190,7 @@
             in_time
         }
         CallError::Lost { .. } => {
-            // One of the two counts: this call if it was refused, else the next one.
+            // Only one retry is charged: the next prefill if it is allowed, otherwise this one.
             let again = in_time && context.budgets.try_withdraw(&request.service);
             if again {
                 permit.release();
--- a/crates/dillspool_forward/src/reader.rs
+++ b/crates/dillspool_forward/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads whole events from an engine's stream and checks their order.
+//! Reads complete events from an engine's stream and checks their order.
 
 use std::pin::pin;
 
@@ -11,35 +11,35 @@
 use crate::events::EventSplitter;
 use crate::generate::OpenStream;
 
-/// What was read from the engine.
+/// What a read of an engine's stream returned.
 #[derive(Debug)]
 pub(crate) enum ReadPart {
-    /// Whole events in order, and how many.
+    /// Complete events in order, and their number.
     Events(Bytes, u64),
-    /// The stream ended behind a whole event.
+    /// The stream ended after a complete event.
     End,
-    /// The stream cannot be used any further.
+    /// The stream is unusable, for this cause.
     Broken(String),
 }
 
-/// An engine's stream with what was read of it.
+/// An engine's stream with its read state.
 pub(crate) struct StreamReader {
     pub(crate) open: OpenStream,
     splitter: EventSplitter,
-    /// Last whole event that was read, of this stream or of the one before it.
+    /// Last complete event that was read, from this stream or the one it resumes.
     pub(crate) last_event: Option<u64>,
-    /// When the last whole event came, or the stream was opened.
+    /// When the last complete event arrived, or the stream was opened.
     pub(crate) last_at: Instant,
-    /// Ends with the cause for which the stream is over, whatever still comes. One for all events, since each
-    /// would set up its timer and its watches anew.
+    /// Resolves to the cause when the stream must end even if data still arrives. Shared by all reads, so that
+    /// they don't set up its timer and watches again.
     cutoff: BoxFuture<&'static str>,
     held: ExchangeBytes,
-    /// Charges the part of an event that has come.
+    /// Byte budget charge for the incomplete event.
     partial: ByteGuard,
 }
 
 impl StreamReader {
-    /// Reads a stream that goes on behind `last_event`.
+    /// A reader of a stream that continues after `last_event`.
     pub(crate) fn new(
         open: OpenStream,
         last_event: Option<u64>,
@@ -51,18 +51,18 @@
         Self { open, splitter, last_event, last_at, cutoff, held, partial }
     }
 
-    /// The caller takes events again. Where it may pause the stream, the silence that its pause caused is
-    /// not the engine's.
+    /// Restarts stall detection when the caller reads again. With a byte budget the caller can pause the stream,
+    /// and that pause must not count as the engine's.
     pub(crate) fn reset_stall_timer(&mut self) {
         if self.held.terms().is_some() {
             self.last_at = Instant::now();
         }
     }
 
-    /// Reads until at least one event is whole; `None` if nothing came until `until`, and the stream is as
-    /// good as before.
+    /// Reads until at least one event is complete. Returns `None` if nothing arrived by `until`; the stream stays
+    /// usable.
     ///
-    /// Dropping the future loses nothing that was read.
+    /// Cancel-safe: dropping the future loses no data.
     pub(crate) async fn read(&mut self, until: Option<Instant>) -> Option<ReadPart> {
         let timer = async {
             match until {
@@ -90,17 +90,17 @@
         }
     }
 
-    /// Takes what came; `None` while no event is whole.
+    /// Processes a frame; `None` while no event is complete.
     fn handle_frame(&mut self, frame: Option<Result<Frame<Bytes>, BoxError>>) -> Option<ReadPart> {
         let frame = match frame {
             Some(Ok(frame)) => frame,
             Some(Err(error)) => return Some(ReadPart::Broken(error.to_string())),
             None if self.splitter.is_empty() => return Some(ReadPart::End),
-            None => return Some(ReadPart::Broken("it ended within an event".to_owned())),
+            None => return Some(ReadPart::Broken("the stream ended within an event".to_owned())),
         };
         self.splitter.push(&frame.into_data().ok()?);
         if self.splitter.is_too_long() {
-            return Some(ReadPart::Broken("an event without end".to_owned()));
+            return Some(ReadPart::Broken("an event exceeds the maximum length".to_owned()));
         }
         match self.take_events() {
             Ok((_events, 0)) => None,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The whole events read so far, checked for their order, and how many.
+    /// Takes the complete events, checks their order, and counts them.
     fn take_events(&mut self) -> Result<(Bytes, u64), String> {
         let mut taken = BytesMut::new();
         let mut count = 0;
--- a/crates/dillspool_forward/src/refusal.rs
+++ b/crates/dillspool_forward/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Final answers of the router's own.
+//! Error responses that the router itself generates.
 
 use std::time::Duration;
 
@@ -6,55 +6,55 @@
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// Why the router answers by itself.
+/// Why the router responds itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalCause {
-    /// No configuration or no backend server is known yet.
+    /// No configuration or backend server is known yet.
     NotReady,
-    /// The request names no attempt, or is malformed.
+    /// The request has no attempt id, or is malformed.
     Malformed,
     /// The body is longer than the configuration allows.
     BodyTooLarge,
-    /// The body did not arrive.
+    /// The body did not arrive completely.
     BodyLost,
-    /// This host has too much in flight.
+    /// This host has too many requests in flight.
     HostFull,
-    /// No route takes the request.
+    /// No route matches the request.
     NoRoute,
-    /// The caller's key is missing, or no workspace has it.
+    /// The API key is missing, or belongs to no workspace.
     UnknownKey,
-    /// Its route or key is not known here, and this host's configuration may be old.
+    /// The route or key is unknown, and this host's configuration may be stale.
     StaleConfig,
-    /// Its workspace has asked for more than its limit.
+    /// The workspace exceeds its rate limit.
     OverLimit,
-    /// No host that counts its workspace's limit can be asked.
+    /// No host that holds the workspace's rate limit is reachable.
     LimitUnknown,
-    /// Backend servers end under it.
+    /// The request is suspected of crashing backend servers.
     Deadly,
-    /// Backend servers ended under it, and another copy of it runs.
+    /// Backend servers crashed on the request, and another copy of it is running.
     CopyRuns,
-    /// Its backend servers name how much they take, and that is spent.
+    /// The rate limits that its backend servers set are exhausted.
     BackendsLimited,
-    /// No backend server of the service takes requests.
+    /// No backend server of the service accepts requests.
     NoBackend,
-    /// The backend servers of the service cannot answer it in its time.
+    /// The backend servers of the service cannot respond before the deadline.
     NoRoom,
-    /// No engine had memory for the answer.
+    /// No engine has memory for the response.
     NoMemory,
-    /// No engine would read the prompt in time.
+    /// No engine can prefill the prompt in time.
     NoPrefill,
-    /// The backend servers that were asked did not run it.
+    /// The backend servers that were tried did not run the request.
     NotRun,
-    /// The time is over before the request ran.
+    /// The deadline passed before the request ran.
     TooLateNotRun,
-    /// The time is over and the request may have run.
+    /// The deadline passed and the request may have run.
     TimedOut,
-    /// The backend server's answer was lost or was none.
+    /// The backend server's response was lost or invalid; the request may have run.
     Unknown,
 }
 
 impl RefusalCause {
-    /// Name in logs and metrics.
+    /// Value in logs, metrics and the response body.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotReady => "not_ready",
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Whether the request did not run and never will, as its status promises.
+    /// Whether the status guarantees that the request did not run and never will.
     pub fn did_not_run(self) -> bool {
         matches!(self.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
     }
 
-    /// Status of the answer; 429 and 503 say that the request did not run and never will.
+    /// Status of the response; 429 and 503 guarantee that the request did not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NotReady
@@ -114,32 +114,32 @@
     }
 }
 
-/// A final answer of the router's own, with when to come back if the request did not run.
+/// A final response of the router itself, with a retry delay if the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub cause: RefusalCause,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal without a time to come back.
+    /// A refusal without a `Retry-After` header.
     pub fn new(cause: RefusalCause) -> Self {
         Self { cause, retry_after: None }
     }
 
-    /// A refusal of a request that did not run.
+    /// A refusal with a `Retry-After` header, for a request that did not run.
     pub fn with_retry_after(cause: RefusalCause, after: Duration) -> Self {
         Self { cause, retry_after: Some(after) }
     }
 
-    /// Whether its backend servers have room again in a while.
+    /// Whether the backend servers' rate limits are exhausted, which is temporary.
     pub(crate) fn is_backends_limited(&self) -> bool {
         self.cause == RefusalCause::BackendsLimited
     }
 
-    /// The answer to the caller.
+    /// The response to the caller.
     pub fn response(&self) -> Response<ResponseBody> {
         let mut response =
             text_response(self.cause.status(), "text/plain", self.cause.name().to_owned());
@@ -150,7 +150,7 @@
             }
         }
         if self.cause == RefusalCause::BodyLost || self.cause == RefusalCause::BodyTooLarge {
-            // What is left of the body would be read as the next request.
+            // On a reused connection the rest of the body would be parsed as the next request.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/crates/dillspool_forward/src/relay.rs
+++ b/crates/dillspool_forward/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on, event by event, and goes on at another engine when one fails.
+//! Relays a stream event by event, and resumes it at another engine when one fails.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,28 +16,28 @@
 use crate::stages::StreamStats;
 use crate::trace::RequestTrace;
 
-/// Silence after which another engine is looked for. Callers give up after two seconds at the
-/// earliest, and a new prefill takes some hundred milliseconds.
+/// Time without events after which a replacement engine is sought. Callers disconnect after two
+/// seconds at the earliest, and a new prefill takes a few hundred milliseconds.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1300);
-/// Pause before another engine is looked for once more for a stream that is still silent.
+/// Delay between two searches for a replacement engine while the stream is still stalled.
 const SEARCH_INTERVAL: Duration = Duration::from_secs(1);
-/// Time since the last event for which memory is waited for after a stream broke; callers give
-/// up after two seconds without an event at the earliest.
+/// Longest wait for memory at another engine, from the last event of a broken stream. Callers
+/// disconnect after two seconds without an event at the earliest.
 const RESUME_MAX_WAIT: Duration = Duration::from_secs(2);
-/// Pause before a broken answer's connection is closed, so that events handed over are written.
+/// Delay before the connection of a broken response is closed, so that pending events are written.
 const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
-/// What comes next for the caller.
+/// Result of reading on for the caller.
 enum NextPart {
     Events(Bytes),
     End,
-    /// The engine's stream is of no more use.
+    /// The engine's stream is unusable, for this cause.
     Broken(String),
-    /// Another engine can go on in place of one that is silent.
+    /// Another engine can take over the stream of a stalled one.
     Replacement(Box<PreparedAttempt>),
 }
 
-/// A stream under way; dropping it closes the engine's connection.
+/// A stream in progress; dropping it closes the engine's connection.
 pub(crate) struct StreamRelay {
     model_request: ModelRequest,
     reader: Option<StreamReader>,
@@ -46,7 +46,7 @@
     stats: StreamStats,
     /// When the stream was opened.
     opened_at: Instant,
-    /// When another engine may be looked for at the earliest.
+    /// Earliest time of the next search for a replacement engine.
     next_search_at: Instant,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The body that the caller gets.
+    /// The body of the response to the caller.
     pub(crate) fn into_body(self) -> ResponseBody {
         let parts = stream::unfold(Some(self), next_part);
         BodyExt::boxed(SyncBody::new(StreamBody::new(Box::pin(parts))))
@@ -81,7 +81,7 @@
         loop {
             match self.read().await {
                 NextPart::Events(bytes) => {
-                    // From here on the caller's connection charges what its caller leaves unread.
+                    // From here on the caller's connection charges bytes that the caller has not read.
                     drop(self.model_request.request.held_bytes.hold(bytes.len() as u64).await);
                     return Ok(Some(bytes));
                 }
@@ -96,7 +96,7 @@
                     self.resume_elsewhere(&cause, None).await?;
                 }
                 NextPart::Replacement(prepared) => {
-                    self.resume_elsewhere("silence", Some(*prepared)).await?
+                    self.resume_elsewhere("the engine stalled", Some(*prepared)).await?;
                 }
             }
         }
@@ -110,8 +110,8 @@
         self.trace.streamed(self.status, &self.model_request.stages, &self.stats);
     }
 
-    /// Reads on; a silent engine keeps its stream until another one is ready to take it over,
-    /// since its events may still come.
+    /// Reads the next events. A stalled engine keeps the stream until a replacement is ready,
+    /// since its events may still arrive.
     async fn read(&mut self) -> NextPart {
         loop {
             let Some(reader) = &mut self.reader else {
@@ -129,14 +129,14 @@
         }
     }
 
-    /// Looks for another engine until the silent one's events come; `None` when there is none.
+    /// Searches for a replacement engine until the stalled one sends events; `None` if none is found.
     async fn find_replacement(&mut self) -> Option<NextPart> {
         let reader = self.reader.as_mut()?;
-        let silent = Arc::clone(&reader.open.entry);
+        let stalled = Arc::clone(&reader.open.entry);
         tokio::select! {
             biased;
             part = reader.read(None) => part.map(|part| self.deliver(part)),
-            prepared = self.model_request.prepare_replacement(&silent) => match prepared {
+            prepared = self.model_request.prepare_replacement(&stalled) => match prepared {
                 Ok(prepared) => Some(NextPart::Replacement(Box::new(prepared))),
                 Err(refusal) => {
                     log_no_replacement(&self.model_request, refusal);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// What a part of the engine's stream is for the caller.
+    /// Converts what was read from the engine's stream, and records its events.
     fn deliver(&mut self, part: ReadPart) -> NextPart {
         match part {
             ReadPart::Events(bytes, count) => {
@@ -163,28 +163,28 @@
         let age = self.model_request.request.age();
         match self.stats.record_events(count, age) {
             None => self.model_request.record_first_event(age),
-            Some(pause) => self.log_long_pause(pause),
+            Some(gap) => self.log_event_gap(gap),
         }
     }
 
-    /// A pause that makes an answer late is told with its moment, since its cause lies in what else
-    /// its engine did then.
-    fn log_long_pause(&self, pause: Duration) {
+    /// Logs an event gap that makes a response late. The time is logged too, since the cause is other
+    /// work of the engine at that moment.
+    fn log_event_gap(&self, gap: Duration) {
         let request = &self.model_request.request;
-        if request.route.max_event_gap.is_none_or(|target| pause <= target) {
+        if request.route.max_event_gap.is_none_or(|target| gap <= target) {
             return;
         }
         log::info!(
             "event=stream_paused id={} backend={} pause_ms={} events={} after_ms={}",
             request.id,
             self.reader.as_ref().map_or("", |reader| &*reader.open.entry.id),
-            pause.as_millis(),
+            gap.as_millis(),
             self.stats.events,
             request.age().as_millis(),
         );
     }
 
-    /// Goes on at another engine, or ends the answer as broken.
+    /// Resumes the stream at another engine, or ends the response as broken.
     async fn resume_elsewhere(
         &mut self,
         cause: &str,
@@ -223,7 +223,7 @@
 
 fn log_no_replacement(model_request: &ModelRequest, refusal: Refusal) {
     log::info!(
-        "event=stream_silent id={} after_ms={} cause=\"no other engine: {}\"",
+        "event=stream_silent id={} after_ms={} cause=\"no replacement engine: {}\"",
         model_request.request.id,
         model_request.request.age().as_millis(),
         refusal.cause.name(),
@@ -232,7 +232,7 @@
 
 type RelayPart = Result<Frame<Bytes>, BoxError>;
 
-/// The next part of the body, and the relay unless it is over.
+/// The next frame of the body, and the relay unless the body has ended.
 fn next_part(relay: Option<StreamRelay>) -> BoxFuture<Option<(RelayPart, Option<StreamRelay>)>> {
     Box::pin(async move {
         let mut relay = relay?;
@@ -247,7 +247,7 @@
     })
 }
 
-/// A body that is only ever polled by one task, behind a lock that is never contended.
+/// Makes a body `Sync` with a lock that is never contended, since only one task polls the body.
 struct SyncBody<B> {
     inner: std::sync::Mutex<B>,
 }
--- a/crates/dillspool_forward/src/response_body.rs
+++ b/crates/dillspool_forward/src/response_body.rs
@@ -1,7 +1,7 @@
-//! Answers of plain services: short ones are read whole, longer ones are passed on as they arrive.
+//! Responses of plain services: short ones are buffered completely, longer ones are relayed as they arrive.
 //!
-//! What a caller does not read is not read from its backend server either, apart from the first part;
-//! `docs/design/held_bytes.md` has the reasons.
+//! Relaying has backpressure: beyond the first chunks, the backend server's connection is read only as fast as
+//! the caller reads. `docs/design/held_bytes.md` has the reasons.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -27,20 +27,20 @@
 use crate::context::{ForwardContext, RESTARTED_CAUSE};
 use crate::trace::RequestTrace;
 
-/// Largest answer that is read whole where bytes held are not limited, in bytes.
+/// Largest response that is buffered when there is no byte budget.
 const MAX_BUFFERED_BYTES: usize = 16 * 1024 * 1024;
-/// Pause before a broken answer's connection is closed, so that parts handed over are written.
+/// Delay before the connection of a broken response is closed, so that pending chunks are written.
 const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
-/// The body of an answer as far as it was read before any of it is passed on.
+/// A response body as far as it is buffered before any of it is relayed.
 pub(crate) enum BufferedBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// The first parts, and what is still to be read.
+    /// The first chunks, and the rest of the body.
     Partial(VecDeque<Bytes>, ResponseBody),
 }
 
-/// Reads a body to its end, or until it is longer than what is read whole.
+/// Buffers a body to its end, or until it exceeds what is buffered completely.
 pub(crate) async fn buffer_body(
     request: &RoutedRequest,
     body: ResponseBody,
@@ -49,7 +49,7 @@
         return read_response_body(body, MAX_BUFFERED_BYTES).await.map(BufferedBody::Complete);
     };
     if !request.accepts_chunked && body.size_hint().exact().is_none() {
-        // Nothing would show the caller that the answer ended early.
+        // Without a length or chunks, the caller could not detect that a relayed response was truncated.
         return read_within_budget(&request.held_bytes, body, MAX_BUFFERED_BYTES)
             .await
             .map(BufferedBody::Complete);
@@ -68,7 +68,7 @@
     Ok(BufferedBody::Partial(parts.into_chunks(), body))
 }
 
-/// Reads the whole body of a response of at most `limit` bytes, charged as it comes.
+/// Reads the complete body of a response of at most `limit` bytes and charges its bytes as they arrive.
 pub(crate) async fn read_within_budget(
     held: &ExchangeBytes,
     mut body: ResponseBody,
@@ -87,13 +87,13 @@
     Ok(parts.join())
 }
 
-/// The next part of a body, once it fits into the budget.
+/// The next chunk of a body, once it fits into the byte budget.
 async fn next_chunk(
     held: &ExchangeBytes,
     body: &mut ResponseBody,
 ) -> Result<Option<(Bytes, ByteGuard)>, BoxError> {
     while let Some(frame) = body.frame().await {
-        // Trailers carry nothing that is passed on.
+        // Trailers are not relayed.
         if let Ok(bytes) = frame?.into_data() {
             let guard = held.hold(bytes.len() as u64).await;
             return Ok(Some((bytes, guard)));
@@ -123,33 +123,33 @@
         if self.parts.is_empty() {
             return guard.attach(first);
         }
-        let mut whole = BytesMut::with_capacity(self.length);
-        whole.extend_from_slice(&first);
+        let mut joined = BytesMut::with_capacity(self.length);
+        joined.extend_from_slice(&first);
         for (bytes, other) in self.parts {
-            whole.extend_from_slice(&bytes);
+            joined.extend_from_slice(&bytes);
             guard.merge(other);
         }
-        guard.attach(whole.freeze())
+        guard.attach(joined.freeze())
     }
 }
 
-/// An answer of which a part is still to be read.
+/// A response whose body is not completely read yet.
 pub(crate) struct PartialResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) parts: VecDeque<Bytes>,
     pub(crate) body: ResponseBody,
     pub(crate) entry: Arc<BackendEntry>,
-    /// Kept until the last byte was read.
+    /// Held until the last byte is read.
     pub(crate) _ticket: LoadGuard,
     /// When the request was sent.
     pub(crate) sent_at: Moment,
-    /// The call's place at the host that decides on the calls of the service, kept until the last byte was read.
+    /// The call's slot at the host that schedules the service, held until the last byte is read.
     pub(crate) call: Option<CallTicket>,
 }
 
 impl PartialResponse {
-    /// The answer to the caller; from now on the request is never sent again.
+    /// The response to the caller. From here on the request is never retried.
     pub(crate) fn relay(
         self,
         context: &ForwardContext,
@@ -157,12 +157,12 @@
         trace: RequestTrace,
         copy: CopyGuard,
     ) -> Response<ResponseBody> {
-        // One part is on its way to the caller's connection while the next one is awaited.
+        // One chunk is in transit to the caller's connection while the next one is read.
         let (sender, receiver) = mpsc::channel(1);
         let mut response = Response::new(channel_body(receiver));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers.clone();
-        // An answer that ends early is seen by its length, or else by its missing last chunk.
+        // The caller detects a truncated response by its length, or else by its missing last chunk.
         response.headers_mut().remove(CONTENT_LENGTH);
         let read: u64 = self.parts.iter().map(|part| part.len() as u64).sum();
         if let Some(left) = self.body.size_hint().exact() {
@@ -181,7 +181,7 @@
     }
 }
 
-/// How passing an answer on ended.
+/// How relaying a response ended.
 enum RelayOutcome {
     Complete,
     CallerGone,
@@ -190,15 +190,15 @@
 
 type ChunkSender = mpsc::Sender<Result<Bytes, BoxError>>;
 
-/// An answer on its way; dropping it closes the backend server's connection.
+/// A response being relayed; dropping it closes the backend server's connection.
 struct ResponseRelay {
     response: PartialResponse,
     context: ForwardContext,
     request: Arc<RoutedRequest>,
     trace: RequestTrace,
-    /// Counts among the copies of the request that run here.
+    /// Counts this copy of the request as running.
     _copy: CopyGuard,
-    /// Time for which the caller's connection took nothing.
+    /// Total time that the caller's connection accepted no data.
     caller_stalled: Duration,
 }
 
@@ -206,14 +206,14 @@
     async fn run(mut self, sender: ChunkSender) {
         match self.relay_chunks(&sender).await {
             RelayOutcome::Complete => self.finish_complete(),
-            // The trace reports it when it is dropped.
+            // The trace reports this case when it is dropped.
             RelayOutcome::CallerGone => {}
             RelayOutcome::Broken(cause) => {
                 self.finish_broken(&cause);
                 // The backend server's connection is closed first.
                 drop(self);
                 tokio::time::sleep(CLOSE_DELAY).await;
-                // A caller that has gone needs no end.
+                // Sending fails only if the caller has disconnected.
                 let _caller_gone = sender.send(Err(cause.into())).await;
             }
         }
@@ -225,7 +225,7 @@
         let stall = request.held_bytes.terms().map_or(Duration::MAX, |terms| terms.stall);
         let mut cutoff = std::pin::pin!(async {
             tokio::select! {
-                () = request.wait_for_deadline() => "the time limit",
+                () = request.wait_for_deadline() => "the deadline passed",
                 () = context.wait_for_restart(&entry) => RESTARTED_CAUSE,
             }
         });
@@ -249,7 +249,7 @@
                 part = next_chunk(&request.held_bytes, &mut self.response.body) => part,
                 () = tokio::time::sleep(stall) => {
                     request.held_bytes.note_stalled(StalledSide::Backend);
-                    return RelayOutcome::Broken(format!("nothing more came for {stall:?}"));
+                    return RelayOutcome::Broken(format!("no data for {stall:?}"));
                 }
             };
             match part {
@@ -283,7 +283,7 @@
 
     fn finish_broken(&mut self, cause: &str) {
         let entry = &self.response.entry;
-        // Found out beside the request, which is not sent again whatever is found.
+        // Runs in the background; the request is not retried, whatever the cause.
         let _probe = spawn_failure_probe(&self.context, &self.request, entry);
         self.context.backend_tracker.record_no_response(&entry.instance(), cause);
         if let Some(mut call) = self.response.call.take() {
--- a/crates/dillspool_forward/src/stages.rs
+++ b/crates/dillspool_forward/src/stages.rs
@@ -1,91 +1,91 @@
-//! How a stream came to its first event, and why it was late.
+//! Timing of a stream up to and after its first event, and why it was late.
 
 use std::time::Duration;
 
 use dillspool_routing::RoutedRequest;
 use tokio::time::Instant;
 
-/// When each stage before a stream's first event ended, as times from the request's arrival.
+/// When each stage before a stream's first event ended, measured from the request's arrival.
 ///
-/// The first event is the one that the caller's latency objective is about; what happens when a
-/// stream goes on elsewhere later is told by its pauses.
+/// The latency objective applies to the first event only. Delays from resuming at another engine
+/// later show up as event gaps.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FirstEventStages {
     /// Decode memory was reserved.
     pub(crate) reserved: Duration,
-    /// The prompt was read, or it was left to the decode engine.
+    /// The prefill ended, or was left to the decode engine.
     pub(crate) prefilled: Duration,
-    /// The head of the decode engine's answer came.
+    /// The head of the decode engine's response arrived.
     pub(crate) opened: Duration,
 }
 
-/// How the events of a stream came.
+/// Statistics of a stream's events.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StreamStats {
-    /// Events passed on.
+    /// Number of events relayed.
     pub(crate) events: u64,
     /// Time from the request's arrival to its first event.
     pub(crate) time_to_first_event: Duration,
-    /// When the caller got the first event, if any.
+    /// When the first event was relayed.
     pub(crate) first_at: Option<Instant>,
-    /// When the caller got the last event, if any.
+    /// When the last event was relayed.
     pub(crate) last_at: Option<Instant>,
-    /// Longest time between two events.
-    pub(crate) longest_pause: Duration,
-    /// Times that the stream went on at another engine.
+    /// Longest gap between two events.
+    pub(crate) longest_event_gap: Duration,
+    /// Number of times that the stream was resumed at another engine.
     pub(crate) resumes: u32,
-    /// Whether the prompt was read by the decode engine itself.
+    /// Whether the decode engine prefilled the prompt itself.
     pub(crate) read_at_decode: bool,
 }
 
 impl StreamStats {
-    /// Mean time between two events, if there were some.
+    /// Mean gap between events; `None` for fewer than two events.
     pub(crate) fn mean_event_gap(&self) -> Option<Duration> {
         let gaps = u32::try_from(self.events.checked_sub(1)?).ok().filter(|gaps| *gaps > 0)?;
         Some(self.last_at?.saturating_duration_since(self.first_at?) / gaps)
     }
 
-    /// Notes events that the caller gets now; returns the pause before them, `None` before the
-    /// first.
+    /// Records events that are relayed now and returns the gap before them; `None` for the first
+    /// events.
     pub(crate) fn record_events(&mut self, count: u64, age: Duration) -> Option<Duration> {
         let now = Instant::now();
-        let pause = self.last_at.map(|last_at| now - last_at);
-        match pause {
+        let gap = self.last_at.map(|last_at| now - last_at);
+        match gap {
             None => {
                 self.time_to_first_event = age;
                 self.first_at = Some(now);
             }
-            Some(pause) => self.longest_pause = self.longest_pause.max(pause),
+            Some(gap) => self.longest_event_gap = self.longest_event_gap.max(gap),
         }
         self.last_at = Some(now);
         self.events += count;
-        pause
+        gap
     }
 }
 
-/// Why a whole stream was not in time.
+/// Why a complete stream was late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LateCause {
-    /// The caller came back with an answer that had broken off.
+    /// The caller resumed a stream that had broken off.
     Continued,
-    /// The caller had been refused before, and the objective counts from its first attempt.
+    /// The caller had been refused before; the objective counts from its first attempt.
     Returned,
-    /// It waited for decode memory.
+    /// Waiting for decode memory took longest.
     Memory,
-    /// It waited for its prefill.
+    /// The prefill took longest.
     Prefill,
-    /// The decode engine took the request late.
+    /// Waiting for the decode engine to accept the request took longest.
     Opening,
-    /// The decode engine's first event came late.
+    /// Waiting for the decode engine's first event took longest.
     FirstEvent,
-    /// It went on at another engine.
+    /// An event gap was too long, and the stream was resumed at another engine.
     Reopened,
-    /// Its engine paused.
+    /// An event gap at one engine was too long.
     Pause,
 }
 
 impl LateCause {
-    /// The cause; `None` when the stream was in time.
+    /// The cause, or `None` if the stream was in time.
     pub(crate) fn of(
         request: &RoutedRequest,
         stages: &FirstEventStages,
@@ -103,7 +103,7 @@
             return Some(Self::Returned);
         }
         let target = request.route.max_event_gap?;
-        match (stats.longest_pause > target, stats.resumes > 0) {
+        match (stats.longest_event_gap > target, stats.resumes > 0) {
             (false, _) => None,
             (true, true) => Some(Self::Reopened),
             (true, false) => Some(Self::Pause),
@@ -120,7 +120,7 @@
         took.into_iter().max_by_key(|(took, _cause)| *took).map_or(Self::FirstEvent, |it| it.1)
     }
 
-    /// Name in the log.
+    /// Value in the log.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Continued => "continued",
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -1,4 +1,4 @@
-//! One line in the log and one count for each request, however it ends.
+//! Logs and counts each request exactly once, however it ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use crate::retry_budget::RetryBudgets;
 use crate::stages::{FirstEventStages, LateCause, StreamStats};
 
-/// Reports the end of a request; one that is dropped before reports that the caller left.
+/// Reports the end of a request. Dropped before the end, it reports that the caller disconnected.
 #[derive(Debug)]
 pub(crate) struct RequestTrace {
     request: Arc<RoutedRequest>,
     metrics: ForwardMetrics,
-    /// What the last choice of a backend server rested on, for the last line.
+    /// The last backend server that was chosen, for the final log line.
     choice: Option<BackendChoice>,
     ended: bool,
 }
@@ -30,9 +30,9 @@
 #[derive(Debug)]
 struct BackendChoice {
     backend: BackendId,
-    /// Version of the directory from which it was chosen.
+    /// Version of the directory that the choice was based on.
     directory: StoreVersion,
-    /// How many were chosen for the request so far.
+    /// Number of choices made for the request so far.
     count: u32,
 }
 
@@ -42,19 +42,19 @@
         Self { request: Arc::clone(request), metrics: metrics.clone(), choice: None, ended: false }
     }
 
-    /// A backend server was chosen.
+    /// Records the choice of a backend server.
     pub(crate) fn record_backend(&mut self, backend: &BackendId, directory: StoreVersion) {
         let count = self.choice.as_ref().map_or(0, |choice| choice.count) + 1;
         let backend = BackendId::clone(backend);
         self.choice = Some(BackendChoice { backend, directory, count });
     }
 
-    /// The whole answer was given to the caller's connection.
+    /// Reports that the complete response was written to the caller's connection.
     pub(crate) fn answered(&mut self, status: u16) {
         self.end("answered", "", &format!("status={status}"));
     }
 
-    /// The whole stream was given to the caller's connection.
+    /// Reports that the complete stream was written to the caller's connection.
     pub(crate) fn streamed(&mut self, status: u16, stages: &FirstEventStages, stats: &StreamStats) {
         let late = LateCause::of(&self.request, stages, stats).map_or("", LateCause::name);
         let detail = format!("status={status} late={late} {}", self.stream_fields(stages, stats));
@@ -70,13 +70,13 @@
             stages.opened.as_millis(),
             stats.time_to_first_event.as_millis(),
             stats.events,
-            stats.longest_pause.as_millis(),
+            stats.longest_event_gap.as_millis(),
             stats.resumes,
             stats.read_at_decode,
         )
     }
 
-    /// A backend server's failure was given to the caller.
+    /// Reports that a backend server's failure response was passed to the caller.
     pub(crate) fn failed(&mut self, status: u16) {
         self.end("failed", "", &format!("status={status}"));
     }
@@ -91,7 +91,7 @@
         self.end("refused", refusal.cause.name(), &detail);
     }
 
-    /// The answer broke off; the caller sees its connection break.
+    /// Reports a broken stream; the caller's connection is aborted.
     pub(crate) fn stream_broken(
         &mut self,
         detail: &str,
@@ -102,7 +102,7 @@
         self.end("broken", "", &format!("{fields} detail=\"{detail}\""));
     }
 
-    /// An answer that was passed on in part broke off; the caller sees its connection break.
+    /// Reports a plain response that broke after a part of it was relayed; the caller's connection is aborted.
     pub(crate) fn response_broken(&mut self, detail: &str) {
         self.end("broken", "", &format!("detail=\"{detail}\""));
     }
@@ -113,7 +113,7 @@
         }
         self.ended = true;
         let request = &self.request;
-        let lasted = request.age();
+        let elapsed = request.age();
         let choice = self.choice.as_ref().map_or(String::new(), |choice| {
             let BackendChoice { backend, directory, count } = choice;
             format!("backend={backend} directory={directory} chosen={count} ")
@@ -126,10 +126,10 @@
             request.service,
             request.workspace.as_ref().map_or("", |workspace| &*workspace.name),
             request.config_version,
-            lasted.as_millis(),
+            elapsed.as_millis(),
         );
         let route = Name::clone(&request.route.name);
-        self.metrics.record_end(&OutcomeLabels { route, outcome, cause }, lasted);
+        self.metrics.record_end(&OutcomeLabels { route, outcome, cause }, elapsed);
     }
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// A copy is not sent, for what became of backend servers under copies before it.
+/// Logs a request that is refused because earlier copies of it crashed backend servers.
 pub(crate) fn log_suspect_refused(request: &RoutedRequest, refused: CopyRefusal) {
     log::info!(
         "event=suspect_refused id={} print={} route={} workspace={} why={refused:?}",
@@ -150,7 +150,7 @@
     );
 }
 
-/// A try that failed; the request may go on.
+/// Logs a failed attempt; the request may be retried.
 pub(crate) fn log_send_failed(request: &RoutedRequest, backend: &BackendId, cause: &str) {
     log::info!(
         "event=send_failed id={} backend={backend} after_ms={} cause=\"{cause}\"",
@@ -159,7 +159,7 @@
     );
 }
 
-/// A decision names a backend server that takes no new requests as far as this host knows.
+/// Logs a placement at a backend server that, as far as this host knows, accepts no new requests.
 pub(crate) fn log_decision_overruled(
     request: &RoutedRequest,
     backend: &BackendId,
@@ -174,7 +174,7 @@
     );
 }
 
-/// Another try was due and the budget did not allow it.
+/// Logs a retry that the retry budget did not allow.
 pub(crate) fn log_retry_budget_exhausted(request: &RoutedRequest, budgets: &RetryBudgets) {
     let reading = budgets.usage(&request.service);
     log::info!(
@@ -188,28 +188,28 @@
     );
 }
 
-/// Why a request is refused for want of engines, and what that rested on.
+/// Logs why no engine was found for a request, with the inputs of the decision.
 pub(crate) fn log_placement_rejected(
     context: &ForwardContext,
     request: &RoutedRequest,
-    question: &PlacementRequest,
+    query: &PlacementRequest,
     cause: PlacementRejection,
-    come_back: Duration,
+    retry_after: Duration,
 ) {
     log::info!(
         "event=turned_away id={} class={:?} cause={cause:?} prompt={} guess={} refused={} directory={} after_ms={} come_back_ms={}",
         request.id,
-        question.class,
-        question.prompt_tokens,
-        question.estimated_tokens,
-        question.refusals,
+        query.class,
+        query.prompt_tokens,
+        query.estimated_tokens,
+        query.refusals,
         context.view().version,
         request.age().as_millis(),
-        come_back.as_millis(),
+        retry_after.as_millis(),
     );
 }
 
-/// A call that has waited for the host that decides on the calls of its service.
+/// Logs a call that waited in the queue of the host that schedules its service.
 pub(crate) fn log_call_queued(request: &RoutedRequest, waited: Duration, decision: &CallDecision) {
     let decided = match decision {
         CallDecision::Send { .. } => "sent",
@@ -224,10 +224,10 @@
     );
 }
 
-/// A call is not sent any more, by the word of whoever decides on the calls of its service.
+/// Logs a call that the scheduler of its service rejected.
 pub(crate) fn log_call_rejected(
     request: &RoutedRequest,
-    question: &CallRequest,
+    query: &CallRequest,
     cause: RejectCause,
     retry_after: Duration,
 ) {
@@ -239,15 +239,15 @@
         "event=call_rejected id={} service={} cause={cause} objective_left_ms={} time_left_ms={} excluded={} after_ms={} retry_after_ms={}",
         request.id,
         request.service,
-        question.objective_left.as_millis(),
-        question.time_left.as_millis(),
-        question.excluded.len(),
+        query.objective_left.as_millis(),
+        query.time_left.as_millis(),
+        query.excluded.len(),
         request.age().as_millis(),
         retry_after.as_millis(),
     );
 }
 
-/// This host does not follow a decision on a call.
+/// Logs a scheduling decision that this host overrules.
 pub(crate) fn log_call_overruled(request: &RoutedRequest, backend: &str, why: &str) {
     log::info!(
         "event=call_overruled id={} service={} backend={backend} why={why} after_ms={}",
