--- a/crates/dillspool_watch/src/lib.rs
+++ b/crates/dillspool_watch/src/lib.rs
@@ -1,17 +1,18 @@
-//! What a host believes of the store's tables, and how it keeps that up to date.
+//! Replicates tables of the store to every host and keeps the replicas up to date.
 //!
-//! Every row carries the version that the store gave it, so beliefs from the store and from
-//! other hosts merge in any order and never go back. See `docs/design/platform_site.md`.
+//! Every row carries the version that the store assigned to it, so updates from the store and from
+//! other hosts can be merged in any order and never move a replica back. See
+//! `docs/design/platform_site.md`.
 
-mod age;
-mod belief;
 mod follow;
-mod reach;
+mod freshness;
+mod reachability;
 mod relay;
-mod relay_frame;
-mod whole_read;
+mod relay_codec;
+mod replica;
+mod snapshot;
 
-pub use belief::{ReplicaRow, RowClassifier, SharedReplica, TableReplica};
 pub use follow::{FollowRole, FollowSettings, follow_table};
-pub use reach::StoreReachability;
+pub use reachability::StoreReachability;
 pub use relay::{RelayError, RelayPeers, RelayService, relay_from_peers, serve_relay};
+pub use replica::{ReplicaRow, RowClassifier, SharedReplica, TableReplica};
--- a/crates/dillspool_watch/src/reach.rs
+++ b/crates/dillspool_watch/src/reachability.rs
@@ -1,27 +1,27 @@
-//! Whether and how recently this host hears from the store, by itself or through a peer.
+//! Whether and how recently the store was reachable from this host, directly or through a peer.
 
 use dillspool_platform::StoreEra;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What this host hears from the store.
+/// Whether this host receives updates from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreReachability {
-    /// Whether the store answered this host's own last call.
+    /// Whether the store answered this host's last call.
     pub direct: bool,
     /// Whether a peer that reaches the store relays its tables to this host.
     pub relayed: bool,
-    /// When the store came into reach, or went out of it.
+    /// When the store last became reachable or unreachable.
     pub since: Instant,
-    /// When the store last answered this host itself, about any table; shows that it can be asked, and
-    /// says nothing of a table ([`crate::SharedReplica::age`]).
+    /// When the store last answered a call of this host, for any table. It shows that the store can
+    /// be polled, not that a particular table is fresh ([`crate::SharedReplica::age`]).
     pub last_answered: Option<Instant>,
-    /// Newest era that one of the store's tables was seen in.
+    /// Newest era seen in any of the store's tables.
     pub era: StoreEra,
 }
 
 impl StoreReachability {
-    /// The start: nothing was heard yet.
+    /// The initial state, before any response.
     pub fn unknown() -> Self {
         Self {
             direct: false,
@@ -32,19 +32,19 @@
         }
     }
 
-    /// Whether what this host believes comes from a store that answers.
+    /// Whether this host's replicas are backed by a store that answers.
     pub fn is_reachable(&self) -> bool {
         self.direct || self.relayed
     }
 }
 
-/// Changes the state, and logs when the store comes into reach or goes out of it.
-pub(crate) fn note(
-    reach: &watch::Sender<StoreReachability>,
+/// Changes the state, and logs when the store becomes reachable or unreachable.
+pub(crate) fn update(
+    status: &watch::Sender<StoreReachability>,
     cause: &str,
     change: impl FnOnce(&mut StoreReachability),
 ) {
-    reach.send_if_modified(|state| {
+    status.send_if_modified(|state| {
         let before = *state;
         change(state);
         if state.is_reachable() != before.is_reachable() {
@@ -53,7 +53,7 @@
             log::info!("event={event} after_ms={before_ms} cause=\"{cause}\"");
             state.since = Instant::now();
         }
-        // Moments alone wake nobody.
+        // A change of timestamps alone does not notify receivers.
         state.direct != before.direct || state.relayed != before.relayed || state.era != before.era
     });
 }
--- a/crates/dillspool_watch/src/relay.rs
+++ b/crates/dillspool_watch/src/relay.rs
@@ -1,28 +1,28 @@
 //! Hosts that reach the store relay its tables to hosts that do not.
 //!
-//! Where a failure domain has few hosts, each reads the store and asks a peer only while it
-//! cannot. Where it has many, a few sources read the store and relay to the others, which ask the
-//! store only while no source is fresh; every call to the store is billed.
+//! In a failure domain with few hosts, each polls the store and connects to a peer only while the
+//! store is unreachable. In one with many, a few sources poll the store and relay to the others,
+//! which poll only while no source is fresh, since every call to the store is billed.
 
-mod serving;
-mod taking;
+mod client;
+mod server;
 
 use std::time::Duration;
 
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
-use crate::relay_frame::MESSAGE_LIMIT;
+use crate::relay_codec::MAX_MESSAGE_BYTES;
 
-pub use serving::{RelayService, serve_relay};
-pub use taking::{RelayError, RelayPeers, relay_from_peers};
+pub use client::{RelayError, RelayPeers, relay_from_peers};
+pub use server::{RelayService, serve_relay};
 
-/// Time to open a connection to a peer, some round trips between failure domains.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for connecting to a peer, some round trips between failure domains.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 fn config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MESSAGE_LIMIT))
-        .max_frame_size(Some(MESSAGE_LIMIT))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
         .read_buffer_size(4 * 1024)
         .write_buffer_size(0)
 }
--- a/crates/dillspool_watch/src/relay/taking.rs
+++ b/crates/dillspool_watch/src/relay/client.rs
@@ -1,4 +1,4 @@
-//! Takes tables from hosts that relay theirs.
+//! Receives tables from hosts that relay them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,43 +19,47 @@
 use tokio_tungstenite::{WebSocketStream, client_async_with_config};
 use tokio_util::sync::CancellationToken;
 
-use super::{CONNECT_LIMIT, config};
-use crate::belief::SharedReplica;
-use crate::reach::{self, StoreReachability};
-use crate::relay_frame::{self, RelayWish};
+use super::{CONNECT_TIMEOUT, config};
+use crate::reachability::{self, StoreReachability};
+use crate::relay_codec::{self, RelayOptions};
+use crate::replica::SharedReplica;
 
-/// Time without a message after which a peer is left; it repeats itself at least every half second.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1600);
-/// The same before the first message, which carries whole tables and may wait for others.
-const FIRST_LIMIT: Duration = Duration::from_secs(6);
-/// Pause before another peer is tried.
-const NEXT_PEER_PAUSE: Duration = Duration::from_millis(150);
-/// Pause before peers are looked for again.
-const LOOK_AGAIN: Duration = Duration::from_secs(1);
-/// Time that the store must be out of reach before peers are asked; a lost packet takes less.
-const ASK_AFTER: Duration = Duration::from_millis(300);
+/// Time without a message after which the client disconnects; a peer sends a heartbeat at least
+/// every half second.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1600);
+/// The same before the first message, which carries whole tables and may be queued behind other
+/// sends.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Delay before another peer is tried.
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
+/// Interval at which to look for peers again.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// How long the store must be unreachable before a peer is tried; a lost packet is recovered
+/// sooner.
+const RELAY_FALLBACK_DELAY: Duration = Duration::from_millis(300);
 
 /// Why a relay ended.
 #[derive(Debug, Snafu)]
 pub enum RelayError {
-    /// The peer could not be reached or left.
+    /// The peer could not be reached, or the connection ended.
     #[snafu(display("the relay from {address} ended: {reason}; another peer is tried"))]
     Ended {
         /// The peer.
         address: SocketAddr,
-        /// What ended it.
+        /// What ended the connection.
         reason: String,
     },
 }
 
-/// The peers that this host may take the tables from.
+/// The peers that this host may receive the tables from.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayPeers {
-    /// Sources of this host's failure domain, best first; empty when it reads the store itself.
+    /// Sources of this host's failure domain, best first; empty if this host polls the store
+    /// itself.
     pub sources: Vec<SocketAddr>,
-    /// All peers, best first, for when the store is out of reach.
+    /// All peers, best first, for when the store is unreachable.
     pub all: Vec<SocketAddr>,
-    /// Set on a host that needs but a part of large tables: what tells its part from those of others.
+    /// Set on a host that needs only a subset of large tables: the seed that selects its rows.
     pub subset_seed: Option<u64>,
 }
 
@@ -72,38 +76,39 @@
     }
 }
 
-/// Takes the tables from peers, always where sources are named and else while the store is out
-/// of reach, until `cancel`.
+/// Receives the tables from peers, always where there are sources and otherwise while the store is
+/// unreachable, until `cancel`.
 ///
-/// `peers` is asked each time for the addresses to try.
+/// `peers` is called before each connection for the addresses to try.
 pub async fn relay_from_peers(
     stack: NetStack,
     peers: impl Fn() -> RelayPeers + Send + Sync,
-    beliefs: Vec<SharedReplica>,
-    reach: watch::Sender<StoreReachability>,
+    replicas: Vec<SharedReplica>,
+    status: watch::Sender<StoreReachability>,
     cancel: CancellationToken,
 ) {
     tokio::select! {
-        () = relay_forever(&stack, &peers, &beliefs, reach) => {}
+        () = run_client(&stack, &peers, &replicas, status) => {}
         () = cancel.cancelled() => {}
     }
 }
 
-async fn relay_forever(
+async fn run_client(
     stack: &NetStack,
     peers: &(impl Fn() -> RelayPeers + Send + Sync),
-    beliefs: &[SharedReplica],
-    reach: watch::Sender<StoreReachability>,
+    replicas: &[SharedReplica],
+    status: watch::Sender<StoreReachability>,
 ) {
     let mut next = 0_usize;
     let mut sources = Vec::new();
-    let mut changes = reach.subscribe();
+    let mut changes = status.subscribe();
     loop {
         let direct = changes.borrow_and_update().direct;
         let listed = peers();
         let (part, has_sources) = (listed.subset_seed, !listed.sources.is_empty());
         if listed.sources != sources {
-            // The tries of others say nothing of these, and would have this host begin behind them.
+            // Failed attempts at the previous sources must not make this host skip the first of the
+            // new ones.
             sources.clone_from(&listed.sources);
             next = 0;
         }
@@ -111,82 +116,83 @@
         if addresses.is_empty() {
             tokio::select! {
                 _changed = changes.changed() => {}
-                () = tokio::time::sleep(LOOK_AGAIN) => {}
+                () = tokio::time::sleep(PEER_CHECK_INTERVAL) => {}
             }
             continue;
         }
         if !direct && !has_sources {
-            tokio::time::sleep(ASK_AFTER).await;
+            tokio::time::sleep(RELAY_FALLBACK_DELAY).await;
         }
         let address = addresses[next % addresses.len()];
         let started = Instant::now();
         let mut regained = changes.clone();
         let ended = tokio::select! {
-            ended = take_from(stack, address, part, beliefs, &reach) => ended,
-            // A host that was turned away goes back to its own questions.
+            ended = receive_from(stack, address, part, replicas, &status) => ended,
+            // The store answers this host again, so it resumes its own polls.
             _regained = regained.wait_for(|state| state.direct), if !direct => Ok(()),
-            () = left(address, part, peers, &reach) => Ok(()),
+            () = left(address, part, peers, &status) => Ok(()),
         };
-        reach::note(&reach, "relay ended", |state| state.relayed = false);
+        reachability::update(&status, "relay ended", |state| state.relayed = false);
         if let Err(error) = ended {
             let held_ms = started.elapsed().as_millis();
             log::info!("event=relay_ended peer={address} held_ms={held_ms} cause=\"{error}\"");
             next = next.wrapping_add(1);
         }
-        tokio::time::sleep(NEXT_PEER_PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Waits until a peer is none of those any more that this host takes the tables from, or this host needs other
-/// parts of them.
+/// Waits until the peer is no longer one that this host should receive tables from, or this host
+/// needs another subset.
 async fn left(
     address: SocketAddr,
     part: Option<u64>,
     peers: &(impl Fn() -> RelayPeers + Send + Sync),
-    reach: &watch::Sender<StoreReachability>,
+    status: &watch::Sender<StoreReachability>,
 ) {
     let before = peers().sources;
     loop {
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(PEER_CHECK_INTERVAL).await;
         let now = peers();
         if now.subset_seed != part {
             return;
         }
         let listed = now.sources;
-        // While the store is out of reach, another peer may be all there is.
-        let may_leave = reach.borrow().direct || listed != before;
+        // While the store is unreachable, a peer that is not listed may be the only one that
+        // relays.
+        let may_leave = status.borrow().direct || listed != before;
         if may_leave && !listed.contains(&address) {
             return;
         }
     }
 }
 
-async fn take_from(
+async fn receive_from(
     stack: &NetStack,
     address: SocketAddr,
     part: Option<u64>,
-    beliefs: &[SharedReplica],
-    reach: &watch::Sender<StoreReachability>,
+    replicas: &[SharedReplica],
+    status: &watch::Sender<StoreReachability>,
 ) -> Result<(), RelayError> {
     let ended = |reason: String| RelayError::Ended { address, reason };
-    let opening = tokio::time::timeout(CONNECT_LIMIT, open(stack, address, part)).await;
+    let opening = tokio::time::timeout(CONNECT_TIMEOUT, open(stack, address, part)).await;
     let mut socket = opening.map_err(|elapsed| ended(elapsed.to_string()))?.map_err(ended)?;
     let mut first = true;
     let mut parts = HashMap::new();
     loop {
-        let limit = if first { FIRST_LIMIT } else { SILENCE_LIMIT };
-        let waited_since = beliefs.first().map(|belief| belief.heard().clock().now());
+        let limit = if first { FIRST_MESSAGE_TIMEOUT } else { IDLE_TIMEOUT };
+        let waited_since = replicas.first().map(|replica| replica.freshness().clock().now());
         let incoming = tokio::time::timeout(limit, socket.next()).await;
         let bytes = match incoming {
             Ok(Some(Ok(Message::Binary(bytes)))) => bytes,
             Ok(Some(Ok(_other))) => continue,
             Ok(Some(Err(error))) => return Err(ended(error.to_string())),
-            Ok(None) => return Err(ended("the peer closed".to_owned())),
-            Err(_elapsed) => return Err(ended("silence".to_owned())),
+            Ok(None) => return Err(ended("the peer closed the connection".to_owned())),
+            Err(_elapsed) => return Err(ended("no message within the idle timeout".to_owned())),
         };
-        let mut message = relay_frame::decode(&bytes).map_err(|error| ended(error.to_string()))?;
+        let mut message = relay_codec::decode(&bytes).map_err(|error| ended(error.to_string()))?;
         if message.full {
-            let part = message.part.take().map(|part| Arc::new(part_from_wire(part)));
+            let part = message.part.take().map(|part| Arc::new(subset_from_wire(part)));
             parts.insert(Name::clone(&message.table), part);
         }
         if first {
@@ -196,8 +202,8 @@
         }
         let part = parts.get(&message.table).and_then(Option::as_ref);
         let era = StoreVersion::from(message.version).era();
-        take(beliefs, message, part, waited_since.unwrap_or_default());
-        reach::note(reach, "relayed", |state| {
+        take(replicas, message, part, waited_since.unwrap_or_default());
+        reachability::update(status, "relayed", |state| {
             state.relayed = true;
             state.era = state.era.max(era);
         });
@@ -210,20 +216,20 @@
     part: Option<u64>,
 ) -> Result<WebSocketStream<NetStream>, String> {
     let stream = stack.connect(address).await.map_err(|error| error.to_string())?;
-    let path = format!("ws://{address}{}", RelayWish { packs: true, part }.path());
+    let path = format!("ws://{address}{}", RelayOptions { is_compressed: true, part }.path());
     let opened = client_async_with_config(path, stream, Some(config())).await;
     let (socket, _response) = opened.map_err(|error| error.to_string())?;
     Ok(socket)
 }
 
-/// Takes the rows of one table, or of a part of it, from a message that was waited for since a moment.
+/// Merges a relay message for one table or subset, which was awaited since `waited_since`.
 fn take(
-    beliefs: &[SharedReplica],
+    replicas: &[SharedReplica],
     message: RelayMessage,
     part: Option<&Arc<TablePart>>,
     waited_since: Moment,
 ) {
-    let Some(belief) = beliefs.iter().find(|belief| belief.table == message.table) else {
+    let Some(replica) = replicas.iter().find(|replica| replica.table == message.table) else {
         log::warn!("event=relay_of_unknown_table table={}", message.table);
         return;
     };
@@ -234,19 +240,20 @@
     };
     let rows = message.rows.into_iter().map(row).collect();
     let delta = TableDelta { full: message.full, version: message.version.into(), rows };
-    // A peer that does not know yet of a restoration tells nothing of the table as it is now.
-    let is_of_before = delta.version.era() < belief.version().era();
-    belief.merge_relayed(&delta, part);
+    // A peer that does not know yet that the store was restored says nothing about the table as it
+    // is now.
+    let is_of_before = delta.version.era() < replica.version().era();
+    replica.merge_relayed(&delta, part);
     if is_of_before {
         return;
     }
-    // An age that this host's clock cannot reach back to is too old to count.
+    // An age that reaches back before the start of this host's clock is too old to count.
     let age = Duration::from_millis(message.age_ms);
-    let heard_at = belief.heard().heard_at(waited_since);
-    belief.heard().note_relayed(heard_at.checked_before(age));
+    let heard_at = replica.freshness().valid_as_of(waited_since);
+    replica.freshness().record_relayed(heard_at.checked_before(age));
 }
 
-fn part_from_wire(part: RelayPart) -> TablePart {
+fn subset_from_wire(part: RelayPart) -> TablePart {
     let bits = part.classes.into_iter().map(|class| (class.class, class.bits));
     TablePart { seed: part.seed, bits: bits.collect() }
 }
--- a/crates/dillspool_watch/tests/relay_frames.rs
+++ b/crates/dillspool_watch/tests/relay_codec.rs
@@ -1,4 +1,5 @@
-//! What goes over a relay's connection: packed for hosts that take it, as it is for earlier versions.
+//! What is sent over a relay connection: compressed messages for hosts that accept them, and
+//! uncompressed ones for hosts of earlier versions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -41,16 +42,16 @@
     (0..count).map(row).collect()
 }
 
-fn belief(rows: Vec<ChangedRow>) -> SharedReplica {
-    let belief = SharedReplica::new("servers".into(), awake());
+fn replica(rows: Vec<ChangedRow>) -> SharedReplica {
+    let replica = SharedReplica::new("servers".into(), awake());
     let version = rows.len() as u64 + 1;
-    belief.merge(&TableDelta { full: true, version: version.into(), rows });
-    belief
+    replica.merge(&TableDelta { full: true, version: version.into(), rows });
+    replica
 }
 
-/// A host whose table is fresh, by its own question, and that relays it.
+/// A host whose table is fresh by its own polls, and that relays it.
 async fn serve(stack: &NetStack, rows: Vec<ChangedRow>) -> SharedReplica {
-    let shown = belief(rows.clone());
+    let served = replica(rows.clone());
     let store = dillspool_platform::TableWatch {
         snapshot: {
             let version = rows.len() as u64 + 1;
@@ -67,14 +68,14 @@
             )
         }),
     };
-    let reach = watch::Sender::new(StoreReachability::unknown());
+    let status = watch::Sender::new(StoreReachability::unknown());
     let role = watch::Sender::new(dillspool_watch::FollowRole::Alone);
     let cancel = CancellationToken::new();
     let settings = dillspool_watch::FollowSettings::new(LIMIT, LIMIT);
     let follow = dillspool_watch::follow_table(
         store,
-        shown.clone(),
-        reach.clone(),
+        served.clone(),
+        status.clone(),
         settings,
         role.subscribe(),
         cancel.clone(),
@@ -86,35 +87,53 @@
     let listener = stack.listen(source()).await.expect("a free address");
     tokio::spawn(serve_relay(
         listener,
-        RelayService::new(vec![shown.clone()], reach.subscribe(), LIMIT),
+        RelayService::new(vec![served.clone()], status.subscribe(), LIMIT),
         cancel,
     ));
     tokio::time::sleep(Duration::from_millis(50)).await;
-    shown
+    served
 }
 
 struct FrameCase {
     name: &'static str,
     path: &'static str,
     rows: u64,
-    /// Bytes of the first message, at least and at most.
+    /// Minimum and maximum size of the first message in bytes.
     bytes: std::ops::Range<usize>,
-    packed: bool,
+    is_compressed: bool,
 }
 
 #[tokio::test(start_paused = true)]
-async fn whole_tables_are_packed_for_hosts_that_take_it() {
+async fn whole_tables_are_compressed_for_hosts_that_accept_it() {
     let cases = [
-        FrameCase { name: "no rows", path: "/packed", rows: 0, bytes: 1..100, packed: false },
-        FrameCase { name: "a few", path: "/packed", rows: 3, bytes: 600..1_024, packed: false },
-        FrameCase { name: "some", path: "/packed", rows: 20, bytes: 1..1_200, packed: true },
-        FrameCase { name: "many", path: "/packed", rows: 3000, bytes: 1..120_000, packed: true },
+        FrameCase {
+            name: "no rows",
+            path: "/packed",
+            rows: 0,
+            bytes: 1..100,
+            is_compressed: false,
+        },
+        FrameCase {
+            name: "a few",
+            path: "/packed",
+            rows: 3,
+            bytes: 600..1_024,
+            is_compressed: false,
+        },
+        FrameCase { name: "some", path: "/packed", rows: 20, bytes: 1..1_200, is_compressed: true },
+        FrameCase {
+            name: "many",
+            path: "/packed",
+            rows: 3000,
+            bytes: 1..120_000,
+            is_compressed: true,
+        },
         FrameCase {
             name: "many, for an earlier version",
             path: "/",
             rows: 3000,
             bytes: 700_000..900_000,
-            packed: false,
+            is_compressed: false,
         },
     ];
     for case in cases {
@@ -123,57 +142,59 @@
         let stack = net.stack("10.0.0.2".parse().unwrap());
         let stream = stack.connect(source()).await.expect("a connection");
         let url = format!("ws://{}{}", source(), case.path);
-        let (mut socket, _response) = client_async(url, stream).await.expect("a link");
+        let (mut socket, _response) = client_async(url, stream).await.expect("a connection");
         let message = socket.next().await.expect("a message").expect("whole").into_data();
         assert!(case.bytes.contains(&message.len()), "{}: {}", case.name, message.len());
-        assert_eq!(message[0] == 0, case.packed, "{}", case.name);
-        if !case.packed {
+        assert_eq!(message[0] == 0, case.is_compressed, "{}", case.name);
+        if !case.is_compressed {
             let message: RelayMessage = ciborium::from_reader(&message[..]).expect("a message");
             assert_eq!(message.rows.len() as u64, case.rows, "{}", case.name);
         }
     }
 }
 
-/// Takes tables from a peer for some seconds; the belief at the end.
-async fn taken(net: &MemoryNet) -> TableDelta {
-    let belief = SharedReplica::new("servers".into(), awake());
+/// Receives tables from a peer for three seconds and returns the replica's rows.
+async fn received(net: &MemoryNet) -> TableDelta {
+    let replica = SharedReplica::new("servers".into(), awake());
     let peers = || RelayPeers { sources: vec![source()], all: vec![source()], subset_seed: None };
     let relay = relay_from_peers(
         net.stack("10.0.0.2".parse().unwrap()),
         peers,
-        vec![belief.clone()],
+        vec![replica.clone()],
         watch::Sender::new(StoreReachability::unknown()),
         CancellationToken::new(),
     );
     let _over = tokio::time::timeout(Duration::from_secs(3), relay).await;
-    belief.changes_since(0.into())
+    replica.changes_since(0.into())
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_packed_is_taken_whole() {
+async fn compressed_tables_are_received_completely() {
     for count in [0, 1, 3, 4, 20, 3000] {
         let net = MemoryNet::default();
         let source = serve(&net.stack(source().ip()), rows(count)).await;
-        let taken = taken(&net).await;
-        assert_eq!(taken, source.changes_since(0.into()), "{count} rows");
+        let received = received(&net).await;
+        assert_eq!(received, source.changes_since(0.into()), "{count} rows");
     }
 }
 
-/// First messages that are none; whoever sends them is left, and costs no more memory than any message.
+/// Invalid first messages. The client disconnects, and a message that expands to 64 MB costs no
+/// more memory than the largest valid one.
 #[tokio::test(start_paused = true)]
-async fn a_message_that_cannot_be_unpacked_changes_nothing() {
-    let bomb = {
+async fn a_message_that_cannot_be_decoded_changes_nothing() {
+    let oversized = {
         use std::io::Write;
         let fast = flate2::Compression::fast();
         let mut encoder = flate2::write::DeflateEncoder::new(vec![0], fast);
-        // The head of a text of 64 MB, and its zeros.
+        // The CBOR header of a text of 64 MB, and its zeros.
         encoder.write_all(&[0x7A, 0x04, 0, 0, 0]).unwrap();
         for _part in 0..64 {
             encoder.write_all(&vec![0; 1024 * 1024]).unwrap();
         }
         encoder.finish().unwrap()
     };
-    let cases = [vec![0], vec![0, 1, 2, 3], vec![0, 0xFF, 0xFF], Vec::new(), vec![0xFF; 40], bomb];
+    let cases =
+        [vec![0], vec![0, 1, 2, 3], vec![0, 0xFF, 0xFF], Vec::new(), vec![0xFF; 40], oversized];
     for bytes in cases {
         let net = MemoryNet::default();
         let stack = net.stack(source().ip());
@@ -181,16 +202,16 @@
         let message = bytes.clone();
         tokio::spawn(async move {
             while let Some(stream) = listener.accept().await {
-                let mut socket = accept_async(stream).await.expect("a link");
+                let mut socket = accept_async(stream).await.expect("a connection");
                 let _sent = socket.send(Message::Binary(message.clone().into())).await;
                 let _left = socket.next().await;
             }
         });
-        assert_eq!(taken(&net).await.rows, Vec::new(), "{} bytes", bytes.len());
+        assert_eq!(received(&net).await.rows, Vec::new(), "{} bytes", bytes.len());
     }
 }
 
-/// A watch by tokio's clock.
+/// A suspension detector on tokio's clock.
 fn awake() -> AwakeWatch {
     AwakeWatch::start(HostClock::steady(), CancellationToken::new())
 }
--- a/crates/dillspool_watch/tests/table_ages.rs
+++ b/crates/dillspool_watch/tests/table_freshness.rs
@@ -1,4 +1,4 @@
-//! What is known of one table says nothing of another one.
+//! Freshness of one table says nothing about another one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,22 +18,22 @@
 
 /// Time in which a change must be in force.
 const LIMIT: Duration = Duration::from_secs(3);
-/// Table that the cases disturb.
+/// Table whose access the cases change.
 const CONFIG: &str = "op";
-/// Table that the store always answers for.
+/// Table for which the store always answers.
 const BACKENDS: &str = "servers";
 
-/// How the store answers one host about the configuration.
+/// How the store answers one host's requests for the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Access {
     Served,
-    TurnedAway,
+    Rejected,
     Silent,
-    /// Changes are gone, and whole reads get no answer.
+    /// Changes are compacted, and snapshot reads get no response.
     HistoryGone,
-    /// Changes are gone, and whole reads are turned away.
-    HistoryGoneAndTurnedAway,
-    /// No question about any table gets an answer.
+    /// Changes are compacted, and snapshot reads are rejected.
+    HistoryGoneAndRejected,
+    /// Requests for all tables get no response.
     CutOff,
 }
 
@@ -44,8 +44,8 @@
 }
 
 impl TestStore {
-    /// A store with a row in each table.
-    fn written() -> Self {
+    /// A store with one row in each table.
+    fn with_rows() -> Self {
         let store = Self::default();
         store.write(CONFIG);
         store.write(BACKENDS);
@@ -71,15 +71,15 @@
 
     fn watch(&self, access: &watch::Receiver<Access>) -> TableWatch {
         let (store, other) = (self.clone(), self.clone());
-        let (for_snapshot, for_changes) = (access.clone(), access.clone());
+        let (snapshot_access, changes_access) = (access.clone(), access.clone());
         TableWatch {
             snapshot: Arc::new(move |table| {
                 let store = store.clone();
-                let access = access_to(&table, *for_snapshot.borrow());
+                let access = access_to(&table, *snapshot_access.borrow());
                 Box::pin(async move {
                     match access {
                         Access::Served => Ok(store.delta(&table, true, 0)),
-                        Access::TurnedAway | Access::HistoryGoneAndTurnedAway => Err(turned_away()),
+                        Access::Rejected | Access::HistoryGoneAndRejected => Err(rejected()),
                         Access::Silent | Access::HistoryGone | Access::CutOff => {
                             std::future::pending().await
                         }
@@ -88,15 +88,15 @@
             }),
             changes: Arc::new(move |table, after, wait| {
                 let store = other.clone();
-                let access = access_to(&table, *for_changes.borrow());
+                let access = access_to(&table, *changes_access.borrow());
                 Box::pin(async move {
                     match access {
                         Access::Served => {}
-                        Access::TurnedAway => {
-                            return Err(WatchError::Store { source: turned_away() });
+                        Access::Rejected => {
+                            return Err(WatchError::Store { source: rejected() });
                         }
                         Access::Silent | Access::CutOff => std::future::pending().await,
-                        Access::HistoryGone | Access::HistoryGoneAndTurnedAway => {
+                        Access::HistoryGone | Access::HistoryGoneAndRejected => {
                             return Err(WatchError::HistoryGone);
                         }
                     }
@@ -115,20 +115,20 @@
     if table == CONFIG || access == Access::CutOff { access } else { Access::Served }
 }
 
-fn turned_away() -> PlatformError {
-    PlatformError::NotDone { reason: "turned away".to_owned() }
+fn rejected() -> PlatformError {
+    PlatformError::NotDone { reason: "rejected".to_owned() }
 }
 
 struct TestHost {
-    /// Suspends it.
+    /// Suspends the host.
     jumps: ClockJumps,
     config: SharedReplica,
     backends: SharedReplica,
     access: watch::Sender<Access>,
 }
 
-/// A host that takes its tables from a peer where it has one.
-async fn host(
+/// Starts a host that receives its tables from a peer if it has one.
+async fn start_host(
     net: &MemoryNet,
     store: &TestStore,
     own: &str,
@@ -141,13 +141,13 @@
     let config = SharedReplica::new(CONFIG.into(), awake.clone());
     let backends = SharedReplica::new(BACKENDS.into(), awake);
     let (access, reader) = watch::channel(Access::Served);
-    let reach = watch::Sender::new(StoreReachability::unknown());
+    let status = watch::Sender::new(StoreReachability::unknown());
     let settings = FollowSettings::new(Duration::from_millis(2500), LIMIT);
-    for (belief, is_probe) in [(&config, true), (&backends, false)] {
+    for (replica, is_probe) in [(&config, true), (&backends, false)] {
         tokio::spawn(follow_table(
             store.watch(&reader),
-            belief.clone(),
-            reach.clone(),
+            replica.clone(),
+            status.clone(),
             FollowSettings { is_probe, ..settings.clone() },
             watch::channel(role).1,
             cancel.clone(),
@@ -156,71 +156,71 @@
     let own: SocketAddr = own.parse().unwrap();
     let stack = net.stack(own.ip());
     let listener = stack.listen(own).await.expect("a free address");
-    let beliefs = vec![config.clone(), backends.clone()];
+    let replicas = vec![config.clone(), backends.clone()];
     tokio::spawn(serve_relay(
         listener,
-        RelayService::new(beliefs.clone(), reach.subscribe(), LIMIT),
+        RelayService::new(replicas.clone(), status.subscribe(), LIMIT),
         cancel.clone(),
     ));
     let all: Vec<SocketAddr> = source.iter().map(|peer| peer.parse().unwrap()).collect();
-    // A source asks its peers only while the store is out of reach.
+    // A source connects to peers only while the store is unreachable.
     let sources = if role == FollowRole::Relayed { all.clone() } else { Vec::new() };
     let peers =
         move || RelayPeers { sources: sources.clone(), all: all.clone(), subset_seed: None };
-    tokio::spawn(relay_from_peers(stack, peers, beliefs, reach, cancel));
+    tokio::spawn(relay_from_peers(stack, peers, replicas, status, cancel));
     TestHost { jumps, config, backends, access }
 }
 
-async fn pass(millis: u64) {
+async fn advance(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-struct AgeCase {
+struct FreshnessCase {
     name: &'static str,
-    /// What the root of the relays meets when it asks for the configuration.
+    /// How the store answers the root of the relays for the configuration.
     root: Access,
     /// Hosts between the root and the last one.
     between: usize,
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_table_that_its_source_does_not_hear_of_is_asked_for() {
-    let case = |name, root, between| AgeCase { name, root, between };
+async fn a_table_that_its_source_cannot_refresh_is_polled() {
+    let case = |name, root, between| FreshnessCase { name, root, between };
     let cases = [
-        case("turned away", Access::TurnedAway, 0),
+        case("rejected", Access::Rejected, 0),
         case("silent", Access::Silent, 0),
         case("history gone", Access::HistoryGone, 0),
-        case("history gone, turned away", Access::HistoryGoneAndTurnedAway, 0),
+        case("history gone, rejected", Access::HistoryGoneAndRejected, 0),
         case("silent, two relays deep", Access::Silent, 1),
         case("history gone, two relays deep", Access::HistoryGone, 1),
         case("history gone, three relays deep", Access::HistoryGone, 2),
     ];
     for case in cases {
-        let (store, net) = (TestStore::written(), MemoryNet::new());
-        let root = host(&net, &store, "10.0.0.1:8146", None, FollowRole::Source).await;
-        pass(100).await;
+        let (store, net) = (TestStore::with_rows(), MemoryNet::new());
+        let root = start_host(&net, &store, "10.0.0.1:8146", None, FollowRole::Source).await;
+        advance(100).await;
         let mut hosts = vec![root];
         for number in 0..=case.between {
             let own = format!("10.0.0.{}:8146", number + 2);
             let source = format!("10.0.0.{}:8146", number + 1);
             let role = FollowRole::Relayed;
-            hosts.push(host(&net, &store, &own, Some(source.as_str()), role).await);
-            pass(1500).await;
+            hosts.push(start_host(&net, &store, &own, Some(source.as_str()), role).await);
+            advance(1500).await;
         }
-        pass(4000).await;
+        advance(4000).await;
         hosts[0].access.send_replace(case.root);
-        // The other table changes all the time, and says nothing of the configuration.
+        // The other table changes constantly, which must not keep the configuration fresh.
         let noise = store.clone();
         let busy = tokio::spawn(async move {
             loop {
-                pass(200).await;
+                advance(200).await;
                 noise.write(BACKENDS);
             }
         });
-        pass(900).await;
+        advance(900).await;
         store.write(CONFIG);
         let written = store.version(CONFIG);
-        pass(LIMIT.as_millis().try_into().unwrap()).await;
+        advance(LIMIT.as_millis().try_into().unwrap()).await;
         for (place, host) in hosts.iter().enumerate().skip(1) {
             assert_eq!(host.config.version(), written.into(), "{}, host {place}", case.name);
         }
@@ -228,20 +228,21 @@
     }
 }
 
-/// Two hosts that take the tables from each other, of which one is cut off: what goes round in a circle
-/// must not pass for news, though the tables change and age at different moments.
+/// Guards against stale tables that two hosts relay to each other: one of them is cut off from the
+/// store, and its tables must not count as fresh because they come back from the other, although
+/// the tables change and age at different times.
 #[tokio::test(start_paused = true)]
-async fn a_circle_of_relays_does_not_keep_tables_fresh() {
+async fn a_relay_cycle_does_not_keep_tables_fresh() {
     for (config_every, backends_every) in [(700, 1100), (2300, 300), (300, 2300), (5000, 1900)] {
-        let (store, net) = (TestStore::written(), MemoryNet::new());
+        let (store, net) = (TestStore::with_rows(), MemoryNet::new());
         let (one, other) = ("10.0.0.1:8146", "10.0.0.2:8146");
-        let root = host(&net, &store, one, Some(other), FollowRole::Source).await;
-        let relayed = host(&net, &store, other, Some(one), FollowRole::Relayed).await;
-        pass(5000).await;
+        let root = start_host(&net, &store, one, Some(other), FollowRole::Source).await;
+        let relayed = start_host(&net, &store, other, Some(one), FollowRole::Relayed).await;
+        advance(5000).await;
         root.access.send_replace(Access::CutOff);
         let mut history = Vec::new();
         for step in 1..300_u64 {
-            pass(100).await;
+            advance(100).await;
             let now = step * 100;
             if now.is_multiple_of(config_every) {
                 store.write(CONFIG);
@@ -250,7 +251,7 @@
                 store.write(BACKENDS);
             }
             history.push((now, store.version(CONFIG), store.version(BACKENDS)));
-            // A question under way when the cut began must first count as lost.
+            // A poll in progress at the start of the outage must first time out.
             let limit =
                 u64::try_from(LIMIT.as_millis()).unwrap() + if now < 8000 { 2000 } else { 0 };
             let due = history.iter().rev().find(|(at, ..)| at + limit <= now);
@@ -266,79 +267,78 @@
 
 struct SuspendedCase {
     name: &'static str,
-    /// What the source meets when it asks after it woke up.
+    /// How the store answers the source after it resumes.
     root: Access,
     suspended_ms: u64,
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_source_that_was_suspended_is_not_taken_for_fresh() {
+async fn a_suspended_source_does_not_count_as_fresh() {
     let case = |name, root, suspended_ms| SuspendedCase { name, root, suspended_ms };
     let cases = [
-        case("its question is not answered", Access::Silent, 10_000),
-        case("it is turned away", Access::TurnedAway, 10_000),
+        case("its poll gets no response", Access::Silent, 10_000),
+        case("its poll is rejected", Access::Rejected, 10_000),
         case("for an hour", Access::Silent, 3_600_000),
     ];
     for case in cases {
-        let (store, net) = (TestStore::written(), MemoryNet::new());
-        let root = host(&net, &store, "10.0.0.1:8146", None, FollowRole::Source).await;
-        pass(100).await;
+        let (store, net) = (TestStore::with_rows(), MemoryNet::new());
+        let root = start_host(&net, &store, "10.0.0.1:8146", None, FollowRole::Source).await;
+        advance(100).await;
         let source = Some("10.0.0.1:8146");
-        let last = host(&net, &store, "10.0.0.2:8146", source, FollowRole::Relayed).await;
-        pass(3000).await;
+        let last = start_host(&net, &store, "10.0.0.2:8146", source, FollowRole::Relayed).await;
+        advance(3000).await;
         assert!(last.config.age().is_some_and(|age| age < LIMIT), "{}: before", case.name);
         root.access.send_replace(case.root);
         root.jumps.suspend(Duration::from_millis(case.suspended_ms));
         let suspended = Duration::from_millis(case.suspended_ms);
         assert!(root.config.age().is_some_and(|age| age >= suspended), "{}: its own", case.name);
-        // Its peer has heard nothing newer than before the suspension, and asks the store itself in time.
+        // The peer has received nothing newer than before the suspension, and polls the store
+        // itself in time.
         store.write(CONFIG);
         let newest = store.version(CONFIG);
-        pass(u64::try_from(LIMIT.as_millis()).expect("small")).await;
+        advance(u64::try_from(LIMIT.as_millis()).expect("small")).await;
         assert_eq!(last.config.version(), newest.into(), "{}", case.name);
     }
 }
 
-/// A question whose answer was lost while the host was suspended held its table up for all the time that it had
-/// been given before: three seconds after it woke up the host still acted on what it knew before.
+/// Guards against a poll that was lost while the host was suspended and delays the table until its
+/// timeout: three seconds after it resumed the host still acted on the old configuration.
 #[tokio::test(start_paused = true)]
-async fn a_host_that_wakes_up_does_not_wait_for_what_was_lost_meanwhile() {
-    let (store, net) = (TestStore::written(), MemoryNet::new());
-    let host = host(&net, &store, "10.0.0.1:8146", None, FollowRole::Alone).await;
-    pass(5000).await;
+async fn a_resumed_host_does_not_wait_for_a_lost_poll() {
+    let (store, net) = (TestStore::with_rows(), MemoryNet::new());
+    let host = start_host(&net, &store, "10.0.0.1:8146", None, FollowRole::Alone).await;
+    advance(5000).await;
     host.access.send_replace(Access::Silent);
-    // Its next question is the one that is lost.
+    // This makes the next poll the one that is lost.
     store.write(CONFIG);
-    pass(500).await;
+    advance(500).await;
     host.access.send_replace(Access::Served);
     host.jumps.suspend(Duration::from_secs(10));
     store.write(CONFIG);
-    pass(1000).await;
+    advance(1000).await;
     assert_eq!(host.config.version(), store.version(CONFIG).into());
 }
 
-/// An answer that was waited for while the host stood still tells of the moment before, so the host went on with
-/// what it knew then until its next question was answered, and refused what it could not know to be new.
+/// Guards against counting a response that was awaited during a suspension as fresh. It reflects the
+/// time before, so the host went on with outdated tables until its next poll was answered, and
+/// refused what it could not check against current ones.
 #[tokio::test(start_paused = true)]
-async fn a_host_that_wakes_up_asks_at_once_what_has_changed() {
-    for after_question in [100, 700, 1500, 2300] {
-        let (store, net) = (TestStore::written(), MemoryNet::new());
-        let host = host(&net, &store, "10.0.0.1:8146", None, FollowRole::Alone).await;
-        pass(5000).await;
-        // Its next question begins now.
+async fn a_resumed_host_polls_for_changes_at_once() {
+    for after_poll_ms in [100, 700, 1500, 2300] {
+        let (store, net) = (TestStore::with_rows(), MemoryNet::new());
+        let host = start_host(&net, &store, "10.0.0.1:8146", None, FollowRole::Alone).await;
+        advance(5000).await;
+        // This starts the next poll.
         store.write(CONFIG);
         store.write(BACKENDS);
-        pass(400 + after_question).await;
+        advance(400 + after_poll_ms).await;
         host.jumps.suspend(Duration::from_secs(1));
-        pass(800).await;
-        for (table, belief) in
+        advance(800).await;
+        for (table, replica) in
             [("configuration", &host.config), ("backend servers", &host.backends)]
         {
-            let age = belief.age().expect("it is known");
-            assert!(
-                age < Duration::from_millis(900),
-                "{after_question} ms: {table} is {age:?} old"
-            );
+            let age = replica.age().expect("it is known");
+            assert!(age < Duration::from_millis(900), "{after_poll_ms} ms: {table} is {age:?} old");
         }
     }
 }
--- a/crates/dillspool_watch/tests/parts.rs
+++ b/crates/dillspool_watch/tests/table_subsets.rs
@@ -1,4 +1,4 @@
-//! Hosts that hold parts of a large table, as a source relays them.
+//! Hosts that hold subsets of a large table that a source relays.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use tokio_util::sync::CancellationToken;
 
 const LIMIT: Duration = Duration::from_secs(4);
-/// What tells the part of the host from those of others.
+/// The seed that selects the host's subset.
 const SEED: u64 = 0xD177;
 
 fn awake() -> AwakeWatch {
@@ -26,14 +26,14 @@
     ([10, 0, 0, last], 8146).into()
 }
 
-/// Rows are texts `CLASS TEXT`; one without a blank is of no class.
-fn belief() -> SharedReplica {
+/// Rows are texts `CLASS TEXT`; one without a space has no class.
+fn replica() -> SharedReplica {
     let class = |_key: &str, text: &str| Some(text.split_once(' ')?.0.into());
     SharedReplica::new("servers".into(), awake()).with_classifier(RowClassifier::new(class))
 }
 
-/// A store that answers each question with nothing new.
-fn quiet_store() -> TableWatch {
+/// A store that answers each poll without changes.
+fn unchanged_store() -> TableWatch {
     TableWatch {
         snapshot: Arc::new(|_table| {
             Box::pin(async { Err(PlatformError::NotDone { reason: "not asked".to_owned() }) })
@@ -47,27 +47,27 @@
     }
 }
 
-/// A source with rows of its own choosing, and a host that takes its part of them.
-struct PartedPair {
+/// A source whose rows a test writes, and a host that receives its subset of them.
+struct SubsetPair {
     source: SharedReplica,
     held: SharedReplica,
     version: u64,
 }
 
-impl PartedPair {
+impl SubsetPair {
     async fn start() -> Self {
         let net = MemoryNet::new();
-        let source = belief();
+        let source = replica();
         serve(&net.stack(address(1).ip()), &source).await;
-        let held = belief();
+        let held = replica();
         let peers =
             || RelayPeers { sources: vec![address(1)], all: vec![], subset_seed: Some(SEED) };
-        let reach = watch::Sender::new(StoreReachability::unknown());
+        let status = watch::Sender::new(StoreReachability::unknown());
         tokio::spawn(relay_from_peers(
             net.stack(address(2).ip()),
             peers,
             vec![held.clone()],
-            reach,
+            status,
             CancellationToken::new(),
         ));
         Self { source, held, version: 0 }
@@ -85,7 +85,7 @@
         self.source.merge(&TableDelta { full: false, version: version.into(), rows });
     }
 
-    /// The rows of the source that are of the host's part, which must fit the source's table.
+    /// The source's rows that are in the host's subset, which must fit the size of the table.
     fn expected(&self, case: &str) -> Vec<(String, String)> {
         let rows = live(&self.source);
         let mut counts = RowCounts::default();
@@ -104,14 +104,14 @@
     }
 }
 
-fn live(belief: &SharedReplica) -> Vec<(String, String)> {
-    let rows = belief.changes_since(0.into()).rows.into_iter();
+fn live(replica: &SharedReplica) -> Vec<(String, String)> {
+    let rows = replica.changes_since(0.into()).rows.into_iter();
     rows.filter_map(|row| Some((row.key.to_string(), row.value?.to_string()))).collect()
 }
 
-/// Serves a belief that counts as fresh, whatever is merged into it.
-async fn serve(stack: &NetStack, shown: &SharedReplica) {
-    let reach = watch::Sender::new(StoreReachability::unknown());
+/// Relays a replica that counts as fresh, whatever is merged into it.
+async fn serve(stack: &NetStack, served: &SharedReplica) {
+    let status = watch::Sender::new(StoreReachability::unknown());
     let role = watch::Sender::new(FollowRole::Source);
     let first = TableDelta { full: true, version: 0.into(), rows: Vec::new() };
     let store = TableWatch {
@@ -119,19 +119,19 @@
             let first = first.clone();
             Box::pin(async move { Ok(first) })
         }),
-        ..quiet_store()
+        ..unchanged_store()
     };
     let settings = FollowSettings::new(LIMIT, LIMIT);
     let follow = follow_table(
         store,
-        shown.clone(),
-        reach.clone(),
+        served.clone(),
+        status.clone(),
         settings,
         role.subscribe(),
         CancellationToken::new(),
     );
     let listener = stack.listen(address(1)).await.expect("a free address");
-    let service = RelayService::new(vec![shown.clone()], reach.subscribe(), LIMIT);
+    let service = RelayService::new(vec![served.clone()], status.subscribe(), LIMIT);
     tokio::spawn(serve_relay(listener, service, CancellationToken::new()));
     tokio::spawn(async move {
         follow.await;
@@ -144,22 +144,22 @@
     numbers.map(|at| (format!("{class}-{at:05}"), Some(format!("{class} first")))).collect()
 }
 
-async fn pass(millis: u64) {
+async fn advance(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
 struct ChangeCase {
     name: &'static str,
-    /// Rows of the class `many` before; there are six of the class `few`.
+    /// Rows of the class `many` before the change; there are six of the class `few`.
     before: usize,
-    /// What is written then.
+    /// Rows written in the change.
     change: fn() -> Vec<(String, Option<String>)>,
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_part_follows_its_rows_and_no_others() {
+async fn a_subset_follows_its_rows_and_no_others() {
     let cases = [
-        ChangeCase { name: "nothing", before: 3_000, change: Vec::new },
+        ChangeCase { name: "no change", before: 3_000, change: Vec::new },
         ChangeCase { name: "a small table", before: 40, change: || rows("many", 40..60) },
         ChangeCase {
             name: "each row changes",
@@ -175,7 +175,7 @@
             change: || (0..1_000).map(|at| (format!("many-{at:05}"), None)).collect(),
         },
         ChangeCase {
-            name: "a few go over to the other class",
+            name: "a few change their class",
             before: 3_000,
             change: || {
                 let row = |at| (format!("many-{at:05}"), Some("few now".to_owned()));
@@ -183,10 +183,10 @@
             },
         },
         ChangeCase {
-            name: "some tell no class any more",
+            name: "some lose their class",
             before: 3_000,
             change: || {
-                (0..200).map(|at| (format!("many-{at:05}"), Some("spoiled".into()))).collect()
+                (0..200).map(|at| (format!("many-{at:05}"), Some("malformed".into()))).collect()
             },
         },
         ChangeCase {
@@ -196,25 +196,25 @@
         },
         ChangeCase { name: "few, then many", before: 10, change: || rows("many", 10..5_000) },
         ChangeCase {
-            name: "most are gone",
+            name: "most are deleted",
             before: 8_000,
             change: || (100..8_000).map(|at| (format!("many-{at:05}"), None)).collect(),
         },
     ];
     for case in cases {
-        let mut pair = PartedPair::start().await;
+        let mut pair = SubsetPair::start().await;
         pair.write(&rows("many", 0..case.before));
         pair.write(&rows("few", 0..6));
-        pass(3_000).await;
+        advance(3_000).await;
         assert_eq!(live(&pair.held), pair.expected(case.name), "{}: before", case.name);
         pair.write(&(case.change)());
-        pass(12_000).await;
+        advance(12_000).await;
         let mut held = live(&pair.held);
         held.retain(|(_key, text)| text.contains(' '));
         assert_eq!(held, pair.expected(case.name), "{}", case.name);
-        // Of what is gone it remembers its own rows, as long as it holds a part.
-        let is_part = pair.held.subscribe().borrow().part.is_some();
-        let remembered = pair.held.changes_since(0.into()).rows.len() - live(&pair.held).len();
-        assert!(!is_part || remembered <= case.before / 8, "{}: {remembered}", case.name);
+        // While it holds a subset, the host keeps tombstones only for rows of its own.
+        let is_subset = pair.held.subscribe().borrow().part.is_some();
+        let tombstones = pair.held.changes_since(0.into()).rows.len() - live(&pair.held).len();
+        assert!(!is_subset || tombstones <= case.before / 8, "{}: {tombstones}", case.name);
     }
 }
