--- a/crates/dillspool_forward/src/refusal.rs
+++ b/crates/dillspool_forward/src/refusal.rs
@@ -130,12 +130,12 @@
     }
 
     /// A refusal of a request that did not run.
-    pub fn come_back(cause: RefusalCause, after: Duration) -> Self {
+    pub fn with_retry_after(cause: RefusalCause, after: Duration) -> Self {
         Self { cause, retry_after: Some(after) }
     }
 
     /// Whether its backend servers have room again in a while.
-    pub(crate) fn is_limited(&self) -> bool {
+    pub(crate) fn is_backends_limited(&self) -> bool {
         self.cause == RefusalCause::BackendsLimited
     }
 
--- a/crates/dillspool_roles/src/keeper.rs
+++ b/crates/dillspool_roles/src/reconciler.rs
@@ -8,41 +8,41 @@
 use dillspool_forward::{BackendCalls, CallError, OrderOutcome, StageOrder};
 use dillspool_io::HostClock;
 use dillspool_platform::TableStore;
-use dillspool_routing::{DirectoryView, RoutingConfig, StartedBackend};
+use dillspool_routing::{BackendInstance, DirectoryView, RoutingConfig};
 use dillspool_schema::Name;
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
 use crate::lease::{LeaseRow, OrderLease, OrderTerm};
-use crate::plan::{StageChange, pool_engines, stage_changes};
+use crate::plan::{StageChange, plan_stage_changes, pool_engines};
 use crate::targets::PoolTargets;
 
 /// How stages are kept.
-pub struct KeeperSettings {
+pub struct ReconcilerSettings {
     /// This host.
     pub host: Name,
     /// How pools are divided.
     pub targets: PoolTargets,
     /// Time that must lie between the orders of two holders.
-    pub apart: Duration,
+    pub handover_gap: Duration,
     /// Whether the fleet starts for the first time.
     pub is_first_start: bool,
     /// The clock by which terms end.
     pub clock: HostClock,
-    /// Time before this host acts on a change that is due; see [`keep_stages`].
+    /// Time before this host acts on a change that is due; see [`reconcile_stages`].
     pub delay: DelayFn,
     /// Whether a start of an engine wants nothing from this host for now.
-    pub rests: RestFn,
+    pub is_backing_off: BackoffFn,
 }
 
 /// Time that a host waits before it acts, as things are now.
 pub type DelayFn = Arc<dyn Fn() -> Duration + Send + Sync>;
 
 /// Whether a start of a backend server wants nothing from this host for now.
-pub type RestFn = Arc<dyn Fn(&StartedBackend) -> bool + Send + Sync>;
+pub type BackoffFn = Arc<dyn Fn(&BackendInstance) -> bool + Send + Sync>;
 
-impl fmt::Debug for KeeperSettings {
+impl fmt::Debug for ReconcilerSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("KeeperSettings").field("host", &self.host).finish_non_exhaustive()
     }
@@ -62,17 +62,21 @@
 ///
 /// Every host runs this. Each waits its own `delay` before it acts, least the one that schedules the
 /// pools, so mostly one tries for the lease; the lease alone decides.
-pub async fn keep_stages(
-    settings: KeeperSettings,
+pub async fn reconcile_stages(
+    settings: ReconcilerSettings,
     store: TableStore,
     calls: BackendCalls,
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     directory: watch::Receiver<Arc<DirectoryView>>,
     cancel: CancellationToken,
 ) {
-    let lease =
-        OrderLease::new(store, Name::clone(&settings.host), settings.apart, settings.clock.clone())
-            .at_first_start(settings.is_first_start);
+    let lease = OrderLease::new(
+        store,
+        Name::clone(&settings.host),
+        settings.handover_gap,
+        settings.clock.clone(),
+    )
+    .with_first_start(settings.is_first_start);
     let mut keeper = StageKeeper {
         settings,
         lease,
@@ -90,13 +94,13 @@
 }
 
 struct StageKeeper {
-    settings: KeeperSettings,
+    settings: ReconcilerSettings,
     lease: OrderLease,
     calls: BackendCalls,
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     directory: watch::Receiver<Arc<DirectoryView>>,
     /// When a start of an engine was ordered, by any host.
-    ordered: HashMap<StartedBackend, Instant>,
+    ordered: HashMap<BackendInstance, Instant>,
     /// Fence of the newest row of the lease whose targets were taken.
     seen_fence: u64,
     /// Since when pools have had too few prefill engines.
@@ -133,7 +137,7 @@
         let mut due = Vec::new();
         let Some(config) = self.config.borrow().clone() else { return due };
         let view = Arc::clone(&self.directory.borrow());
-        if view.part.is_some() {
+        if view.subset.is_some() {
             // How many of all engines prefill does not show in a part of them.
             return due;
         }
@@ -142,14 +146,14 @@
             let Some(pool) = &service.engine else { continue };
             let keep = self.settings.targets.update(&service.name, pool, &view, now);
             if self.may_order(&service.name, &view, keep, now) {
-                due.extend(stage_changes(&view, &service.name, keep));
+                due.extend(plan_stage_changes(&view, &service.name, keep));
             }
         }
         due.retain(|change| {
-            let engine = change.entry.started();
+            let engine = change.entry.instance();
             let was_ordered =
                 self.ordered.get(&engine).is_some_and(|at| at.elapsed() <= ORDER_AGAIN);
-            !was_ordered && !(self.settings.rests)(&engine)
+            !was_ordered && !(self.settings.is_backing_off)(&engine)
         });
         due
     }
@@ -170,10 +174,10 @@
         if wanted.is_empty() {
             return;
         }
-        let engines = wanted.iter().map(|change| change.entry.started().label());
+        let engines = wanted.iter().map(|change| change.entry.instance().label());
         let engines: Vec<Name> = engines.collect();
         let (targets, token) = (self.settings.targets.decided(), write_token(&self.settings.host));
-        let term = match self.lease.take(&engines, &targets, token).await {
+        let term = match self.lease.acquire(&engines, &targets, token).await {
             Ok(Some(term)) => term,
             Ok(None) => return,
             Err(error) => {
@@ -181,7 +185,7 @@
                 return;
             }
         };
-        self.settings.targets.note_written(&targets);
+        self.settings.targets.record_written(&targets);
         self.seen_fence = term.fence;
         for change in wanted {
             self.send(change, &term).await;
@@ -211,7 +215,7 @@
     /// wrote it since, the targets.
     fn take_over(&mut self, row: &LeaseRow, due: &[StageChange]) {
         let now = Instant::now();
-        let started = due.iter().map(|change| change.entry.started());
+        let started = due.iter().map(|change| change.entry.instance());
         for backend in started.filter(|it| row.ordered.contains(&it.label())) {
             self.ordered.entry(backend).or_insert(now);
         }
@@ -227,7 +231,7 @@
             log::info!("event=order_dropped backend={id} fence={} cause=\"term over\"", term.fence);
             return;
         }
-        self.ordered.insert(change.entry.started(), Instant::now());
+        self.ordered.insert(change.entry.instance(), Instant::now());
         let order = StageOrder {
             stage: change.stage,
             holder: Name::clone(&self.settings.host),
--- a/crates/dillspool_roles/tests/keeper.rs
+++ b/crates/dillspool_roles/tests/keeper.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use dillspool_capacity::DemandMeter;
-use dillspool_forward::{BackendCalls, BackendSign, CallError, OrderOutcome};
+use dillspool_forward::{BackendCalls, CallError, OrderOutcome, ProbeResult};
 use dillspool_io::HostClock;
 use dillspool_platform::MemoryTable;
-use dillspool_roles::{KeeperSettings, PoolTargets, RestFn, ShareRule, keep_stages};
+use dillspool_roles::{BackoffFn, PoolTargets, ReconcilerSettings, ShareRule, reconcile_stages};
 use dillspool_routing::{
-    BackendEntry, BackendStart, BackendState, ClientLimits, DirectoryView, EnginePool, EngineStage,
-    RouteTable, RoutingConfig, ServiceEntry, StartedBackend,
+    BackendEntry, BackendInstance, BackendStart, BackendState, ClientLimits, DirectoryView,
+    EnginePool, EngineStage, RouteTable, RoutingConfig, ServiceEntry,
 };
 use hyper::StatusCode;
 use tokio::sync::watch;
@@ -23,9 +23,9 @@
     let pool = EnginePool {
         slots: 64,
         memory_tokens: 40_000,
-        handle_life: Duration::from_millis(500),
-        longest_hold: Duration::from_secs(2),
-        switch_time: Duration::from_secs(6),
+        handle_ttl: Duration::from_millis(500),
+        max_reservation_ttl: Duration::from_secs(2),
+        stage_switch_time: Duration::from_secs(6),
     };
     let service = ServiceEntry {
         name: "pool".into(),
@@ -39,9 +39,9 @@
         services: BTreeMap::from([("pool".into(), service)]),
         workspaces: None,
         limits: ClientLimits {
-            head_bytes: 1,
-            body_bytes: 1,
-            head_timeout: Duration::from_secs(1),
+            max_header_bytes: 1,
+            max_body_bytes: 1,
+            header_timeout: Duration::from_secs(1),
             idle_timeout: Duration::from_secs(1),
         },
     }
@@ -90,9 +90,9 @@
         forward: Arc::new(|_entry, _request, _terms| Box::pin(async { Err(refused()) })),
         prefill: Arc::new(|_entry, _request, _terms| Box::pin(async { Err(refused()) })),
         reserve: Arc::new(|_entry, _terms| Box::pin(async { Err(refused()) })),
-        release_hold: Arc::new(|_entry, _hold| Box::pin(async { Ok(()) })),
+        release_reservation: Arc::new(|_entry, _hold| Box::pin(async { Ok(()) })),
         release_prefill: Arc::new(|_entry, _handle| Box::pin(async { Ok(()) })),
-        look: Arc::new(|_entry| Box::pin(async { BackendSign::Lives })),
+        probe: Arc::new(|_entry| Box::pin(async { ProbeResult::Reachable })),
         order: Arc::new(move |entry, order| {
             orders.lock().unwrap().push(format!("{} {:?}", entry.id, order.stage));
             Box::pin(async { Ok(OrderOutcome::Started) })
@@ -113,7 +113,7 @@
         orders,
         config,
         listed,
-        &(Arc::new(|_engine: &StartedBackend| false) as RestFn),
+        &(Arc::new(|_engine: &BackendInstance| false) as BackoffFn),
         cancel,
     );
 }
@@ -124,20 +124,20 @@
     orders: &Arc<Mutex<Vec<String>>>,
     config: &watch::Receiver<Option<Arc<RoutingConfig>>>,
     listed: &watch::Receiver<Arc<DirectoryView>>,
-    rests: &RestFn,
+    rests: &BackoffFn,
     cancel: &CancellationToken,
 ) {
     for host in 0..HOSTS {
-        let settings = KeeperSettings {
+        let settings = ReconcilerSettings {
             host: format!("host-{host}").into(),
             targets: PoolTargets::new(ShareRule::Fixed(0.33), DemandMeter::default()),
-            apart: Duration::from_secs(3),
+            handover_gap: Duration::from_secs(3),
             is_first_start: true,
             clock: HostClock::steady(),
             delay: Arc::new(move || Duration::from_secs(host)),
-            rests: Arc::clone(rests),
+            is_backing_off: Arc::clone(rests),
         };
-        tokio::spawn(keep_stages(
+        tokio::spawn(reconcile_stages(
             settings,
             table.store(),
             calls(orders),
@@ -247,7 +247,7 @@
     let (_directory, listed) = watch::channel(view(4, 5));
     let cancel = CancellationToken::new();
     let rested = tokio::time::Instant::now() + Duration::from_secs(20);
-    let rests: RestFn =
+    let rests: BackoffFn =
         Arc::new(move |engine| &*engine.id == "p0" && tokio::time::Instant::now() < rested);
     start_keepers_with(&table, &orders, &config, &listed, &rests, &cancel);
     tokio::time::sleep_until(rested).await;
--- a/crates/dillspool_router/src/ingress.rs
+++ b/crates/dillspool_router/src/ingress.rs
@@ -5,13 +5,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use dillspool_forward::{ForwardContext, Refusal, RefusalCause, answer_request};
+use dillspool_forward::{ForwardContext, Refusal, RefusalCause, handle_request};
 use dillspool_io::{HostClock, HttpHandler, ResponseBody, handler};
 use dillspool_keys::PresentedKey;
 use dillspool_moment::Moment;
-use dillspool_routing::{RequestTerms, RouteEntry, RoutedRequest, RoutingConfig, WorkspaceEntry};
+use dillspool_routing::{
+    RequestMetadata, RouteEntry, RoutedRequest, RoutingConfig, WorkspaceEntry,
+};
 use dillspool_schema::Name;
-use dillspool_suspects::{PrintKey, PrintParts, RequestPrint};
+use dillspool_suspects::{FingerprintInput, FingerprintKey, RequestFingerprint};
 use dillspool_watch::SharedReplica;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HOST, HeaderValue, RETRY_AFTER};
@@ -57,7 +59,7 @@
     pub stopping: Arc<AtomicBool>,
     in_flight: Arc<Semaphore>,
     patience: PatienceTable,
-    print_key: PrintKey,
+    print_key: FingerprintKey,
     clock: HostClock,
 }
 
@@ -74,7 +76,7 @@
         context: ForwardContext,
         known: KnownConfig,
         stopping: Arc<AtomicBool>,
-        print_key: PrintKey,
+        print_key: FingerprintKey,
         clock: HostClock,
     ) -> Self {
         let in_flight = Arc::new(Semaphore::new(MOST_IN_FLIGHT));
@@ -97,7 +99,7 @@
         let mut response = match self.route(request, terms, arrived).await {
             Ok((routed, _permit)) => {
                 let route = Name::clone(&routed.route.name);
-                let response = answer_request(self.context.clone(), routed).await;
+                let response = handle_request(self.context.clone(), routed).await;
                 if response.headers().contains_key(RETRY_AFTER) {
                     self.patience.note_refused(&route);
                 }
@@ -121,15 +123,15 @@
     async fn route(
         &self,
         request: Request<Incoming>,
-        terms: RequestTerms,
+        terms: RequestMetadata,
         arrived: Moment,
     ) -> Result<(RoutedRequest, tokio::sync::OwnedSemaphorePermit), Refusal> {
         let current = self.known.config.borrow().clone();
         let Some(config) = current else {
-            return Err(Refusal::come_back(RefusalCause::NotReady, NOT_READY_RETRY));
+            return Err(Refusal::with_retry_after(RefusalCause::NotReady, NOT_READY_RETRY));
         };
         let Ok(permit) = Arc::clone(&self.in_flight).try_acquire_owned() else {
-            return Err(Refusal::come_back(RefusalCause::HostFull, FULL_RETRY));
+            return Err(Refusal::with_retry_after(RefusalCause::HostFull, FULL_RETRY));
         };
         let id = terms.id.ok_or(Refusal::new(RefusalCause::Malformed))?;
         let (parts, body) = request.into_parts();
@@ -140,22 +142,22 @@
         let route = config.routes.find(&host, parts.uri.path()).cloned();
         let route = route.ok_or_else(|| self.unknown(RefusalCause::NoRoute))?;
         let workspace = self.workspace_of(&config, &route, &terms.key)?;
-        let service = route.service_for(&id).map(Name::clone);
+        let service = route.pick_service(&id).map(Name::clone);
         let service = service.ok_or(Refusal::new(RefusalCause::NoRoute))?;
         let caller_time = terms.time_budget.unwrap_or(route.timeout);
         let spent_before = self.patience.note(&route.name, caller_time);
         let deadline = arrived + caller_time.min(route.timeout);
-        let body = receive(body, config.limits.body_bytes, &held);
+        let body = receive(body, config.limits.max_body_bytes, &held);
         let received = self.clock.timeout_at(deadline, body).await;
         let body = received.unwrap_or(Err(Refusal::new(RefusalCause::BodyLost)))?;
         // Not the address: one caller comes by many, and each would have a request of its own.
         let caller = workspace.as_ref().map_or("", |workspace| &*workspace.name);
         let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
-        let print = PrintParts { caller, host: &route.host, path, body: &body };
-        let print = RequestPrint::of(&self.print_key, &print);
+        let print = FingerprintInput { caller, host: &route.host, path, body: &body };
+        let print = RequestFingerprint::of(&self.print_key, &print);
         let routed = RoutedRequest {
             id,
-            print,
+            fingerprint: print,
             method: parts.method,
             uri: origin_form(&parts.uri),
             headers: parts.headers,
@@ -170,8 +172,8 @@
             generation: terms.generation,
             resume_after: terms.resume_after,
             config_version: config.version,
-            held,
-            takes_chunks: parts.version > Version::HTTP_10,
+            held_bytes: held,
+            accepts_chunked: parts.version > Version::HTTP_10,
         };
         Ok((routed, permit))
     }
@@ -189,7 +191,7 @@
             return Ok(None);
         };
         match key {
-            PresentedKey::One(key) => match workspaces.of_key(key) {
+            PresentedKey::One(key) => match workspaces.find_by_key(key) {
                 Some(workspace) => Ok(Some(Arc::clone(workspace))),
                 None => Err(self.unknown(RefusalCause::UnknownKey)),
             },
@@ -207,7 +209,7 @@
         if is_newest {
             Refusal::new(cause)
         } else {
-            Refusal::come_back(RefusalCause::StaleConfig, STALE_RETRY)
+            Refusal::with_retry_after(RefusalCause::StaleConfig, STALE_RETRY)
         }
     }
 }
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -10,7 +10,7 @@
 use dillspool_scheduler::{CallTerms, LimitTerms};
 use dillspool_schema::Name;
 use dillspool_schema::router::{CallSettings, LimitSettings, RouterSettings, SuspectSettings};
-use dillspool_suspects::{PrintKey, RequestPrint};
+use dillspool_suspects::{FingerprintKey, RequestFingerprint};
 use snafu::{ResultExt, Snafu};
 
 use crate::memory_terms;
@@ -103,9 +103,9 @@
     /// Limits on bytes held for slow peers; `None` where they are not limited.
     pub held: Option<HeldTerms>,
     /// Key of the prints that stand for requests.
-    pub print_key: PrintKey,
+    pub print_key: FingerprintKey,
     /// Prints of requests that run whatever ended under them.
-    pub lifted: Vec<RequestPrint>,
+    pub lifted: Vec<RequestFingerprint>,
     /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
     /// Time after an outage in which lapsed backend servers may register again.
@@ -207,12 +207,12 @@
 }
 
 /// The key of prints; without one all fleets have the same.
-fn print_key(settings: Option<&SuspectSettings>) -> PrintKey {
+fn print_key(settings: Option<&SuspectSettings>) -> FingerprintKey {
     let key = settings.map(|settings| &*settings.key).filter(|key| !key.is_empty());
-    key.map_or_else(PrintKey::default, PrintKey::new)
+    key.map_or_else(FingerprintKey::default, FingerprintKey::new)
 }
 
-fn lifted(settings: Option<&SuspectSettings>) -> Result<Vec<RequestPrint>, SettingsError> {
+fn lifted(settings: Option<&SuspectSettings>) -> Result<Vec<RequestFingerprint>, SettingsError> {
     let prints = settings.into_iter().flat_map(|settings| &settings.lifted);
     let parse = |text: &String| {
         text.parse().map_err(|_malformed| SettingsError::Field {
@@ -227,7 +227,7 @@
 /// The rule for an optional part of a pool.
 fn share_rule(share: Option<f64>) -> Result<ShareRule, SettingsError> {
     match share {
-        None => Ok(ShareRule::Observed { at_first: FIRST_SHARE }),
+        None => Ok(ShareRule::Observed { initial_share: FIRST_SHARE }),
         Some(share) if share > 0.0 && share < 1.0 => Ok(ShareRule::Fixed(share)),
         Some(share) => {
             let remedy = "give a part between 0 and 1, or leave it out so that it follows the load";
--- a/crates/dillspool_watch/src/relay/client.rs
+++ b/crates/dillspool_watch/src/relay/client.rs
@@ -7,7 +7,7 @@
 
 use dillspool_io::{NetStack, NetStream};
 use dillspool_moment::Moment;
-use dillspool_part::TablePart;
+use dillspool_part::TableSubset;
 use dillspool_platform::{ChangedRow, StoreVersion, TableDelta};
 use dillspool_schema::Name;
 use dillspool_schema::relay::{RelayMessage, RelayPart, RelayRow};
@@ -226,7 +226,7 @@
 fn take(
     replicas: &[SharedReplica],
     message: RelayMessage,
-    part: Option<&Arc<TablePart>>,
+    part: Option<&Arc<TableSubset>>,
     waited_since: Moment,
 ) {
     let Some(replica) = replicas.iter().find(|replica| replica.table == message.table) else {
@@ -250,10 +250,10 @@
     // An age that reaches back before the start of this host's clock is too old to count.
     let age = Duration::from_millis(message.age_ms);
     let heard_at = replica.freshness().valid_as_of(waited_since);
-    replica.freshness().record_relayed(heard_at.checked_before(age));
+    replica.freshness().record_relayed(heard_at.checked_sub(age));
 }
 
-fn subset_from_wire(part: RelayPart) -> TablePart {
+fn subset_from_wire(part: RelayPart) -> TableSubset {
     let bits = part.classes.into_iter().map(|class| (class.class, class.bits));
-    TablePart { seed: part.seed, bits: bits.collect() }
+    TableSubset { seed: part.seed, sampling_bits: bits.collect() }
 }
--- a/crates/dillspool_watch/src/relay/server.rs
+++ b/crates/dillspool_watch/src/relay/server.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillspool_io::{NetListener, NetStream};
-use dillspool_part::TablePart;
+use dillspool_part::TableSubset;
 use dillspool_platform::{ChangedRow, StoreVersion};
 use dillspool_schema::Name;
 use dillspool_schema::relay::{RelayClass, RelayMessage, RelayPart, RelayRow};
@@ -82,9 +82,9 @@
     }
 
     /// The subset of a table for a peer that holds subsets of large tables.
-    fn subset_for(&self, replica: &SharedReplica, seed: u64) -> Option<Arc<TablePart>> {
+    fn subset_for(&self, replica: &SharedReplica, seed: u64) -> Option<Arc<TableSubset>> {
         let counts = replica.count_rows((self.hosts)())?;
-        TablePart::of_counts(seed, &counts).map(Arc::new)
+        TableSubset::for_counts(seed, &counts).map(Arc::new)
     }
 
     /// Assigns a peer a new subset if the table has outgrown its current one.
@@ -94,7 +94,7 @@
         }
         (table.checked_at, table.rows) = (Instant::now(), 0);
         let counts = table.replica.count_rows((self.hosts)());
-        if counts.is_some_and(|counts| TablePart::is_outgrown(table.part.as_deref(), &counts)) {
+        if counts.is_some_and(|counts| TableSubset::needs_resize(table.part.as_deref(), &counts)) {
             table.part = self.subset_for(&table.replica, seed);
             table.version = StoreVersion::default();
         }
@@ -143,7 +143,7 @@
     /// Version up to which the peer has the table; the default version before the first rows.
     version: StoreVersion,
     /// The rows that the peer holds; `None` for all.
-    part: Option<Arc<TablePart>>,
+    part: Option<Arc<TableSubset>>,
     /// When it was last checked whether the subset fits the table, and rows sent since then.
     checked_at: Instant,
     rows: usize,
@@ -258,8 +258,8 @@
     Ok(())
 }
 
-fn subset_to_wire(part: &TablePart) -> RelayPart {
+fn subset_to_wire(part: &TableSubset) -> RelayPart {
     let class =
         |(class, bits): (&Name, &u32)| RelayClass { class: Name::clone(class), bits: *bits };
-    RelayPart { seed: part.seed, classes: part.bits.iter().map(class).collect() }
+    RelayPart { seed: part.seed, classes: part.sampling_bits.iter().map(class).collect() }
 }
--- a/crates/dillspool_watch/src/replica.rs
+++ b/crates/dillspool_watch/src/replica.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dillspool_io::AwakeWatch;
-use dillspool_part::{RowCounts, TablePart};
+use dillspool_part::{RowCounts, TableSubset};
 use dillspool_platform::{ChangedRow, StoreVersion, TableDelta};
 use dillspool_schema::Name;
 use tokio::sync::watch;
@@ -72,7 +72,7 @@
     /// Version of the newest snapshot; rows that it did not contain did not exist then.
     snapshot_version: StoreVersion,
     /// The subset of rows held; `None` for all.
-    pub part: Option<Arc<TablePart>>,
+    pub part: Option<Arc<TableSubset>>,
     /// Whether the store was restored from a backup since the replica was first filled. From then
     /// on a row that is written again with its restored text counts as changed.
     is_restored: bool,
@@ -182,7 +182,7 @@
 
     /// Replaces the replica with another subset of the table, given all of that subset's rows. Rows
     /// known to be newer are kept, so a sender with an older replica undoes nothing.
-    fn switch_subset(&mut self, delta: &TableDelta, part: Option<Arc<TablePart>>) -> bool {
+    fn switch_subset(&mut self, delta: &TableDelta, part: Option<Arc<TableSubset>>) -> bool {
         let before = std::mem::replace(self, Self::with_tombstone_limit(self.max_tombstones));
         self.part = part;
         self.is_restored = before.is_restored || delta.version.era() > before.version.era();
@@ -203,7 +203,7 @@
     }
 
     /// Drops the rows that are not in a subset.
-    fn restrict_to(&mut self, part: &Arc<TablePart>, classifier: &RowClassifier) {
+    fn restrict_to(&mut self, part: &Arc<TableSubset>, classifier: &RowClassifier) {
         self.rows
             .retain(|key, row| row.value.is_none() || is_in_subset(part, key, row, classifier));
         self.part = Some(Arc::clone(part));
@@ -312,7 +312,11 @@
     }
 
     /// Merges an update that a peer relayed, which has the rows of a subset, or all.
-    pub(crate) fn merge_relayed(&self, delta: &TableDelta, part: Option<&Arc<TablePart>>) -> bool {
+    pub(crate) fn merge_relayed(
+        &self,
+        delta: &TableDelta,
+        part: Option<&Arc<TableSubset>>,
+    ) -> bool {
         self.modify(|replica| {
             if replica.part.as_ref() == part {
                 return self.merge_into(replica, delta);
@@ -393,20 +397,25 @@
     pub(crate) fn subset_changes_since(
         &self,
         version: StoreVersion,
-        part: &TablePart,
+        part: &TableSubset,
     ) -> TableDelta {
         let Some(classifier) = &self.classifier else { return self.changes_since(version) };
         let replica = self.sender.borrow();
         let version = replica.delta_base(version);
         replica.changes_of(version, |key, row| {
             // The host may hold a row that was deleted or has changed its class.
-            let may_be_known = version.is_known() && (row.value.is_none() || part.may_hold(key));
+            let may_be_known = version.is_known() && (row.value.is_none() || part.may_contain(key));
             may_be_known || is_in_subset(part, key, row, classifier)
         })
     }
 }
 
 /// Whether a row exists and is in a subset.
-fn is_in_subset(part: &TablePart, key: &str, row: &ReplicaRow, classifier: &RowClassifier) -> bool {
-    row.class(key, classifier).is_some_and(|class| part.of_class(class).holds(key))
+fn is_in_subset(
+    part: &TableSubset,
+    key: &str,
+    row: &ReplicaRow,
+    classifier: &RowClassifier,
+) -> bool {
+    row.class(key, classifier).is_some_and(|class| part.for_class(class).contains(key))
 }
