--- a/crates/dillspool_leaving/src/book.rs
+++ b/crates/dillspool_leaving/src/book.rs
@@ -10,7 +10,7 @@
 
 /// A backend server has said that it leaves.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LeavingNews {
+pub struct LeavingUpdate {
     /// Which start of it.
     pub backend: BackendInstance,
     /// When it said so.
@@ -19,17 +19,17 @@
 
 /// The starts that have said so. A start never takes it back; the next start of a backend server is another one.
 #[derive(Clone, Debug, Default)]
-pub struct LeavingBook {
+pub struct LeavingRegistry {
     starts: HashMap<BackendId, Vec<Option<BackendStart>>>,
     /// In the order in which they were noted.
-    order: VecDeque<LeavingNews>,
+    order: VecDeque<LeavingUpdate>,
 }
 
-impl LeavingBook {
+impl LeavingRegistry {
     /// Notes that a start leaves; whether that is new.
-    pub fn note(&mut self, news: &LeavingNews) -> bool {
+    pub fn record(&mut self, news: &LeavingUpdate) -> bool {
         let backend = &news.backend;
-        if self.leaves(backend) {
+        if self.is_leaving(backend) {
             return false;
         }
         if self.order.len() >= MOST_STARTS {
@@ -41,7 +41,7 @@
     }
 
     /// Whether a start has said that it leaves; one that is not told apart from another counts as the same.
-    pub fn leaves(&self, backend: &BackendInstance) -> bool {
+    pub fn is_leaving(&self, backend: &BackendInstance) -> bool {
         let starts = self.starts.get(&backend.id);
         starts.is_some_and(|known| {
             known.iter().any(|start| !BackendStart::are_different(*start, backend.start))
@@ -49,7 +49,7 @@
     }
 
     /// The newest `most`, the newest first.
-    pub fn newest(&self, most: usize) -> impl Iterator<Item = &LeavingNews> {
+    pub fn newest(&self, most: usize) -> impl Iterator<Item = &LeavingUpdate> {
         self.order.iter().rev().take(most)
     }
 
@@ -59,7 +59,7 @@
     }
 
     fn forget_oldest(&mut self) {
-        let Some(LeavingNews { backend: oldest, at: _ }) = self.order.pop_front() else { return };
+        let Some(LeavingUpdate { backend: oldest, at: _ }) = self.order.pop_front() else { return };
         if let Some(starts) = self.starts.get_mut(&oldest.id) {
             starts.retain(|start| *start != oldest.start);
             if starts.is_empty() {
--- a/crates/dillspool_leaving/src/desk.rs
+++ b/crates/dillspool_leaving/src/desk.rs
@@ -8,28 +8,28 @@
 use dillspool_routing::BackendInstance;
 use tokio::sync::{Notify, watch};
 
-use crate::book::{LeavingBook, LeavingNews};
+use crate::book::{LeavingRegistry, LeavingUpdate};
 
 /// News that wait to be told to other hosts at most; the oldest go first.
 const MOST_NEWS: usize = 1_024;
 
 /// Remembers which backend servers have said that they leave.
 #[derive(Clone)]
-pub struct LeavingDesk {
-    book: Arc<watch::Sender<LeavingBook>>,
+pub struct LeavingTracker {
+    book: Arc<watch::Sender<LeavingRegistry>>,
     /// Words of answers that are to be told to other hosts.
-    untold: Arc<Mutex<VecDeque<LeavingNews>>>,
+    untold: Arc<Mutex<VecDeque<LeavingUpdate>>>,
     changed: Arc<Notify>,
     clock: HostClock,
 }
 
-impl fmt::Debug for LeavingDesk {
+impl fmt::Debug for LeavingTracker {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("LeavingDesk")
     }
 }
 
-impl LeavingDesk {
+impl LeavingTracker {
     /// A desk that has heard nothing yet.
     pub fn new(clock: HostClock) -> Self {
         let book = Arc::new(watch::Sender::default());
@@ -37,8 +37,8 @@
     }
 
     /// Takes an answer of a backend server's own that says that it leaves.
-    pub fn hear(&self, backend: &BackendInstance) {
-        let news = LeavingNews { backend: backend.clone(), at: self.clock.now() };
+    pub fn record_response(&self, backend: &BackendInstance) {
+        let news = LeavingUpdate { backend: backend.clone(), at: self.clock.now() };
         if !self.note(&news, "answer") {
             return;
         }
@@ -52,12 +52,12 @@
     }
 
     /// Takes another host's word; whether it is news here.
-    pub fn learn(&self, news: &LeavingNews) -> bool {
+    pub fn apply_update(&self, news: &LeavingUpdate) -> bool {
         self.note(news, "told")
     }
 
     /// The book as it is, and as it becomes.
-    pub fn subscribe(&self) -> watch::Receiver<LeavingBook> {
+    pub fn subscribe(&self) -> watch::Receiver<LeavingRegistry> {
         self.book.subscribe()
     }
 
@@ -67,12 +67,12 @@
     }
 
     /// Takes the news since the last call.
-    pub fn take_news(&self) -> VecDeque<LeavingNews> {
+    pub fn take_updates(&self) -> VecDeque<LeavingUpdate> {
         std::mem::take(&mut self.untold.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// The newest `most` that are known.
-    pub fn known(&self, most: usize) -> Vec<LeavingNews> {
+    pub fn newest_updates(&self, most: usize) -> Vec<LeavingUpdate> {
         self.book.borrow().newest(most).cloned().collect()
     }
 
@@ -82,8 +82,8 @@
     }
 
     /// Notes a word and who told it; whether it is new here.
-    fn note(&self, news: &LeavingNews, from: &str) -> bool {
-        let is_new = self.book.send_if_modified(|book| book.note(news));
+    fn note(&self, news: &LeavingUpdate, from: &str) -> bool {
+        let is_new = self.book.send_if_modified(|book| book.record(news));
         if is_new {
             let age_ms = self.clock.now().since(news.at).as_millis();
             log::info!(
--- a/crates/dillspool_leaving/tests/book.rs
+++ b/crates/dillspool_leaving/tests/book.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dillspool_leaving::{LeavingBook, LeavingNews};
+use dillspool_leaving::{LeavingRegistry, LeavingUpdate};
 use dillspool_moment::Moment;
 use dillspool_routing::{BackendInstance, BackendStart};
 
@@ -10,9 +10,9 @@
     BackendInstance { id: id.into(), start: start.map(BackendStart) }
 }
 
-fn news(id: &str, start: Option<u64>) -> LeavingNews {
+fn news(id: &str, start: Option<u64>) -> LeavingUpdate {
     let at = Moment::after_origin(Duration::from_secs(1));
-    LeavingNews { backend: started(id, start), at }
+    LeavingUpdate { backend: started(id, start), at }
 }
 
 struct StartCase {
@@ -40,33 +40,33 @@
 #[test]
 fn a_start_that_leaves_is_told_from_the_next_one() {
     for case in &CASES {
-        let mut book = LeavingBook::default();
-        assert!(book.note(&news("i-1", case.said)), "{}: news", case.name);
-        assert!(!book.note(&news("i-1", case.said)), "{}: again", case.name);
-        assert_eq!(book.leaves(&started("i-1", case.asked)), case.leaves, "{}", case.name);
-        assert!(!book.leaves(&started("i-2", case.said)), "{}: another", case.name);
+        let mut book = LeavingRegistry::default();
+        assert!(book.record(&news("i-1", case.said)), "{}: news", case.name);
+        assert!(!book.record(&news("i-1", case.said)), "{}: again", case.name);
+        assert_eq!(book.is_leaving(&started("i-1", case.asked)), case.leaves, "{}", case.name);
+        assert!(!book.is_leaving(&started("i-2", case.said)), "{}: another", case.name);
     }
 }
 
 #[test]
 fn several_starts_of_one_backend_server_may_leave() {
-    let mut book = LeavingBook::default();
+    let mut book = LeavingRegistry::default();
     for start in 1..=3 {
-        assert!(book.note(&news("i-1", Some(start))));
+        assert!(book.record(&news("i-1", Some(start))));
     }
-    assert!((1..=3).all(|start| book.leaves(&started("i-1", Some(start)))));
-    assert!(!book.leaves(&started("i-1", Some(4))));
+    assert!((1..=3).all(|start| book.is_leaving(&started("i-1", Some(start)))));
+    assert!(!book.is_leaving(&started("i-1", Some(4))));
     let newest: Vec<_> = book.newest(2).map(|it| it.backend.start).collect();
     assert_eq!(newest, [Some(BackendStart(3)), Some(BackendStart(2))]);
 }
 
 #[test]
 fn what_is_remembered_is_bounded_and_the_oldest_goes_first() {
-    let mut book = LeavingBook::default();
+    let mut book = LeavingRegistry::default();
     for number in 0..10_000 {
-        book.note(&news(&format!("i-{number}"), Some(1)));
+        book.record(&news(&format!("i-{number}"), Some(1)));
     }
     assert_eq!(book.count(), 8_192);
-    assert!(!book.leaves(&started("i-0", Some(1))));
-    assert!(book.leaves(&started("i-9999", Some(1))));
+    assert!(!book.is_leaving(&started("i-0", Some(1))));
+    assert!(book.is_leaving(&started("i-9999", Some(1))));
 }
--- a/crates/dillspool_router/src/directory_tracker.rs
+++ b/crates/dillspool_router/src/directory_tracker.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_leaving::LeavingBook;
+use dillspool_leaving::LeavingRegistry;
 use dillspool_part::TableSubset;
 use dillspool_platform::StoreVersion;
 use dillspool_routing::{
@@ -49,9 +49,9 @@
 
 impl KnownBackend {
     /// Whether it takes new requests, as far as its last row and itself say.
-    fn is_ready(&self, leaving: &LeavingBook) -> bool {
+    fn is_ready(&self, leaving: &LeavingRegistry) -> bool {
         let is_ready =
-            |entry: &Arc<BackendEntry>| entry.is_ready() && !leaving.leaves(&entry.instance());
+            |entry: &Arc<BackendEntry>| entry.is_ready() && !leaving.is_leaving(&entry.instance());
         self.held_back.is_none() && self.entry.as_ref().is_some_and(is_ready)
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// What is in use of it: its row, unless it has said itself that it leaves.
-    fn used_entry(&self, leaving: &LeavingBook) -> Option<Arc<BackendEntry>> {
+    fn used_entry(&self, leaving: &LeavingRegistry) -> Option<Arc<BackendEntry>> {
         let entry = self.entry.as_ref()?;
         if entry.is_ready() == self.is_ready(leaving) {
             return Some(Arc::clone(entry));
@@ -83,7 +83,7 @@
     /// Whether the store is reached.
     pub reach: watch::Receiver<StoreReachability>,
     /// Backend servers that have said in an answer that they leave.
-    pub leaving: watch::Receiver<LeavingBook>,
+    pub leaving: watch::Receiver<LeavingRegistry>,
 }
 
 struct DirectoryTracker {
@@ -157,7 +157,7 @@
 }
 
 impl DirectoryTracker {
-    fn view(&self, version: StoreVersion, leaving: &LeavingBook) -> DirectoryView {
+    fn view(&self, version: StoreVersion, leaving: &LeavingRegistry) -> DirectoryView {
         let entry = |(id, known): (&BackendId, &KnownBackend)| {
             Some((BackendId::clone(id), known.used_entry(leaving)?))
         };
@@ -212,7 +212,7 @@
     fn update(
         &mut self,
         belief: &TableReplica,
-        leaving: &LeavingBook,
+        leaving: &LeavingRegistry,
         state: StoreReachability,
     ) -> bool {
         if self.departed.note_version(belief.version, self.version) {
--- a/crates/dillspool_router/src/fleet_duties.rs
+++ b/crates/dillspool_router/src/fleet_duties.rs
@@ -94,8 +94,8 @@
     };
     let (learning, knowing) = (site.leaving.clone(), site.leaving.clone());
     let leaving = NoticeHandlers {
-        learn: Arc::new(move |news| learning.learn(news)),
-        known: Arc::new(move |most| knowing.known(most)),
+        learn: Arc::new(move |news| learning.apply_update(news)),
+        known: Arc::new(move |most| knowing.newest_updates(most)),
     };
     FleetBus::new(BusHandlers { suspects, throttle, leaving }, clock.clone())
 }
--- a/crates/dillspool_router/src/notice_keeper.rs
+++ b/crates/dillspool_router/src/notice_keeper.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_limits::SpendRequest;
 use dillspool_routing::DirectoryView;
 use dillspool_scheduler::{FleetNews, LimitClient, ScheduleClient};
@@ -19,7 +19,7 @@
 /// What the task works with.
 pub(crate) struct NoticeKeeper {
     pub(crate) throttle: ThrottleTracker,
-    pub(crate) leaving: LeavingDesk,
+    pub(crate) leaving: LeavingTracker,
     pub(crate) limits: LimitClient,
     pub(crate) schedule: ScheduleClient,
     pub(crate) directory: watch::Receiver<Arc<DirectoryView>>,
@@ -44,7 +44,7 @@
     }
 
     fn tell_leaving(&self) {
-        for news in self.leaving.take_news() {
+        for news in self.leaving.take_updates() {
             self.schedule.tell(&FleetNews::Leaving(news));
         }
     }
--- a/crates/dillspool_router/src/site.rs
+++ b/crates/dillspool_router/src/site.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use dillspool_forward::BackendCalls;
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_platform::{TableStore, TableWatch};
 use dillspool_routing::{BackendEntry, RequestMetadata, RoutingConfig};
 use dillspool_schema::Name;
@@ -35,7 +35,7 @@
     /// Remembers what the answers to them say of how much the backend servers take.
     pub throttle: ThrottleTracker,
     /// Remembers which backend servers say in them that they leave.
-    pub leaving: LeavingDesk,
+    pub leaving: LeavingTracker,
     /// Follows the store's tables.
     pub watch: TableWatch,
     /// The product's own rows in the store.
--- a/crates/dillspool_router/src/throttle_metrics.rs
+++ b/crates/dillspool_router/src/throttle_metrics.rs
@@ -3,7 +3,7 @@
 
 use std::sync::atomic::AtomicU64;
 
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_scheduler::LimitClient;
 use dillspool_throttle::ThrottleTracker;
 use prometheus_client::metrics::counter::Counter;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ThrottleMetrics {
     desk: ThrottleTracker,
-    leaving_desk: LeavingDesk,
+    leaving_desk: LeavingTracker,
     clients: [LimitClient; 2],
     limited: Gauge,
     resting: Gauge,
@@ -27,7 +27,7 @@
     /// Figures of the desks, and of those who ask for the limits of workspaces and of backend servers.
     pub(crate) fn new(
         desk: ThrottleTracker,
-        leaving_desk: LeavingDesk,
+        leaving_desk: LeavingTracker,
         clients: [LimitClient; 2],
     ) -> Self {
         Self {
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -12,7 +12,7 @@
 };
 use dillspool_io::{HostClock, full_body};
 use dillspool_keys::{CallerKey, PresentedKey};
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_platform::{
     ChangedRow, MemoryTable, PlatformError, TableDelta, TableWatch, WatchError,
 };
@@ -233,7 +233,7 @@
         own_table: "own".into(),
         calls: calls(site),
         throttle: ThrottleTracker::new(HostClock::steady()),
-        leaving: LeavingDesk::new(HostClock::steady()),
+        leaving: LeavingTracker::new(HostClock::steady()),
         watch: TableWatch {
             snapshot: Arc::new(move |table| {
                 let site = for_snapshot.clone();
--- a/crates/dillspool_router/tests/common/tracked.rs
+++ b/crates/dillspool_router/tests/common/tracked.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dillspool_io::{AwakeWatch, HostClock};
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_platform::{ChangedRow, StoreEra, StoreVersion, TableDelta};
 use dillspool_router::{DirectorySettings, DirectorySources, UnreadableRows, track_directory};
 use dillspool_routing::{BackendInstance, BackendStart, DirectoryView};
@@ -20,7 +20,7 @@
     pub operator: SharedReplica,
     pub unreadable: UnreadableRows,
     pub reach: watch::Sender<StoreReachability>,
-    pub leaving: LeavingDesk,
+    pub leaving: LeavingTracker,
     pub view: watch::Receiver<Arc<DirectoryView>>,
 }
 
@@ -37,7 +37,7 @@
         };
         let site = super::site(&super::TestSite::default());
         let unreadable = UnreadableRows::default();
-        let leaving = LeavingDesk::new(HostClock::steady());
+        let leaving = LeavingTracker::new(HostClock::steady());
         let sources = DirectorySources {
             backends: belief.subscribe(),
             operator: operator.subscribe(),
@@ -50,7 +50,8 @@
 
     /// A start of the backend server says in an answer that it leaves.
     pub fn say_leaving(&self, start: Option<u64>) {
-        self.leaving.hear(&BackendInstance { id: "i-1".into(), start: start.map(BackendStart) });
+        self.leaving
+            .record_response(&BackendInstance { id: "i-1".into(), start: start.map(BackendStart) });
     }
 
     pub fn write(&self, version: u64, text: Option<&str>) {
--- a/crates/dillspool_routerd/src/lib.rs
+++ b/crates/dillspool_routerd/src/lib.rs
@@ -1,7 +1,7 @@
 //! What the daemon of a routing host on a prepared platform plugs into the router.
 
 use dillspool_io::{HostClock, HttpClient, NetStack};
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_router::{RouterConfig, SiteProtocol};
 use dillspool_throttle::ThrottleTracker;
 
@@ -13,7 +13,7 @@
 ) -> SiteProtocol {
     let http = HttpClient::pooled(stack);
     let throttle = ThrottleTracker::new(clock.clone());
-    let leaving = LeavingDesk::new(clock.clone());
+    let leaving = LeavingTracker::new(clock.clone());
     SiteProtocol {
         take_terms: dillspool_site::take_terms,
         mark_answer: dillspool_site::mark_answer,
--- a/crates/dillspool_scheduler/src/fleet_bus.rs
+++ b/crates/dillspool_scheduler/src/fleet_bus.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use dillspool_io::HostClock;
-use dillspool_leaving::LeavingNews;
+use dillspool_leaving::LeavingUpdate;
 use dillspool_moment::Moment;
 use dillspool_routing::{BackendInstance, BackendStart};
 use dillspool_schema::Name;
@@ -86,7 +86,7 @@
     /// Of limits that backend servers name.
     pub throttle: NoticeHandlers<ThrottleUpdate>,
     /// Of backend servers that leave.
-    pub leaving: NoticeHandlers<LeavingNews>,
+    pub leaving: NoticeHandlers<LeavingUpdate>,
 }
 
 impl BusHandlers {
@@ -110,7 +110,7 @@
     /// A backend server says how much it takes.
     Throttle(ThrottleUpdate),
     /// A backend server says that it leaves.
-    Leaving(LeavingNews),
+    Leaving(LeavingUpdate),
 }
 
 /// Carries news between this host and those that it is linked with.
@@ -272,9 +272,9 @@
         Ok(ThrottleUpdate { backend, rate, at: self.said_at(message.age_ms) })
     }
 
-    fn decode_leaving(&self, message: &ScheduleLeaving) -> Result<LeavingNews, String> {
+    fn decode_leaving(&self, message: &ScheduleLeaving) -> Result<LeavingUpdate, String> {
         let backend = decode_started(&message.backend, message.start)?;
-        Ok(LeavingNews { backend, at: self.said_at(message.age_ms) })
+        Ok(LeavingUpdate { backend, at: self.said_at(message.age_ms) })
     }
 
     fn said_at(&self, age_ms: u64) -> Moment {
--- a/crates/dillspool_scheduler/tests/fleet_news.rs
+++ b/crates/dillspool_scheduler/tests/fleet_news.rs
@@ -8,7 +8,7 @@
 use dillspool_admission::AdmissionPolicy;
 use dillspool_capacity::DemandMeter;
 use dillspool_io::{HostClock, MemoryNet, NetStream};
-use dillspool_leaving::{LeavingDesk, LeavingNews};
+use dillspool_leaving::{LeavingTracker, LeavingUpdate};
 use dillspool_routing::{
     BackendEntry, BackendInstance, BackendStart, BackendState, ClientLimits, DirectoryView,
     EngineStage, RouteTable, RoutingConfig, ServiceEntry,
@@ -293,13 +293,13 @@
     ];
     for case in cases {
         let net = MemoryNet::new();
-        let desk = LeavingDesk::new(HostClock::steady());
+        let desk = LeavingTracker::new(HostClock::steady());
         let listener = net.stack(address().ip()).listen(address()).await.expect("a free address");
         let cancel = CancellationToken::new();
         let (learning, knowing) = (desk.clone(), desk.clone());
         let leaving = NoticeHandlers {
-            learn: Arc::new(move |news: &LeavingNews| learning.learn(news)),
-            known: Arc::new(move |most| knowing.known(most)),
+            learn: Arc::new(move |news: &LeavingUpdate| learning.apply_update(news)),
+            known: Arc::new(move |most| knowing.newest_updates(most)),
         };
         let handlers = BusHandlers { leaving, ..BusHandlers::none() };
         let desks = desks_of(handlers);
@@ -317,7 +317,7 @@
         let mut three = link(&net, "10.0.0.4").await;
         assert_eq!(heard(&mut three).await, (told, true), "{}: later", case.name);
         let start = |start| BackendInstance { id: "e1".into(), start: Some(BackendStart(start)) };
-        let leaves = |at| desk.subscribe().borrow().leaves(&start(at));
+        let leaves = |at| desk.subscribe().borrow().is_leaving(&start(at));
         assert_eq!([leaves(7), leaves(8)], [case.is_taken, false], "{}", case.name);
         cancel.cancel();
     }
