--- a/crates/dillspool_forward/src/retry_budget.rs
+++ b/crates/dillspool_forward/src/retry_budget.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use dillspool_io::HostClock;
-use dillspool_limits::FleetCount;
+use dillspool_limits::FleetSize;
 use dillspool_moment::Moment;
 use dillspool_schema::Name;
 
@@ -81,7 +81,7 @@
     clock: HostClock,
     /// The hosts that share the budgets: where a fleet is cut in two, each half counts itself alone and
     /// both spend, so the largest count stands for a while.
-    hosts: Arc<Mutex<FleetCount>>,
+    hosts: Arc<Mutex<FleetSize>>,
     windows: Arc<Mutex<HashMap<Name, ServiceWindow>>>,
 }
 
@@ -95,7 +95,7 @@
     /// a while.
     pub fn set_host_count(&self, hosts: usize) {
         let mut count = self.hosts.lock().unwrap_or_else(PoisonError::into_inner);
-        count.note(hosts.max(1), self.clock.now());
+        count.record(hosts.max(1), self.clock.now());
     }
 
     fn hosts(&self) -> usize {
--- a/crates/dillspool_forward/src/throttle.rs
+++ b/crates/dillspool_forward/src/throttle.rs
@@ -84,7 +84,7 @@
     backend: &BackendInstance,
     spend: SpendRequest,
 ) -> Option<SendPermit> {
-    let spend = SpendRequest { rank: rank_of(request), ..spend };
+    let spend = SpendRequest { priority: rank_of(request), ..spend };
     // Another backend server may have room, so no holder is waited for, and a silent one does not keep the
     // caller beyond its time.
     let asking = context.backend_limits.spend(&spend, Duration::ZERO);
--- a/crates/dillspool_forward/src/workspace_limit.rs
+++ b/crates/dillspool_forward/src/workspace_limit.rs
@@ -36,8 +36,8 @@
         version: RateVersion::Config(request.config_version),
         amount: limit.amount(request.generation.as_ref()),
         // One workspace's requests take turns as they come.
-        rank: 0,
-        before: 0.0,
+        priority: 0,
+        unreported: 0.0,
     };
     let patience = request.route.objective.mul_f64(HOLDER_WAIT_PART).min(request.remaining());
     match context.limits.spend(&spend, patience).await {
--- a/crates/dillspool_limits/src/fleet.rs
+++ b/crates/dillspool_limits/src/fleet.rs
@@ -17,17 +17,17 @@
 
 /// Counts of hosts that were seen or told lately.
 #[derive(Clone, Debug, Default)]
-pub struct FleetCount {
+pub struct FleetSize {
     /// Moments and counts, the largest first; later ones are smaller.
     counts: VecDeque<(Moment, usize)>,
 }
 
-impl FleetCount {
+impl FleetSize {
     /// Time for which a host without its holder may spend its own part.
-    pub const OWN_TERM: Duration = OWN_TERM;
+    pub const LOCAL_QUOTA_TERM: Duration = OWN_TERM;
 
     /// Notes a count.
-    pub fn note(&mut self, hosts: usize, now: Moment) {
+    pub fn record(&mut self, hosts: usize, now: Moment) {
         self.forget(now);
         while self.counts.back().is_some_and(|(_at, count)| *count <= hosts) {
             self.counts.pop_back();
@@ -52,7 +52,7 @@
     /// The rest is left to hosts that may have lost their holder, or have another one: the parts of
     /// all holders and hosts add up to one, whoever asks whom.
     #[expect(clippy::cast_precision_loss, reason = "hosts are counted in hundreds")]
-    pub fn holder_part(&self, served: usize, now: Moment) -> f64 {
+    pub fn holder_share(&self, served: usize, now: Moment) -> f64 {
         let served = served.max(1);
         let standing = self.largest(now).unwrap_or(served).max(served);
         served as f64 / standing as f64
@@ -60,7 +60,7 @@
 
     /// The part of a limit that a host without a holder spends.
     #[expect(clippy::cast_precision_loss, reason = "hosts are counted in hundreds")]
-    pub fn own_part(&self, now: Moment) -> Option<f64> {
+    pub fn local_share(&self, now: Moment) -> Option<f64> {
         self.largest(now).map(|hosts| 1.0 / hosts as f64)
     }
 }
--- a/crates/dillspool_limits/src/ledger.rs
+++ b/crates/dillspool_limits/src/ledger.rs
@@ -37,7 +37,7 @@
 
 /// What a ledger grants beside the limits themselves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LedgerTerms {
+pub struct LimiterSettings {
     /// Balance beyond the burst.
     headroom: f64,
     /// Balance at the start.
@@ -48,7 +48,7 @@
     before: BeforeTerms,
 }
 
-impl LedgerTerms {
+impl LimiterSettings {
     /// Terms of a holder, where a site allows so much beyond the limits in a window.
     ///
     /// A request is granted while any balance is left: a limit may be as small as two requests a
@@ -85,7 +85,7 @@
 
 /// A limit as it stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitReading {
+pub struct LimitStatus {
     /// The limit.
     pub rate: LimitRate,
     /// What is left; below zero while a debt is being paid.
@@ -94,8 +94,8 @@
 
 /// Balances by subject.
 #[derive(Clone, Debug)]
-pub struct LimitLedger {
-    terms: LedgerTerms,
+pub struct KeyedLimiter {
+    terms: LimiterSettings,
     /// When the count began.
     since: Moment,
     /// Whether nobody is known to have counted before.
@@ -103,15 +103,15 @@
     buckets: HashMap<Name, LimitBucket>,
 }
 
-impl LimitLedger {
+impl KeyedLimiter {
     /// Begins to count, as the first that does.
-    pub fn new(terms: LedgerTerms, since: Moment) -> Self {
+    pub fn new(terms: LimiterSettings, since: Moment) -> Self {
         Self { terms, since, is_first: true, buckets: HashMap::new() }
     }
 
     /// Begins again, where others have counted before. What they granted is not known and counts as
     /// spent: balances start with next to nothing, and the burst comes back by time.
-    pub fn begin_again(&mut self, now: Moment) {
+    pub fn reset(&mut self, now: Moment) {
         self.since = now;
         self.is_first = false;
         for bucket in self.buckets.values_mut() {
@@ -122,7 +122,7 @@
     /// Spends what a request asks of a limit, of which `part` is granted here.
     pub fn spend(&mut self, request: &SpendRequest, part: f64, now: Moment) -> SpendDecision {
         self.forget_full(now, part);
-        let LedgerTerms { headroom, start, lends, before } = self.terms;
+        let LimiterSettings { headroom, start, lends, before } = self.terms;
         let since = self.since;
         let first =
             if self.is_first && lends { request.rate.burst * part * FIRST_PART } else { 0.0 };
@@ -133,25 +133,25 @@
         bucket.set_rate(request.rate, request.version);
         // A limit that was lowered holds at once.
         bucket.fill(now, part, headroom);
-        bucket.charge_before(request.before, &before, part);
+        bucket.charge_before(request.unreported, &before, part);
         if request.amount <= 0.0 {
             return SpendDecision::Allowed;
         }
         let least = if lends { 0.0 } else { request.amount };
-        bucket.spend(request.amount, request.rank, least, part)
+        bucket.spend(request.amount, request.priority, least, part)
     }
 
     /// Gives back an amount of a request that did not run.
-    pub fn give_back(&mut self, subject: &str, amount: f64) {
+    pub fn refund(&mut self, subject: &str, amount: f64) {
         if let Some(bucket) = self.buckets.get_mut(subject) {
             bucket.give_back(amount);
         }
     }
 
     /// How a limit stands; `None` if it was not asked for.
-    pub fn read(&self, subject: &str) -> Option<LimitReading> {
+    pub fn status(&self, subject: &str) -> Option<LimitStatus> {
         let bucket = self.buckets.get(subject)?;
-        Some(LimitReading { rate: bucket.rate(), balance: bucket.balance() })
+        Some(LimitStatus { rate: bucket.rate(), balance: bucket.balance() })
     }
 
     /// Subjects that are counted.
--- a/crates/dillspool_limits/src/lib.rs
+++ b/crates/dillspool_limits/src/lib.rs
@@ -13,7 +13,7 @@
 mod spend;
 
 pub use bucket::{LimitRate, SpendDecision};
-pub use fleet::FleetCount;
-pub use holder::{LimitHolder, OwnParts};
-pub use ledger::{LedgerTerms, LimitLedger, LimitReading};
+pub use fleet::FleetSize;
+pub use holder::{LimitHolder, LocalQuota};
+pub use ledger::{KeyedLimiter, LimitStatus, LimiterSettings};
 pub use spend::{RateVersion, SpendRequest};
--- a/crates/dillspool_limits/src/spend.rs
+++ b/crates/dillspool_limits/src/spend.rs
@@ -11,7 +11,7 @@
     /// Version of the configuration that states it.
     Config(u64),
     /// When it was heard.
-    Heard(Moment),
+    Observed(Moment),
 }
 
 /// What a request asks of a limit.
@@ -26,7 +26,7 @@
     /// How much the request counts for.
     pub amount: f64,
     /// How urgent it is; 0 goes first.
-    pub rank: u32,
+    pub priority: u32,
     /// What the host spent before it knew of the limit, told once.
-    pub before: f64,
+    pub unreported: f64,
 }
--- a/crates/dillspool_limits/tests/cold_start.rs
+++ b/crates/dillspool_limits/tests/cold_start.rs
@@ -49,7 +49,7 @@
                     holders[number].join(None, at(step));
                 }
                 if number > 0 && step_of(host, *served, &MOVED) == step {
-                    let told = holders[number].standing(at(step));
+                    let told = holders[number].known_hosts(at(step));
                     holders[number].leave(at(step));
                     holders[0].join(Some(told), at(step));
                 }
@@ -64,8 +64,8 @@
                     rate: limit,
                     version: RateVersion::Config(1),
                     amount,
-                    rank: 0,
-                    before: 0.0,
+                    priority: 0,
+                    unreported: 0.0,
                 };
                 if is_asked && holder.spend(&request, at(step)) == SpendDecision::Allowed {
                     sum += amount;
--- a/crates/dillspool_limits/tests/fleet.rs
+++ b/crates/dillspool_limits/tests/fleet.rs
@@ -9,7 +9,7 @@
 
 use dillspool_cases::fixed_cases;
 use dillspool_limits::{
-    LimitHolder, LimitRate, OwnParts, RateVersion, SpendDecision, SpendRequest,
+    LimitHolder, LimitRate, LocalQuota, RateVersion, SpendDecision, SpendRequest,
 };
 use dillspool_moment::Moment;
 use proptest::prelude::*;
@@ -33,7 +33,7 @@
 struct LimitKind {
     name: &'static str,
     holder: fn(Moment) -> LimitHolder,
-    parts: fn(usize, Moment) -> OwnParts,
+    parts: fn(usize, Moment) -> LocalQuota,
     /// What a host asks for in each step, as far as it gets it.
     amounts: &'static [f64],
     /// Limits a second; the plain way is played with the last one.
@@ -53,7 +53,7 @@
 const WORKSPACES: LimitKind = LimitKind {
     name: "workspaces",
     holder: |now| LimitHolder::new(SLACK, now),
-    parts: |_host, now| OwnParts::new(now),
+    parts: |_host, now| LocalQuota::new(now),
     amounts: &[LARGE, PLAIN, PLAIN, LARGE, PLAIN],
     rates: &[30_000.0, 300_000.0],
     least_burst: 0.0,
@@ -69,9 +69,9 @@
 /// Far below a request a second, what one server takes of a small fleet, and more than a host asks for.
 const BACKEND_SERVERS: LimitKind = LimitKind {
     name: "backend servers",
-    holder: LimitHolder::of_backend_servers,
+    holder: LimitHolder::for_backend_servers,
     // Some phase that is another one on each host.
-    parts: |host, now| OwnParts::of_backend_servers(PHASES[host], now),
+    parts: |host, now| LocalQuota::for_backend_servers(PHASES[host], now),
     amounts: &[1.0; 12],
     rates: &[0.1, 0.5, 5.7, 200.0, 40.0],
     least_burst: 1.0,
@@ -109,7 +109,7 @@
 
 struct Host {
     holder: LimitHolder,
-    parts: OwnParts,
+    parts: LocalQuota,
     /// Whom it asks; itself where it holds the limits.
     asks: Option<usize>,
 }
@@ -147,7 +147,7 @@
         let mut holder = (kind.holder)(now);
         if way == Way::Kept {
             // The rows of the hosts name the others.
-            holder.note_hosts(HOSTS, now);
+            holder.record_host_count(HOSTS, now);
         }
         Host { holder, parts: (kind.parts)(host, now), asks: None }
     }
@@ -165,14 +165,14 @@
         match event {
             Event::Follow(holder) => {
                 self.leave(host, 0);
-                let told = self.hosts[host].parts.hosts(now);
+                let told = self.hosts[host].parts.known_hosts(now);
                 let told = told.filter(|_hosts| self.way == Way::Kept);
                 self.hosts[holder].holder.join(told, now);
                 self.hosts[host].asks = Some(holder);
                 if self.way == Way::Plain {
                     // It takes those that ask it for all hosts.
                     let served = self.hosts.iter().filter(|it| it.asks == Some(holder)).count();
-                    self.hosts[holder].holder.note_hosts(served, now);
+                    self.hosts[holder].holder.record_host_count(served, now);
                 }
             }
             Event::Lose => self.leave(host, 0),
@@ -210,8 +210,8 @@
         if let Some(asked) = self.hosts[host].asks
             && self.step.is_multiple_of(WORD_STEPS)
         {
-            let hosts = self.hosts[asked].holder.standing(now);
-            self.hosts[host].parts.note_word(hosts, now);
+            let hosts = self.hosts[asked].holder.known_hosts(now);
+            self.hosts[host].parts.record_heartbeat(hosts, now);
         }
         let mut sum = 0.0;
         for &amount in self.kind.amounts {
@@ -220,8 +220,8 @@
                 rate: self.limit,
                 version: RateVersion::Config(1),
                 amount,
-                rank: 0,
-                before: 0.0,
+                priority: 0,
+                unreported: 0.0,
             };
             let decision = match self.hosts[host].asks {
                 Some(asked) => Some(self.hosts[asked].holder.spend(&request, now)),
--- a/crates/dillspool_limits/tests/limits.rs
+++ b/crates/dillspool_limits/tests/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dillspool_limits::{
-    LimitHolder, LimitRate, OwnParts, RateVersion, SpendDecision, SpendRequest,
+    LimitHolder, LimitRate, LocalQuota, RateVersion, SpendDecision, SpendRequest,
 };
 use dillspool_moment::Moment;
 
@@ -19,8 +19,8 @@
         rate: LimitRate { per_s, burst },
         version: RateVersion::Config(version),
         amount,
-        rank: 0,
-        before: 0.0,
+        priority: 0,
+        unreported: 0.0,
     }
 }
 
@@ -118,16 +118,16 @@
     let one = request(10.0, 100.0, 1, 100.0);
     assert_eq!(holder.spend(&one, at(60_000)), SpendDecision::Allowed);
     assert!(matches!(holder.spend(&one, at(60_000)), SpendDecision::Refused { .. }));
-    holder.give_back("w", 100.0);
+    holder.refund("w", 100.0);
     assert_eq!(holder.spend(&one, at(60_000)), SpendDecision::Allowed);
     // More than the burst is never kept.
     for _turn in 0..5 {
-        holder.give_back("w", 100.0);
+        holder.refund("w", 100.0);
     }
     assert!((granted(&mut holder, &one, 10, at(60_001)) - 100.0).abs() < 1e-6);
     // Nobody has asked for this one.
-    holder.give_back("unknown", 100.0);
-    assert_eq!(holder.read("unknown"), None);
+    holder.refund("unknown", 100.0);
+    assert_eq!(holder.status("unknown"), None);
 }
 
 struct ChangeCase {
@@ -153,7 +153,7 @@
         holder.spend(&request(per_s, per_s, version, 1.0), at(60_000));
         let (per_s, version) = case.then;
         holder.spend(&request(per_s, per_s, version, 1.0), at(60_000));
-        let reading = holder.read("w").expect("counted");
+        let reading = holder.status("w").expect("counted");
         assert!((reading.rate.per_s - case.holds).abs() < 1e-6, "{}", case.name);
         assert!(reading.balance <= case.holds, "{}: {}", case.name, reading.balance);
     }
@@ -166,43 +166,43 @@
         holder.join(None, at(0));
     }
     // At the start as many hosts again may ask another one.
-    assert!((holder.part(at(3_900)) - 0.5).abs() < 1e-6);
-    assert!((holder.part(at(4_100)) - 1.0).abs() < 1e-6);
+    assert!((holder.granted_share(at(3_900)) - 0.5).abs() < 1e-6);
+    assert!((holder.granted_share(at(4_100)) - 1.0).abs() < 1e-6);
     for _host in 0..3 {
         holder.leave(at(10_000));
     }
-    assert!((holder.part(at(10_000)) - 0.7).abs() < 1e-6);
+    assert!((holder.granted_share(at(10_000)) - 0.7).abs() < 1e-6);
     // They may have another holder, as long as nobody takes them for gone.
-    assert!((holder.part(at(69_900)) - 0.7).abs() < 1e-6);
-    assert!((holder.part(at(70_100)) - 1.0).abs() < 1e-6);
+    assert!((holder.granted_share(at(69_900)) - 0.7).abs() < 1e-6);
+    assert!((holder.granted_share(at(70_100)) - 1.0).abs() < 1e-6);
     holder.join(None, at(71_000));
-    assert!((holder.part(at(71_000)) - 1.0).abs() < 1e-6);
+    assert!((holder.granted_share(at(71_000)) - 1.0).abs() < 1e-6);
 }
 
 #[test]
 fn a_host_that_others_have_told_of_does_not_count_itself_alone() {
     let mut alone = holder(0.0);
-    alone.note_hosts(50, at(0));
-    assert!((alone.part(at(1000)) - 0.02).abs() < 1e-6);
+    alone.record_host_count(50, at(0));
+    assert!((alone.granted_share(at(1000)) - 0.02).abs() < 1e-6);
     let mut told = holder(0.0);
     told.join(Some(50), at(0));
-    assert!((told.part(at(1000)) - 0.04).abs() < 1e-6);
+    assert!((told.granted_share(at(1000)) - 0.04).abs() < 1e-6);
 }
 
 #[test]
 fn a_host_without_its_holder_spends_its_own_part_for_a_while() {
     let plain = request(600.0, 600.0, 1, 10.0);
     let large = request(600.0, 600.0, 1, 700.0);
-    let mut parts = OwnParts::new(at(0));
+    let mut parts = LocalQuota::new(at(0));
     assert_eq!(parts.spend(&plain, at(0)), None, "it has heard of no holder");
-    parts.note_word(60, at(1000));
+    parts.record_heartbeat(60, at(1000));
     // A sixtieth of 600 a second.
     assert!(matches!(parts.spend(&plain, at(1900)), Some(SpendDecision::Refused { .. })));
     assert_eq!(parts.spend(&plain, at(2100)), Some(SpendDecision::Allowed));
     assert!(matches!(parts.spend(&large, at(8900)), Some(SpendDecision::Refused { .. })));
     assert_eq!(parts.spend(&plain, at(9100)), None, "it was silent for too long");
     // A word again ends what was saved.
-    parts.note_word(60, at(10_000));
+    parts.record_heartbeat(60, at(10_000));
     assert!(matches!(parts.spend(&plain, at(10_100)), Some(SpendDecision::Refused { .. })));
 }
 
@@ -226,11 +226,12 @@
         BeforeCase { name: "a hundred", per_s: 5.0, before: &[300.0, 200.0], first: 3_100 },
     ];
     for case in cases {
-        let mut holder = LimitHolder::of_backend_servers(at(0));
+        let mut holder = LimitHolder::for_backend_servers(at(0));
         holder.join(Some(1), at(0));
         let known = 60_000;
         for before in case.before {
-            let told = SpendRequest { before: *before, ..request(case.per_s, case.per_s, 1, 0.0) };
+            let told =
+                SpendRequest { unreported: *before, ..request(case.per_s, case.per_s, 1, 0.0) };
             assert_eq!(holder.spend(&told, at(known)), SpendDecision::Allowed, "{}", case.name);
         }
         let mut wait = 0;
@@ -245,7 +246,7 @@
 
 #[test]
 fn a_limit_below_one_request_a_second_is_granted_in_turn() {
-    let mut holder = LimitHolder::of_backend_servers(at(0));
+    let mut holder = LimitHolder::for_backend_servers(at(0));
     holder.join(Some(1), at(0));
     let one = request(0.5, 0.5, 1, 1.0);
     let granted: Vec<u64> = (600..1_000)
@@ -260,11 +261,11 @@
 #[test]
 fn a_host_without_its_holder_sends_its_part_to_backend_servers() {
     for phase in [0.0, 0.5, 0.99] {
-        let mut parts = OwnParts::of_backend_servers(phase, at(0));
+        let mut parts = LocalQuota::for_backend_servers(phase, at(0));
         let one = request(4.0, 4.0, 1, 1.0);
         assert_eq!(parts.spend(&one, at(1_000)), None, "nobody has told it of others");
-        parts.note_word(8, at(2_000));
-        let granted = |parts: &mut OwnParts, from: u64, to: u64| {
+        parts.record_heartbeat(8, at(2_000));
+        let granted = |parts: &mut LocalQuota, from: u64, to: u64| {
             let steps = (from..to).step_by(100);
             steps.filter(|ms| parts.spend(&one, at(*ms)) == Some(SpendDecision::Allowed)).count()
         };
@@ -294,7 +295,7 @@
         RankCase { name: "too many that are urgent", asked: [40, 40], granted: [9.0, 1.0] },
     ];
     for case in cases {
-        let mut holder = LimitHolder::of_backend_servers(at(0));
+        let mut holder = LimitHolder::for_backend_servers(at(0));
         holder.join(Some(1), at(0));
         let mut granted = [0.0; 2];
         let mut waiting: Vec<(u64, u32)> = Vec::new();
@@ -307,7 +308,7 @@
             waiting = later;
             let due: Vec<(u64, u32)> = due;
             for rank in due.into_iter().map(|(_due, rank)| rank).chain(fresh) {
-                let one = SpendRequest { rank, ..request(10.0, 10.0, 1, 1.0) };
+                let one = SpendRequest { priority: rank, ..request(10.0, 10.0, 1, 1.0) };
                 match holder.spend(&one, at(ms)) {
                     SpendDecision::Allowed => granted[rank as usize] += 1.0 / 60.0,
                     // Whoever would wait for longer than a second goes elsewhere.
--- a/crates/dillspool_limits/tests/ways.rs
+++ b/crates/dillspool_limits/tests/ways.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dillspool_limits::{
-    LimitHolder, LimitRate, OwnParts, RateVersion, SpendDecision, SpendRequest,
+    LimitHolder, LimitRate, LocalQuota, RateVersion, SpendDecision, SpendRequest,
 };
 use dillspool_moment::Moment;
 use rand::rngs::SmallRng;
@@ -40,7 +40,7 @@
 }
 
 struct WayHost {
-    parts: OwnParts,
+    parts: LocalQuota,
     /// Requests a second that come to it.
     asked_per_s: f64,
     /// Requests that came to it since its last report.
@@ -71,8 +71,8 @@
         rate: LimitRate { per_s, burst: per_s.max(1.0) },
         version: RateVersion::Config(1),
         amount: 1.0,
-        rank: 0,
-        before: 0.0,
+        priority: 0,
+        unreported: 0.0,
     }
 }
 
@@ -80,7 +80,7 @@
     let weights: Vec<f64> = (0..count).map(|_host| random.random_range(1.0..SPREAD)).collect();
     let sum: f64 = weights.iter().sum();
     let host = |weight: f64| WayHost {
-        parts: OwnParts::of_backend_servers(random.random_range(0.0..1.0), moment(0)),
+        parts: LocalQuota::for_backend_servers(random.random_range(0.0..1.0), moment(0)),
         asked_per_s: DEMAND * per_s * weight / sum,
         asked: 0.0,
         part: 0.0,
@@ -105,7 +105,7 @@
 fn play(way: Way, count: usize, per_s: f64) -> Outcome {
     let mut random = SmallRng::seed_from_u64(7);
     let mut hosts = hosts(count, per_s, &mut random);
-    let mut holder = LimitHolder::of_backend_servers(moment(0));
+    let mut holder = LimitHolder::for_backend_servers(moment(0));
     for _host in 0..count {
         holder.join(Some(count), moment(0));
     }
@@ -120,7 +120,7 @@
         for host in &mut hosts {
             if step == 0 || (way == Way::EqualParts && step % WORD_STEPS == 0 && step < WORD_STEPS)
             {
-                host.parts.note_word(count, now);
+                host.parts.record_heartbeat(count, now);
             }
             let gain = per_s * host.part * STEP.as_secs_f64();
             host.balance = (host.balance + gain).min(per_s * host.part);
--- a/crates/dillspool_router/src/notice_keeper.rs
+++ b/crates/dillspool_router/src/notice_keeper.rs
@@ -67,6 +67,6 @@
     log::debug!(
         "event=backend_limit_charged backend=\"{}\" sent={} told={told:?}",
         before.subject,
-        before.before
+        before.unreported
     );
 }
--- a/crates/dillspool_scheduler/src/limit_client.rs
+++ b/crates/dillspool_scheduler/src/limit_client.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dillspool_io::NetStack;
-use dillspool_limits::{OwnParts, SpendDecision, SpendRequest};
+use dillspool_limits::{LocalQuota, SpendDecision, SpendRequest};
 use dillspool_moment::Moment;
 use dillspool_routing::{RoutingConfig, WorkspaceTable};
 use dillspool_schema::Name;
@@ -29,7 +29,7 @@
     share: LimitShare,
     link: SchedulerLink,
     /// What it spends without a holder.
-    parts: Arc<Mutex<OwnParts>>,
+    parts: Arc<Mutex<LocalQuota>>,
     /// Set while this host counts the limits itself.
     own: Mutex<Option<JoinedGuard>>,
     /// Notified once the share has a limit that this host knows of.
@@ -43,7 +43,7 @@
         let link = SchedulerLink::new(move |hosts| {
             told.note_hosts(share, hosts);
             let mut parts = noted.lock().unwrap_or_else(PoisonError::into_inner);
-            parts.note_word(hosts, told.now());
+            parts.record_heartbeat(hosts, told.now());
         });
         Self { share, link, parts, own: Mutex::default(), wanted: Notify::new() }
     }
@@ -62,7 +62,7 @@
             // Where another host has counted, what it granted is not known here: this one begins with nothing, as
             // a holder does that others are told to ask.
             let parts = self.parts.lock().unwrap_or_else(PoisonError::into_inner);
-            let told = parts.hosts(desk.now());
+            let told = parts.known_hosts(desk.now());
             drop(parts);
             *own = Some(desk.join(self.share, told));
         }
--- a/crates/dillspool_scheduler/src/limit_desk.rs
+++ b/crates/dillspool_scheduler/src/limit_desk.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use dillspool_io::HostClock;
-use dillspool_limits::{LimitHolder, LimitReading, OwnParts, SpendDecision, SpendRequest};
+use dillspool_limits::{LimitHolder, LimitStatus, LocalQuota, SpendDecision, SpendRequest};
 use dillspool_moment::Moment;
 use dillspool_schema::Name;
 use xxhash_rust::xxh3::xxh3_64;
@@ -74,7 +74,7 @@
 
     /// The same of the limits that backend servers name.
     pub fn of_backend_servers(shares: usize, clock: HostClock) -> Self {
-        let holder = LimitHolder::of_backend_servers;
+        let holder = LimitHolder::for_backend_servers;
         Self::of_scope(LimitScope::BackendServers, shares, holder, clock)
     }
 
@@ -89,10 +89,12 @@
     }
 
     /// What this host spends while it has no holder.
-    pub(crate) fn own_parts(&self) -> OwnParts {
+    pub(crate) fn own_parts(&self) -> LocalQuota {
         match self.scope {
-            LimitScope::Workspaces => OwnParts::new(self.now()),
-            LimitScope::BackendServers => OwnParts::of_backend_servers(rand::random(), self.now()),
+            LimitScope::Workspaces => LocalQuota::new(self.now()),
+            LimitScope::BackendServers => {
+                LocalQuota::for_backend_servers(rand::random(), self.now())
+            }
         }
     }
 
@@ -134,19 +136,19 @@
 
     /// Notes how many hosts share the limits.
     pub(crate) fn note_hosts(&self, share: LimitShare, hosts: usize) {
-        self.with(share, |holder, now| holder.note_hosts(hosts, now));
+        self.with(share, |holder, now| holder.record_host_count(hosts, now));
     }
 
     /// Hosts that share the limits, as far as this one knows.
     pub(crate) fn standing(&self, share: LimitShare) -> usize {
-        self.with(share, |holder, now| holder.standing(now))
+        self.with(share, |holder, now| holder.known_hosts(now))
     }
 
     /// Decides on a request.
     pub(crate) fn spend(&self, share: LimitShare, request: &SpendRequest) -> SpendDecision {
         let (decision, part, reading) = self.with(share, |holder, now| {
             let decision = holder.spend(request, now);
-            (decision, holder.part(now), holder.read(&request.subject))
+            (decision, holder.granted_share(now), holder.status(&request.subject))
         });
         if let (SpendDecision::Refused { come_back }, Some(reading)) = (decision, reading) {
             log::debug!(
@@ -164,12 +166,12 @@
 
     /// Takes back what a request did not use.
     pub(crate) fn give_back(&self, share: LimitShare, subject: &str, amount: f64) {
-        self.with(share, |holder, _now| holder.give_back(subject, amount));
+        self.with(share, |holder, _now| holder.refund(subject, amount));
     }
 
     /// How a limit stands here; `None` if nobody asked here for it.
-    pub fn read(&self, subject: &str) -> Option<LimitReading> {
-        self.with(self.share_of(subject), |holder, _now| holder.read(subject))
+    pub fn read(&self, subject: &str) -> Option<LimitStatus> {
+        self.with(self.share_of(subject), |holder, _now| holder.status(subject))
     }
 }
 
--- a/crates/dillspool_scheduler/tests/limit_links.rs
+++ b/crates/dillspool_scheduler/tests/limit_links.rs
@@ -113,8 +113,8 @@
         rate: RATE,
         version: RateVersion::Config(1),
         amount: 1.0,
-        rank: 0,
-        before: 0.0,
+        priority: 0,
+        unreported: 0.0,
     }
 }
 
--- a/crates/dillspool_throttle/src/book.rs
+++ b/crates/dillspool_throttle/src/book.rs
@@ -419,9 +419,9 @@
     SpendRequest {
         subject: backend.label(),
         rate: LimitRate { per_s, burst },
-        version: RateVersion::Heard(limit.said()),
+        version: RateVersion::Observed(limit.said()),
         amount,
-        rank: 0,
-        before,
+        priority: 0,
+        unreported: before,
     }
 }
--- a/crates/dillspool_throttle/tests/book.rs
+++ b/crates/dillspool_throttle/tests/book.rs
@@ -224,7 +224,8 @@
         book.record_send(&backend(1), at(ms));
     }
     book.record_response(&backend(1), at(1_200), limited(5.0), at(1_250));
-    let told: Vec<_> = book.take_unreported(at(1_300)).into_iter().map(|it| it.before).collect();
+    let told: Vec<_> =
+        book.take_unreported(at(1_300)).into_iter().map(|it| it.unreported).collect();
     assert_eq!(told, [4.0]);
     assert_eq!(book.take_unreported(at(1_400)), []);
     book.record_response(&backend(1), at(1_300), limited(2.0), at(1_500));
