--- a/crates/dillspool_calls/src/policy.rs
+++ b/crates/dillspool_calls/src/policy.rs
@@ -1,106 +1,116 @@
-//! The limits of the call queue, each with the load pattern that it answers.
+//! Parameters of the call queue, each with the load pattern that it addresses.
 
 use std::time::Duration;
 
-/// Limits of a call queue.
+/// Parameters of a call queue.
 ///
-/// `docs/design/calls.md` has what each was chosen by.
+/// `docs/design/calls.md` has the reason for each value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallPolicy {
-    /// Calls in flight beyond a server's slots, as a part of the slots, and at least one call: a surge, in
-    /// which a freed slot needs work while the next decision is in transit.
+    /// Calls in flight beyond a server's slots, as a fraction of the slots and at least one call:
+    /// in a surge, a freed slot needs work while the next decision is in transit.
     pub extra_part: f64,
-    /// Time from the end of a call until the next one reaches the server that it has freed. Calls that are
-    /// shorter need more of them beyond the slots.
+    /// Time from the end of a call until the next one reaches the server. Shorter calls need more
+    /// calls beyond the slots.
     pub transit: Duration,
-    /// Standard deviations of the number of calls that end in that time for which there are calls beyond the
-    /// slots: ends in clumps.
+    /// Standard deviations of the number of calls that end within `transit` that the calls beyond
+    /// the slots cover, as calls may end in bursts.
     pub transit_reserve: f64,
-    /// Latency assumed of a server before any call of the service was answered: a start under load.
+    /// Latency assumed before any call of the service was answered, for a start under load.
     pub assumed_latency: Duration,
-    /// Time constant after which a server's own latency is forgotten: servers that get few calls.
+    /// Time constant of the decay of a server's own latency, for servers that get few calls.
     pub latency_memory: Duration,
-    /// Answers at which a server's own latency counts as much as that of all: servers that are seldom used,
-    /// whose latency would else be one random call's.
+    /// Number of answers at which a server's own latency weighs as much as the pooled latency.
+    /// Without it, the latency of a seldom used server would be that of one random call.
     pub latency_prior: f64,
-    /// Time constant of a server's completion rate while it has no free slot: servers that stop answering.
+    /// Time constant of a server's completion rate while it has no free slot, for servers that stop
+    /// answering.
     pub rate_memory: Duration,
-    /// Busy time at which the measured rate counts as much as slots divided by mean latency: the first moments
-    /// of a surge, when few calls were completed.
+    /// Busy time at which the measured completion rate weighs as much as slots divided by mean
+    /// latency, for the start of a surge, when few calls have been completed.
     pub rate_prior: Duration,
-    /// Time constant of the rate at which calls arrive that can be on time: bursts.
+    /// Time constant of the arrival rate of calls that can be on time, for bursts.
     pub arrival_memory: Duration,
-    /// Mean deviations of the latency beyond its mean that a call on time must have left after its predicted
-    /// wait when it is asked, where calls arrive no faster than they are completed: slow spells, whose backlog
-    /// is soon gone.
+    /// Margin of an on-time call when it is submitted, beyond its predicted wait and the mean
+    /// latency, in mean deviations of the latency. Applies while calls arrive no faster than they
+    /// are completed, for slow spells, whose backlog is soon gone.
     pub margin_calm: f64,
-    /// The same where calls arrive faster by `surge_part` or more, and in proportion between: a long surge, which
-    /// would else fill the queue with calls that all just miss.
+    /// The same margin while calls arrive faster than they are completed by `surge_part` or more;
+    /// between the two it is interpolated. Without it, a long surge would fill the queue with calls
+    /// that all just miss their objective.
     pub margin_surge: f64,
-    /// Part of the predicted wait that a call must have left beyond it in a full surge: what is predicted of a
-    /// long wait is less exact.
+    /// Margin in a full surge as a fraction of the predicted wait, because predictions of long
+    /// waits are less exact.
     pub wait_margin: f64,
-    /// Part of the completion rate by which arrivals exceed it in a full surge.
+    /// Fraction of the completion rate by which arrivals exceed it in a full surge.
     pub surge_part: f64,
-    /// Time constant in which a surge is forgotten that is over: callers that return after it.
+    /// Time constant of the decay of a past surge, for callers that return after it.
     pub surge_memory: Duration,
-    /// Mean deviations that a call must have left while it waits: fewer, so that a small change of the rate
-    /// rejects none that wait.
+    /// Margin of a call that waits already, in mean deviations of the latency. It is lower, so that
+    /// a small change of the completion rate rejects no waiting calls.
     pub margin_waiting: f64,
-    /// Part of its predicted wait that a late call must have left beyond it when it is asked: an oscillating load, in
-    /// which what is left to late calls changes while they wait.
+    /// Margin of a late call when it is submitted, as a fraction of its predicted wait, for an
+    /// oscillating load, in which the capacity left to late calls changes while they wait.
     pub late_margin: f64,
-    /// Time constant of what calls on time leave: moments in which they leave nothing.
+    /// Time constant of the capacity that on-time calls leave, for moments in which they leave
+    /// none.
     pub spare_memory: Duration,
-    /// Part of the completion rate that must be left by calls on time before late calls wait for it: a surge
-    /// that leaves none.
+    /// Fraction of the completion rate that on-time calls must leave before late calls wait for it,
+    /// for a surge that leaves none.
     pub least_spare_part: f64,
-    /// Time between two predictions of the same wait: servers that leave or slow down while calls wait.
+    /// Time between two predictions of the same wait, for servers that leave or slow down while
+    /// calls wait.
     pub recheck: Duration,
-    /// Mean deviations beyond the mean latency for which a forgotten call keeps its place: hosts that leave one
-    /// after another for another decider while their calls run on.
+    /// Mean deviations beyond the mean latency for which a forgotten call still counts, for hosts
+    /// that leave one after another for another deciding host while their calls run on.
     pub forgotten_margin: f64,
-    /// Cost of another failure domain, as a factor: its bytes are billed, and it takes longer.
+    /// Cost factor of a server in another failure domain: traffic there is billed and takes longer.
     pub far_factor: f64,
-    /// How much the part of calls that fail raises a server's cost: servers that fail partially.
+    /// How much the failure rate of a server raises its cost, for servers that fail partially.
     pub failure_factor: f64,
-    /// Cost of a server that is tried again for a call that must not be repeated, as a factor: servers that
-    /// reset connections.
+    /// Cost factor of a server with a half-open circuit for a call that must not be repeated, for
+    /// servers that reset connections.
     pub risk_factor: f64,
-    /// Part by which costs are spread at random: equal servers.
+    /// Random spread of the costs as a fraction, for equal servers.
     pub spread: f64,
-    /// Calls without a proper answer in a row before a server rests: servers that are gone or hang.
+    /// Consecutive calls without a proper answer before a server's circuit opens, for servers that
+    /// are gone or hang.
     pub lost_before_rest: u32,
-    /// Chance below which a longer row must be at the other servers' part of calls that fail: services of which
-    /// all servers fail partially, where rests would only take capacity.
+    /// Probability that such a run of losses must not exceed at the usual failure rate, for
+    /// services of which all servers fail partially, where open circuits would only cost capacity.
     pub row_chance: f64,
-    /// Rejected calls in a row before a server rests: servers that reject at once and so look empty.
+    /// Consecutive rejected calls before a server's circuit opens, for servers that reject at once
+    /// and therefore look idle.
     pub refused_before_rest: u32,
-    /// Part of calls that fail beyond the part at the other servers from which a server rests: servers that
-    /// fail each call at once and so look empty.
+    /// Excess of a server's failure rate over that of the other servers beyond which its circuit
+    /// opens, for servers that fail each call at once and therefore look idle.
     pub failing_excess: f64,
-    /// First time for which a server rests: short faults.
+    /// Time for which a circuit opens at first, for short faults.
     pub first_rest: Duration,
-    /// Longest such time: faults that last.
+    /// Longest time for which a circuit opens, for faults that last.
     pub longest_rest: Duration,
-    /// Factor of a server's limit after a rejection or a reset: other senders that use the same server.
+    /// Factor by which a rejection or a reset cuts a server's limit, for other senders that use the
+    /// same server.
     pub limit_cut: f64,
-    /// Factor by which the part of its calls that fail must exceed that of the other servers for a reset to cut a
-    /// server's limit: services of which all servers fail partially.
+    /// Factor by which a server's failure rate must exceed that of the other servers for a reset to
+    /// cut its limit, for services of which all servers fail partially.
     pub cut_factor: f64,
-    /// Part of a server's limit that is left after all cuts: clumps of rejections.
+    /// Fraction of a server's limit that is left after all cuts, for bursts of rejections.
     pub least_limit_part: f64,
-    /// Time in which a limit recovers from its lowest: rejections that were the end of a burst.
+    /// Time in which a limit recovers from its lowest value, for rejections at the end of a burst.
     pub limit_recovers: Duration,
-    /// Limit of a server that reports no slots, before anything is learned, in calls.
+    /// Initial limit of a server that reports no slots, in calls.
     pub first_learned_limit: u32,
-    /// Latency over the server's own lowest up to which a learned limit grows: unused capacity.
+    /// Ratio of the latency to the server's lowest up to which a learned limit grows, for unused
+    /// capacity.
     pub grows_below: f64,
-    /// Latency over the server's own lowest from which a learned limit shrinks: calls that queue in the server.
+    /// Ratio of the latency to the server's lowest beyond which a learned limit shrinks, for calls
+    /// that queue in the server.
     pub shrinks_above: f64,
-    /// Part of the time left after which a rejected caller returns at the latest: callers that retry once.
+    /// Fraction of the time left within which a rejected caller is told to retry, for callers that
+    /// retry once.
     pub longest_retry_part: f64,
-    /// Longest time after which a caller returns that found no server: servers that join.
+    /// Longest retry delay of a caller for which there was no server, for servers that join.
     pub no_server_retry: Duration,
 }
 
--- a/crates/dillspool_calls/src/request.rs
+++ b/crates/dillspool_calls/src/request.rs
@@ -1,22 +1,22 @@
-//! What is asked of the call queue, and what it decides.
+//! Requests to the call queue, its decisions, and the outcomes that are reported to it.
 
 use std::time::Duration;
 
 use dillspool_routing::StartedBackend;
 use dillspool_schema::Name;
 
-/// Names a call with the queue; unique among those that wait or are in flight.
+/// Identifies a call in a queue; unique among the calls that wait or are in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A backend server that takes calls now.
+/// A backend server that currently takes calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallServer {
-    /// Which one, and of which start.
+    /// The backend server, and which start of it.
     pub backend: StartedBackend,
     /// Its failure domain.
     pub failure_domain: Name,
-    /// Calls that it runs at once; `None` where it reports none, and then its limit is learned.
+    /// Calls that it runs concurrently; `None` if it reports none, and then its limit is learned.
     pub slots: Option<u32>,
     /// Connections that it accepts; it resets those beyond.
     pub max_connections: u32,
@@ -25,46 +25,46 @@
 /// A call that needs a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRequest {
-    /// Rank of its workspace, before that of its route; 0 is the highest.
+    /// Priority of its workspace, compared before that of its route; 0 is the highest.
     pub workspace_priority: u32,
-    /// Rank of its route; 0 is the highest.
+    /// Priority of its route; 0 is the highest.
     pub priority: u32,
-    /// Failure domain of the host that has the caller.
+    /// Failure domain of the host that the caller is connected to.
     pub failure_domain: Name,
-    /// Time within which an answer is on time; zero when it is late anyway.
+    /// Time left in which an answer is on time; zero if it will be late anyway.
     pub objective_left: Duration,
-    /// Time until the caller gives up.
+    /// Time left until the caller gives up.
     pub time_left: Duration,
     /// Whether it may run more than once.
     pub is_idempotent: bool,
-    /// Backend servers that it must not go to again.
+    /// Backend servers that it must not be sent to again.
     pub excluded: Vec<Name>,
 }
 
 /// Why a call is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectCause {
-    /// There is no backend server that it may go to.
+    /// There is no backend server that it may be sent to.
     NoServer,
-    /// The backend servers cannot answer it in its time.
+    /// The backend servers do not have the capacity to answer it in its time.
     NoCapacity,
 }
 
-/// What becomes of a call.
+/// The decision on a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallDecision {
-    /// It goes to this backend server at once.
+    /// Send it to this backend server now.
     Send {
-        /// Where it goes.
+        /// The backend server that it is sent to.
         backend: StartedBackend,
     },
     /// It waits; [`CallQueue::poll`](crate::CallQueue::poll) returns its decision.
     Wait,
-    /// It is rejected, and has not run.
+    /// Reject it; it has not run.
     Reject {
-        /// Why.
+        /// Why it is rejected.
         cause: RejectCause,
-        /// When its caller should try again.
+        /// Time after which its caller should retry.
         retry_after: Duration,
     },
 }
@@ -72,7 +72,7 @@
 /// How a call ended that was sent or waited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The backend server answered as it should.
+    /// The backend server answered it as it should.
     Answered,
     /// The backend server answered with a failure of its own.
     Failed,
@@ -82,6 +82,6 @@
     NotSent,
     /// No proper answer came; it may have run.
     Lost,
-    /// Its caller left, or its host did not follow the decision.
+    /// Its caller disconnected, or its host did not carry out the decision.
     Abandoned,
 }
--- a/crates/dillspool_calls/src/server.rs
+++ b/crates/dillspool_calls/src/server.rs
@@ -1,38 +1,38 @@
-//! What is known of one backend server.
+//! State of one backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use dillspool_moment::Moment;
 
-use crate::block::{BlockState, ServerGate};
-use crate::limit::PlaceLimit;
-use crate::meter::{DecayedSum, ServerLatency};
+use crate::breaker::{CircuitBreaker, CircuitState};
+use crate::estimators::{DecayedSum, ServerLatency};
+use crate::limit::ConcurrencyLimit;
 use crate::policy::CallPolicy;
 use crate::request::{CallOutcome, CallServer};
 
-/// What all servers of a queue share.
+/// Inputs that all servers of a queue share.
 #[derive(Clone, Debug)]
-pub(crate) struct ServerTerms {
+pub(crate) struct ServerContext {
     pub(crate) policy: Arc<CallPolicy>,
-    /// Part of the limits that this queue may use.
+    /// Fraction of the limits that this queue may use.
     pub(crate) share: f64,
-    /// Mean latency of all servers, in seconds.
-    pub(crate) pooled: f64,
-    /// Whether all servers rest; then each is tried.
-    pub(crate) all_rest: bool,
+    /// Mean latency over all servers, in seconds.
+    pub(crate) pooled_mean: f64,
+    /// Whether the circuits of all servers are open; each of them is then treated as half-open.
+    pub(crate) all_open: bool,
     pub(crate) now: Moment,
 }
 
 /// A call that was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentCall {
-    pub(crate) at: Moment,
-    /// Calls for each slot of the server when it was sent, itself included; at least 1.
-    pub(crate) crowding: f64,
-    /// Whether the server's limit was in use then.
-    pub(crate) was_full: bool,
-    /// Whether it tries a server that rested.
+    pub(crate) sent_at: Moment,
+    /// Calls per slot of the server when it was sent, itself included; at least 1.
+    pub(crate) calls_per_slot: f64,
+    /// Whether the server was at its limit with this call.
+    pub(crate) was_at_limit: bool,
+    /// Whether it probes a server with a half-open circuit.
     pub(crate) is_probe: bool,
 }
 
@@ -40,22 +40,23 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ServerState {
     pub(crate) server: CallServer,
-    /// Tells this state from a former one of the same id.
+    /// Distinguishes this state from earlier ones with the same id.
     pub(crate) epoch: u64,
-    /// Whether it takes calls; else it is kept for those in flight.
+    /// Whether it takes calls; otherwise it is kept for the calls in flight.
     pub(crate) is_present: bool,
     pub(crate) in_flight: u32,
     has_probe: bool,
-    pub(crate) block: BlockState,
-    limit: PlaceLimit,
+    pub(crate) breaker: CircuitBreaker,
+    limit: ConcurrencyLimit,
     latency: ServerLatency,
-    /// Mean time in which it runs a call, in seconds, as it was computed last.
-    mean: f64,
-    /// Calls that may be in flight beyond its slots, likewise.
+    /// Mean time that it takes to run a call, in seconds, as of the last refresh.
+    mean_latency: f64,
+    /// Calls that may be in flight beyond its slots, as of the last refresh.
     extra: f64,
-    /// Calls that were completed while no slot was free, and that time in seconds.
+    /// Calls that were completed while no slot was free.
     completed: DecayedSum,
-    busy: DecayedSum,
+    /// Time in which no slot was free, in seconds.
+    busy_s: DecayedSum,
     busy_since: Option<Moment>,
 }
 
@@ -67,7 +68,7 @@
         policy: &CallPolicy,
         now: Moment,
     ) -> Self {
-        let limit = PlaceLimit::new(server.slots, policy, now);
+        let limit = ConcurrencyLimit::new(server.slots, policy, now);
         Self {
             extra: limit.extra(server.slots, mean, policy),
             limit,
@@ -76,164 +77,179 @@
             is_present: true,
             in_flight: 0,
             has_probe: false,
-            block: BlockState::default(),
+            breaker: CircuitBreaker::default(),
             latency: ServerLatency::default(),
-            mean,
+            mean_latency: mean,
             completed: DecayedSum::default(),
-            busy: DecayedSum::default(),
+            busy_s: DecayedSum::default(),
             busy_since: None,
         }
     }
 
-    /// Takes over what the directory tells of it now.
+    /// Applies a newer entry of the directory.
     pub(crate) fn update(
         &mut self,
         server: CallServer,
-        pooled: f64,
+        pooled_mean: f64,
         policy: &CallPolicy,
         now: Moment,
     ) {
         if server.slots.is_none() != self.server.slots.is_none() {
-            self.limit = PlaceLimit::new(server.slots, policy, now);
+            self.limit = ConcurrencyLimit::new(server.slots, policy, now);
         }
-        self.extra = self.limit.extra(server.slots, pooled, policy);
+        self.extra = self.limit.extra(server.slots, pooled_mean, policy);
         self.server = server;
         self.is_present = true;
     }
 
     /// Calls that may be in flight.
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "limits are small")]
-    pub(crate) fn limit(&self, terms: &ServerTerms) -> u32 {
-        let limit = self.limit.read(self.server.slots, self.extra, &terms.policy, terms.now);
-        let limit = limit.min(f64::from(self.server.max_connections)) * terms.share;
+    pub(crate) fn limit(&self, context: &ServerContext) -> u32 {
+        let limit = self.limit.current(self.server.slots, self.extra, &context.policy, context.now);
+        let limit = limit.min(f64::from(self.server.max_connections)) * context.share;
         (limit as u32).max(1).min(self.server.max_connections)
     }
 
-    /// Calls that it runs at once of those that may be in flight.
-    pub(crate) fn slots(&self, terms: &ServerTerms) -> f64 {
-        self.limit.slots(self.server.slots).min(f64::from(self.limit(terms)))
+    /// Calls that it runs concurrently, of those that may be in flight.
+    pub(crate) fn slots(&self, context: &ServerContext) -> f64 {
+        self.limit.slots(self.server.slots).min(f64::from(self.limit(context)))
     }
 
-    pub(crate) fn gate(&self, terms: &ServerTerms) -> ServerGate {
-        match self.block.gate(terms.now) {
-            ServerGate::Resting if terms.all_rest => ServerGate::Probing,
-            gate => gate,
+    pub(crate) fn circuit(&self, context: &ServerContext) -> CircuitState {
+        match self.breaker.state(context.now) {
+            CircuitState::Open if context.all_open => CircuitState::HalfOpen,
+            state => state,
         }
     }
 
     /// Whether it may get one more call.
-    pub(crate) fn has_place(&self, terms: &ServerTerms) -> bool {
+    pub(crate) fn has_capacity(&self, context: &ServerContext) -> bool {
         self.is_present
-            && match self.gate(terms) {
-                ServerGate::Open => self.in_flight < self.limit(terms),
-                ServerGate::Probing => !self.has_probe && self.in_flight < self.limit(terms),
-                ServerGate::Resting => false,
+            && match self.circuit(context) {
+                CircuitState::Closed => self.in_flight < self.limit(context),
+                CircuitState::HalfOpen => !self.has_probe && self.in_flight < self.limit(context),
+                CircuitState::Open => false,
             }
     }
 
-    /// Mean time in which it runs a call, in seconds.
-    pub(crate) fn mean(&self) -> f64 {
-        self.mean
+    /// Mean time that it takes to run a call, in seconds.
+    pub(crate) fn mean_latency(&self) -> f64 {
+        self.mean_latency
     }
 
-    /// Computes anew what changes with time and the other servers.
-    pub(crate) fn refresh(&mut self, terms: &ServerTerms) {
-        let ServerTerms { policy, pooled, now, .. } = terms;
-        self.mean = self.latency.mean(*pooled, policy.latency_prior, policy.latency_memory, *now);
-        self.extra = self.limit.extra(self.server.slots, *pooled, policy);
+    /// Recomputes what changes with time and with the other servers.
+    pub(crate) fn refresh(&mut self, context: &ServerContext) {
+        let ServerContext { policy, pooled_mean, now, .. } = context;
+        self.mean_latency =
+            self.latency.mean(*pooled_mean, policy.latency_prior, policy.latency_memory, *now);
+        self.extra = self.limit.extra(self.server.slots, *pooled_mean, policy);
     }
 
-    /// Time in which it is predicted to answer one more call, in seconds.
-    pub(crate) fn next_run(&self, terms: &ServerTerms) -> f64 {
-        self.mean * (f64::from(self.in_flight + 1) / self.slots(terms)).max(1.0)
+    /// Predicted time to answer one more call, in seconds.
+    pub(crate) fn predicted_latency(&self, context: &ServerContext) -> f64 {
+        self.mean_latency * (f64::from(self.in_flight + 1) / self.slots(context)).max(1.0)
     }
 
-    /// Calls a second that it completes when all its slots are in use.
-    pub(crate) fn rate(&self, terms: &ServerTerms) -> f64 {
-        let (memory, prior) = (terms.policy.rate_memory, terms.policy.rate_prior.as_secs_f64());
-        let mean = self.mean;
-        match self.gate(terms) {
-            ServerGate::Resting => 0.0,
-            ServerGate::Probing => 1.0 / mean,
-            ServerGate::Open => {
-                let assumed = self.slots(terms) / mean;
-                let open =
-                    self.busy_since.map_or(0.0, |since| terms.now.since(since).as_secs_f64());
-                let busy = self.busy.read(memory, terms.now) + open;
-                let completed = self.completed.read(memory, terms.now);
-                (completed + assumed * prior) / (busy + prior)
+    /// Calls per second that it completes while all its slots are in use.
+    pub(crate) fn completion_rate(&self, context: &ServerContext) -> f64 {
+        let (memory, prior) = (context.policy.rate_memory, context.policy.rate_prior.as_secs_f64());
+        let mean = self.mean_latency;
+        match self.circuit(context) {
+            CircuitState::Open => 0.0,
+            CircuitState::HalfOpen => 1.0 / mean,
+            CircuitState::Closed => {
+                let expected = self.slots(context) / mean;
+                let current =
+                    self.busy_since.map_or(0.0, |since| context.now.since(since).as_secs_f64());
+                let busy_s = self.busy_s.read(memory, context.now) + current;
+                let completed = self.completed.read(memory, context.now);
+                (completed + expected * prior) / (busy_s + prior)
             }
         }
     }
 
-    /// Notes that a call is sent to it; `is_probe` if that is to try it after a rest.
-    pub(crate) fn enter(&mut self, is_probe: bool, terms: &ServerTerms) -> SentCall {
+    /// Records that a call is sent to it; `is_probe` if the call probes a half-open circuit.
+    pub(crate) fn start_call(&mut self, is_probe: bool, context: &ServerContext) -> SentCall {
         self.has_probe |= is_probe;
         self.in_flight += 1;
-        let (slots, limit) = (self.slots(terms), self.limit(terms));
-        self.note_busy(slots, terms);
-        let crowding = (f64::from(self.in_flight) / slots).max(1.0);
-        SentCall { at: terms.now, crowding, was_full: self.in_flight >= limit, is_probe }
+        let (slots, limit) = (self.slots(context), self.limit(context));
+        self.update_busy_time(slots, context);
+        let calls_per_slot = (f64::from(self.in_flight) / slots).max(1.0);
+        SentCall {
+            sent_at: context.now,
+            calls_per_slot,
+            was_at_limit: self.in_flight >= limit,
+            is_probe,
+        }
     }
 
-    /// Notes that a call is no longer in flight.
-    pub(crate) fn leave(&mut self, sent: &SentCall, terms: &ServerTerms) {
+    /// Records that a call is no longer in flight.
+    pub(crate) fn finish_call(&mut self, sent: &SentCall, context: &ServerContext) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.has_probe &= !sent.is_probe;
-        let slots = self.slots(terms);
-        self.note_busy(slots, terms);
+        let slots = self.slots(context);
+        self.update_busy_time(slots, context);
     }
 
-    /// Counts the time in which no slot was free.
-    fn note_busy(&mut self, slots: f64, terms: &ServerTerms) {
+    /// Accounts for the time in which no slot was free.
+    fn update_busy_time(&mut self, slots: f64, context: &ServerContext) {
         if let Some(since) = self.busy_since.take() {
-            let span = terms.now.since(since).as_secs_f64();
-            self.busy.add(span, terms.policy.rate_memory, terms.now);
+            let span_s = context.now.since(since).as_secs_f64();
+            self.busy_s.add(span_s, context.policy.rate_memory, context.now);
         }
-        self.busy_since = (f64::from(self.in_flight) >= slots).then_some(terms.now);
+        self.busy_since = (f64::from(self.in_flight) >= slots).then_some(context.now);
     }
 
-    /// Notes how a call ended that is still counted as in flight; `elsewhere` is the part of calls that fail at
-    /// the other servers, if there are any. Returns the time that it ran where that is known, in seconds.
-    pub(crate) fn note_end(
+    /// Records the outcome of a call that is still counted as in flight. `elsewhere` is the failure
+    /// rate of the other servers, if there are any. Returns the run time of the call in seconds, if
+    /// known.
+    pub(crate) fn record_outcome(
         &mut self,
         sent: &SentCall,
-        end: CallOutcome,
+        outcome: CallOutcome,
         took: Duration,
         elsewhere: Option<f64>,
-        terms: &ServerTerms,
+        context: &ServerContext,
     ) -> Option<f64> {
-        let (policy, now) = (&terms.policy, terms.now);
-        if matches!(end, CallOutcome::Answered | CallOutcome::Failed) && self.busy_since.is_some() {
+        let (policy, now) = (&context.policy, context.now);
+        if matches!(outcome, CallOutcome::Answered | CallOutcome::Failed)
+            && self.busy_since.is_some()
+        {
             self.completed.add(1.0, policy.rate_memory, now);
         }
-        match end {
+        match outcome {
             CallOutcome::Answered => {
-                let ran = took.as_secs_f64() / sent.crowding;
-                self.latency.note(ran, policy.latency_memory, now);
-                self.block.note_answered(sent.at, now);
-                let most = f64::from(self.server.max_connections);
-                self.refresh(terms);
-                self.limit.note_answered(self.mean, sent.was_full, most, policy, now);
-                return Some(ran);
+                let run_time = took.as_secs_f64() / sent.calls_per_slot;
+                self.latency.record(run_time, policy.latency_memory, now);
+                self.breaker.record_answered(sent.sent_at, now);
+                let max_limit = f64::from(self.server.max_connections);
+                self.refresh(context);
+                self.limit.record_answered(
+                    self.mean_latency,
+                    sent.was_at_limit,
+                    max_limit,
+                    policy,
+                    now,
+                );
+                return Some(run_time);
             }
             CallOutcome::Failed => {
-                let excess = self.block.failures(now) - elsewhere.unwrap_or(1.0);
-                self.block.note_failed(sent.at, excess, policy, now);
+                let excess = self.breaker.failure_rate(now) - elsewhere.unwrap_or(1.0);
+                self.breaker.record_failed(sent.sent_at, excess, policy, now);
             }
             CallOutcome::NotRun => {
-                self.limit.note_refused(self.mean, policy, now);
-                self.block.note_refused(sent.at, policy, now);
+                self.limit.record_overload(self.mean_latency, policy, now);
+                self.breaker.record_rejected(sent.sent_at, policy, now);
             }
-            CallOutcome::NotSent => self.block.note_unreachable(sent.at, policy, now),
+            CallOutcome::NotSent => self.breaker.record_unreachable(sent.sent_at, policy, now),
             CallOutcome::Lost => {
                 let elsewhere = elsewhere.unwrap_or(0.0);
-                self.block.note_lost(sent.at, elsewhere, policy, now);
-                // A server that reports its slots and gets no more than these loses calls for another reason than
-                // load, and a lower limit would only take capacity.
+                self.breaker.record_lost(sent.sent_at, elsewhere, policy, now);
+                // A server that reports its slots gets no more calls than these. If it loses some,
+                // load is not the cause, and a lower limit would only cost capacity.
                 let is_learned = self.server.slots.is_none();
-                if is_learned && self.block.failures(now) > policy.cut_factor * elsewhere {
-                    self.limit.note_refused(self.mean, policy, now);
+                if is_learned && self.breaker.failure_rate(now) > policy.cut_factor * elsewhere {
+                    self.limit.record_overload(self.mean_latency, policy, now);
                 }
             }
             CallOutcome::Abandoned => {}
--- a/crates/dillspool_calls/src/reading.rs
+++ b/crates/dillspool_calls/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! How a call queue stands, for metrics and logs.
+//! Snapshots of a call queue, for metrics and logs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,28 +7,28 @@
 
 use crate::request::RejectCause;
 
-/// How one backend server stands.
+/// State of one backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSnapshot {
-    /// Which one, and of which start.
+    /// The backend server, and which start of it.
     pub backend: StartedBackend,
     /// Calls that this queue may have in flight there.
     pub limit: u32,
     /// Calls in flight there.
     pub in_flight: u32,
-    /// Mean time in which it runs one call.
+    /// Mean time that it takes to run one call.
     pub mean_latency: Duration,
-    /// Whether it gets no calls for a while because it failed some.
+    /// Whether its circuit breaker is open or half-open.
     pub is_circuit_open: bool,
 }
 
-/// How a call queue stands.
+/// State of a call queue.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueueSnapshot {
     /// The backend servers that take calls, in the order of their ids.
     pub servers: Vec<ServerSnapshot>,
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub waiting: usize,
-    /// Calls rejected since the queue was made, by cause.
+    /// Calls rejected since the queue was created, by cause.
     pub rejected: BTreeMap<RejectCause, u64>,
 }
--- a/crates/dillspool_calls/tests/decisions.rs
+++ b/crates/dillspool_calls/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Properties of the queue under any order of calls, ends, servers and time.
+//! Properties of the queue that hold for any order of calls, outcomes, changes of servers and time.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -14,12 +14,12 @@
 /// A step of a schedule. Servers are numbered from 0 to 3.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Ask {
+    Submit {
         priority: u32,
         objective_ms: u64,
         time_ms: u64,
         excluded: Option<u64>,
-        repeatable: bool,
+        is_idempotent: bool,
     },
     Adopt {
         server: u64,
@@ -27,13 +27,13 @@
     },
     End {
         which: usize,
-        end: CallOutcome,
+        outcome: CallOutcome,
         took_ms: u64,
     },
     Forget {
         which: usize,
     },
-    /// Servers with their starts and slots; those of start 0 are absent.
+    /// Sets the servers with their starts and slots; servers with start 0 are absent.
     Servers {
         starts: [u64; 4],
         slots: [Option<u32>; 4],
@@ -41,35 +41,35 @@
     Share {
         percent: u32,
     },
-    Pass {
+    Advance {
         us: u64,
     },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let end = prop_oneof![
+    let outcome = prop_oneof![
         6 => Just(CallOutcome::Answered), 1 => Just(CallOutcome::Failed), 1 => Just(CallOutcome::NotRun),
         1 => Just(CallOutcome::NotSent), 1 => Just(CallOutcome::Lost), 1 => Just(CallOutcome::Abandoned),
     ];
     let slots = || proptest::option::weighted(0.8, 1_u32..8);
     let ask = (0..3_u32, 0..300_u64, 0..1500_u64, proptest::option::of(0..4_u64), any::<bool>())
-        .prop_map(|(priority, objective_ms, time_ms, excluded, repeatable)| Step::Ask {
+        .prop_map(|(priority, objective_ms, time_ms, excluded, is_idempotent)| Step::Submit {
             priority,
             objective_ms,
             time_ms,
             excluded,
-            repeatable,
+            is_idempotent,
         });
     let step = prop_oneof![
         12 => ask,
         1 => (0..4_u64, 0..100_u64).prop_map(|(server, ran_ms)| Step::Adopt { server, ran_ms }),
-        9 => (any::<usize>(), end, 0..200_u64)
-            .prop_map(|(which, end, took_ms)| Step::End { which, end, took_ms }),
+        9 => (any::<usize>(), outcome, 0..200_u64)
+            .prop_map(|(which, outcome, took_ms)| Step::End { which, outcome, took_ms }),
         1 => any::<usize>().prop_map(|which| Step::Forget { which }),
         1 => ([0..3_u64, 0..3, 0..3, 0..3], [slots(), slots(), slots(), slots()])
             .prop_map(|(starts, slots)| Step::Servers { starts, slots }),
         1 => (0..150_u32).prop_map(|percent| Step::Share { percent }),
-        6 => (0..60_000_u64).prop_map(|us| Step::Pass { us }),
+        6 => (0..60_000_u64).prop_map(|us| Step::Advance { us }),
     ];
     proptest::collection::vec(step, 1..250)
 }
@@ -81,34 +81,34 @@
 
 /// What the test knows of a call.
 struct KnownCall {
-    give_up: Moment,
+    deadline: Moment,
     excluded: Option<u64>,
-    /// Where it is in flight; `None` while it waits.
+    /// The server where it is in flight; `None` while it waits.
     at: Option<StartedBackend>,
 }
 
-struct Checker {
+struct ModelChecker {
     queue: CallQueue,
     now: Moment,
     calls: BTreeMap<u64, KnownCall>,
     /// Present servers, with the most calls that each may ever have.
     servers: HashMap<StartedBackend, u32>,
-    asked: u64,
+    last_id: u64,
 }
 
-impl Checker {
+impl ModelChecker {
     fn in_flight(&self, at: &StartedBackend) -> u32 {
         let count = self.calls.values().filter(|call| call.at.as_ref() == Some(at)).count();
         u32::try_from(count).unwrap()
     }
 
-    fn note(&mut self, id: u64, decision: CallDecision) {
+    fn record_decision(&mut self, id: u64, decision: CallDecision) {
         let call = self.calls.get_mut(&id).expect("decided after it was over");
         assert!(call.at.is_none(), "decided twice");
         match decision {
             CallDecision::Wait => {}
             CallDecision::Reject { retry_after, .. } => {
-                assert!(retry_after <= call.give_up.since(self.now) / 3 + Duration::from_nanos(9));
+                assert!(retry_after <= call.deadline.since(self.now) / 3 + Duration::from_nanos(9));
                 self.calls.remove(&id);
             }
             CallDecision::Send { backend } => {
@@ -118,8 +118,8 @@
                 let count = self.in_flight(&backend);
                 let most = self.servers.get(&backend).expect("sent to a server that is absent");
                 assert!(count <= *most, "{count} in flight of {most}");
-                let reading = self.queue.snapshot(self.now);
-                let limit = reading.servers.iter().find(|it| it.backend == backend).unwrap().limit;
+                let snapshot = self.queue.snapshot(self.now);
+                let limit = snapshot.servers.iter().find(|it| it.backend == backend).unwrap().limit;
                 assert!(count <= limit, "{count} in flight, limit {limit}");
             }
         }
@@ -128,19 +128,19 @@
     fn poll(&mut self) {
         for (id, decision) in self.queue.poll(self.now) {
             assert_ne!(decision, CallDecision::Wait);
-            self.note(id.0, decision);
+            self.record_decision(id.0, decision);
         }
         let waiting = self.calls.values().filter(|call| call.at.is_none());
         assert_eq!(waiting.clone().count(), self.queue.snapshot(self.now).waiting);
-        assert!(waiting.clone().all(|call| call.give_up > self.now), "held beyond its time");
+        assert!(waiting.clone().all(|call| call.deadline > self.now), "held beyond its time");
         for server in self.queue.snapshot(self.now).servers {
-            // Forgotten calls keep their places for a while.
+            // Forgotten calls still count for a while.
             assert!(server.in_flight >= self.in_flight(&server.backend));
         }
     }
 
-    /// Passes time as a caller does that polls when something is due.
-    fn pass(&mut self, until: Moment) {
+    /// Advances time, and polls whenever the queue is due.
+    fn advance(&mut self, until: Moment) {
         while let Some(due) = self.queue.next_deadline().filter(|due| *due <= until) {
             self.now = due.max(self.now);
             self.poll();
@@ -165,14 +165,14 @@
         }
     }
 
-    fn enter(&mut self, time_ms: u64, excluded: Option<u64>, at: Option<StartedBackend>) -> u64 {
-        self.asked += 1;
-        let give_up = self.now + Duration::from_millis(time_ms);
-        self.calls.insert(self.asked, KnownCall { give_up, excluded, at });
-        self.asked
+    fn add_call(&mut self, time_ms: u64, excluded: Option<u64>, at: Option<StartedBackend>) -> u64 {
+        self.last_id += 1;
+        let deadline = self.now + Duration::from_millis(time_ms);
+        self.calls.insert(self.last_id, KnownCall { deadline, excluded, at });
+        self.last_id
     }
 
-    fn remove(&mut self, which: usize) -> Option<CallId> {
+    fn remove_call(&mut self, which: usize) -> Option<CallId> {
         let id = *self.calls.keys().nth(which.checked_rem(self.calls.len())?)?;
         self.calls.remove(&id);
         Some(CallId(id))
@@ -180,35 +180,35 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask { priority, objective_ms, time_ms, excluded, repeatable } => {
-                let id = self.enter(time_ms, excluded, None);
-                let terms = (priority, objective_ms, time_ms, excluded, repeatable);
+            Step::Submit { priority, objective_ms, time_ms, excluded, is_idempotent } => {
+                let id = self.add_call(time_ms, excluded, None);
+                let terms = (priority, objective_ms, time_ms, excluded, is_idempotent);
                 let decision = self.queue.submit(CallId(id), Self::request(terms), self.now);
-                self.note(id, decision);
+                self.record_decision(id, decision);
             }
             Step::Adopt { server, ran_ms } => {
                 let Some(at) = self.servers.keys().find(|it| it.id == backend(server, 0).id) else {
                     return;
                 };
                 let at = at.clone();
-                let id = self.enter(0, None, Some(at.clone()));
+                let id = self.add_call(0, None, Some(at.clone()));
                 let (request, ran) =
                     (Self::request((0, 0, 0, None, false)), Duration::from_millis(ran_ms));
                 self.queue.adopt(CallId(id), request, at, ran, self.now);
             }
-            Step::End { which, end, took_ms } => {
-                if let Some(id) = self.remove(which) {
-                    self.queue.complete(id, end, Duration::from_millis(took_ms), self.now);
+            Step::End { which, outcome, took_ms } => {
+                if let Some(id) = self.remove_call(which) {
+                    self.queue.complete(id, outcome, Duration::from_millis(took_ms), self.now);
                 }
             }
             Step::Forget { which } => {
-                if let Some(id) = self.remove(which) {
+                if let Some(id) = self.remove_call(which) {
                     self.queue.forget(id, self.now);
                 }
             }
             Step::Servers { starts, slots } => self.set_servers(starts, slots),
             Step::Share { percent } => self.queue.set_share(f64::from(percent) / 100.0),
-            Step::Pass { us } => self.pass(self.now + Duration::from_micros(us)),
+            Step::Advance { us } => self.advance(self.now + Duration::from_micros(us)),
         }
         self.poll();
     }
@@ -224,7 +224,7 @@
         let servers: Vec<CallServer> = servers.collect();
         let most = |slots: Option<u32>| slots.map_or(9, |it| (2 * it).clamp(2, 9));
         self.servers = servers.iter().map(|it| (it.backend.clone(), most(it.slots))).collect();
-        // Calls at a former start are forgotten, also if that start is named again.
+        // Calls at a former start are forgotten, also if that start is listed again.
         for at in self.calls.values_mut().filter_map(|call| call.at.as_mut()) {
             if servers.iter().any(|it| it.backend.id == at.id && it.backend.start != at.start) {
                 at.start = None;
@@ -237,20 +237,20 @@
 proptest! {
     #![proptest_config(fixed_cases(400))]
 
-    /// Guards against a call that is decided twice or after its end, a limit that is exceeded, a call that is
-    /// held until its caller has given up, and a queue that is due at once without an end.
+    /// Guards against a call that is decided twice or after its end, a limit that is exceeded, a
+    /// call that is held until its caller has given up, and a queue that stays due forever.
     #[test]
     fn each_call_is_decided_once_and_in_time(steps in steps()) {
         let queue = CallQueue::new(CallPolicy::default(), 7);
         let now = Moment::after_origin(Duration::from_secs(5));
         let (calls, servers) = (BTreeMap::new(), HashMap::new());
-        let mut checker = Checker { queue, now, calls, servers, asked: 0 };
+        let mut checker = ModelChecker { queue, now, calls, servers, last_id: 0 };
         checker.set_servers([1; 4], [Some(2), Some(6), None, Some(1)]);
         for step in steps {
             checker.step(step);
         }
         let end = checker.now + Duration::from_secs(10);
-        checker.pass(end);
+        checker.advance(end);
         checker.poll();
         for server in checker.queue.snapshot(end).servers {
             prop_assert_eq!(server.in_flight, checker.in_flight(&server.backend));
--- a/crates/dillspool_calls/tests/holders.rs
+++ b/crates/dillspool_calls/tests/holders.rs
@@ -1,4 +1,5 @@
-//! A model of hosts that find, lose and change the host that decides their calls.
+//! A simulation of hosts that connect to, lose and change the host that decides their calls (the
+//! holder).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,15 +15,15 @@
 const HOSTS: usize = 12;
 const SERVERS: usize = 3;
 const SLOTS: u32 = 6;
-/// Steps of a schedule, in milliseconds.
+/// Steps of a schedule, one millisecond each.
 const STEPS: u64 = 6_000;
-const TO_HOST_MS: u64 = 2;
-/// Time after which a decision is no longer followed.
-const STALE_MS: u64 = 80;
-/// Part of a host without a holder.
+const LATENCY_MS: u64 = 2;
+/// Age beyond which a decision is not carried out any more.
+const MAX_DECISION_AGE_MS: u64 = 80;
+/// Share of the limits that a host without a holder may use.
 const OWN_SHARE: f64 = 2.0 / 12.0;
 
-/// Who decides calls: a holder by its term, or a host for itself.
+/// Who decides on calls: a holder, given by its term, or a host for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Decider {
     Holder(u64),
@@ -32,33 +33,33 @@
 /// A call that runs at a server.
 struct RunningCall {
     server: usize,
-    began: u64,
+    started_at: u64,
     ends: u64,
     by: Decider,
 }
 
 struct ModelHost {
     decider: Decider,
-    desk: CallQueue,
+    own_queue: CallQueue,
     calls: BTreeMap<u64, RunningCall>,
     frozen_until: u64,
-    /// When it finds another holder.
-    links_at: u64,
+    /// When it connects to another holder.
+    connects_at: u64,
 }
 
-/// A message on a link; it is lost with the link.
-struct Mail {
+/// A message on a link; it is lost when the link is.
+struct Message {
     at: u64,
     sent: u64,
     host: usize,
     holder: u64,
     id: u64,
-    kind: MailKind,
+    kind: MessageKind,
 }
 
 #[derive(Clone, Copy)]
-enum MailKind {
-    Ask,
+enum MessageKind {
+    Submit,
     Decided { server: usize },
     Ended { took: u64 },
 }
@@ -70,17 +71,17 @@
     OneQueue,
 }
 
-struct World {
+struct Simulation {
     approach: Approach,
     random: SmallRng,
     now: u64,
     hosts: Vec<ModelHost>,
     holders: BTreeMap<u64, CallQueue>,
-    mails: Vec<Mail>,
+    messages: Vec<Message>,
     /// Calls of each holder that wait or were decided, with their hosts.
     asked: BTreeMap<(u64, u64), usize>,
     ids: u64,
-    /// Highest limit of a server that a holder has had.
+    /// Highest limit that a holder has had for a server.
     limit: u32,
 }
 
@@ -117,44 +118,44 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(approach: Approach, seed: u64) -> Self {
         let host = |host| ModelHost {
             decider: Decider::Host(host),
-            desk: queue(OWN_SHARE, seed, 0),
+            own_queue: queue(OWN_SHARE, seed, 0),
             calls: BTreeMap::new(),
             frozen_until: 0,
-            links_at: 0,
+            connects_at: 0,
         };
-        let mut world = Self {
+        let mut simulation = Self {
             approach,
             random: SmallRng::seed_from_u64(seed),
             now: 0,
             hosts: (0..HOSTS).map(host).collect(),
             holders: BTreeMap::new(),
-            mails: Vec::new(),
+            messages: Vec::new(),
             asked: BTreeMap::new(),
             ids: 0,
             limit: SLOTS,
         };
-        world.begin_holder();
-        world
+        simulation.add_holder();
+        simulation
     }
 
-    fn begin_holder(&mut self) {
+    fn add_holder(&mut self) {
         self.ids += 1;
         self.holders.insert(self.ids, queue(1.0, self.ids, self.now));
     }
 
-    fn mail(&mut self, host: usize, holder: u64, id: u64, kind: MailKind) {
-        let at = self.now + TO_HOST_MS;
-        self.mails.push(Mail { at, sent: self.now, host, holder, id, kind });
+    fn send(&mut self, host: usize, holder: u64, id: u64, kind: MessageKind) {
+        let at = self.now + LATENCY_MS;
+        self.messages.push(Message { at, sent: self.now, host, holder, id, kind });
     }
 
-    /// A host's link ends; its holder, if it lives, forgets its calls.
-    fn unlink(&mut self, host: usize) {
+    /// Ends a host's link; its holder, if it still runs, forgets the host's calls.
+    fn disconnect(&mut self, host: usize) {
         let Decider::Holder(holder) = self.hosts[host].decider else { return };
-        self.mails.retain(|mail| mail.host != host);
+        self.messages.retain(|message| message.host != host);
         let of_host = |&(&(of, _id), &at): &(&(u64, u64), &usize)| of == holder && at == host;
         let ids: Vec<_> = self.asked.iter().filter(of_host).map(|(key, _host)| *key).collect();
         for key in ids {
@@ -163,14 +164,14 @@
                 queue.forget(CallId(key.1), moment(self.now));
             }
         }
-        let mut desk = queue(OWN_SHARE, self.ids, self.now);
-        report(&self.hosts[host], &mut desk, self.now);
-        self.hosts[host].desk = desk;
+        let mut own_queue = queue(OWN_SHARE, self.ids, self.now);
+        report(&self.hosts[host], &mut own_queue, self.now);
+        self.hosts[host].own_queue = own_queue;
         self.hosts[host].decider = Decider::Host(host);
-        self.hosts[host].links_at = self.now + self.random.random_range(200..1300);
+        self.hosts[host].connects_at = self.now + self.random.random_range(200..1300);
     }
 
-    fn link(&mut self, host: usize) {
+    fn connect(&mut self, host: usize) {
         let count = self.holders.len();
         if count > 0 {
             let which = self.random.random_range(0..count);
@@ -183,8 +184,8 @@
         }
     }
 
-    /// Something fails or changes.
-    fn disturb(&mut self) {
+    /// Injects a random failure or change.
+    fn inject_fault(&mut self) {
         let host = self.random.random_range(0..HOSTS);
         match self.random.random_range(0..6) {
             // A holder is lost, with its links.
@@ -193,23 +194,23 @@
                     let of = |host: &usize| self.hosts[*host].decider == Decider::Holder(holder);
                     let hosts: Vec<usize> = (0..HOSTS).filter(of).collect();
                     for host in hosts {
-                        self.unlink(host);
+                        self.disconnect(host);
                     }
                 }
             }
-            // Another host decides, too.
-            1 if self.holders.len() < 3 => self.begin_holder(),
+            // Another host becomes a holder, too.
+            1 if self.holders.len() < 3 => self.add_holder(),
             // A link is lost, or a better holder is found.
-            1 | 2 => self.unlink(host),
+            1 | 2 => self.disconnect(host),
             3 => {
-                self.unlink(host);
-                self.link(host);
+                self.disconnect(host);
+                self.connect(host);
             }
             // A host is killed and starts again.
             4 => {
-                self.unlink(host);
+                self.disconnect(host);
                 self.hosts[host].calls.clear();
-                self.hosts[host].desk = queue(OWN_SHARE, self.ids, self.now);
+                self.hosts[host].own_queue = queue(OWN_SHARE, self.ids, self.now);
             }
             _ => {
                 let time = self.random.random_range(50..1000);
@@ -224,12 +225,12 @@
 
     fn run(&mut self, host: usize, id: u64, server: usize, by: Decider) {
         let ends = self.now + self.random.random_range(10..60);
-        let call = RunningCall { server, began: self.now, ends, by };
+        let call = RunningCall { server, started_at: self.now, ends, by };
         self.hosts[host].calls.insert(id, call);
     }
 
-    /// A host has a call.
-    fn ask(&mut self, host: usize) {
+    /// A call arrives at a host.
+    fn submit(&mut self, host: usize) {
         self.ids += 1;
         let id = self.ids;
         if self.approach == Approach::Plain {
@@ -240,51 +241,53 @@
             return self.run(host, id, server, Decider::Host(host));
         }
         match self.hosts[host].decider {
-            Decider::Holder(holder) => self.mail(host, holder, id, MailKind::Ask),
+            Decider::Holder(holder) => self.send(host, holder, id, MessageKind::Submit),
             Decider::Host(_host) => {
                 let now = moment(self.now);
-                let decision = self.hosts[host].desk.submit(CallId(id), request(), now);
-                self.decided(host, id, &decision);
+                let decision = self.hosts[host].own_queue.submit(CallId(id), request(), now);
+                self.carry_out(host, id, &decision);
             }
         }
     }
 
-    /// A host's own desk has decided.
-    fn decided(&mut self, host: usize, id: u64, decision: &CallDecision) {
+    /// Carries out a decision of a host's own queue.
+    fn carry_out(&mut self, host: usize, id: u64, decision: &CallDecision) {
         if let CallDecision::Send { backend } = decision {
             let server = backend.id.parse().expect("a number");
             self.run(host, id, server, Decider::Host(host));
         }
     }
 
-    /// A holder has decided.
-    fn tell(&mut self, holder: u64, id: u64, decision: &CallDecision) {
+    /// Sends a holder's decision to the host.
+    fn send_decision(&mut self, holder: u64, id: u64, decision: &CallDecision) {
         let Some(host) = self.asked.get(&(holder, id)).copied() else { return };
         match decision {
             CallDecision::Wait => {}
             CallDecision::Reject { .. } => drop(self.asked.remove(&(holder, id))),
             CallDecision::Send { backend } => {
                 let server = backend.id.parse().expect("a number");
-                self.mail(host, holder, id, MailKind::Decided { server });
+                self.send(host, holder, id, MessageKind::Decided { server });
             }
         }
     }
 
-    fn deliver(&mut self, mail: &Mail) {
-        let Mail { host, holder, id, .. } = *mail;
+    fn deliver(&mut self, message: &Message) {
+        let Message { host, holder, id, .. } = *message;
         let now = moment(self.now);
-        match mail.kind {
-            MailKind::Ask => {
+        match message.kind {
+            MessageKind::Submit => {
                 let Some(queue) = self.holders.get_mut(&holder) else { return };
                 self.asked.insert((holder, id), host);
                 let decision = queue.submit(CallId(id), request(), now);
-                self.tell(holder, id, &decision);
+                self.send_decision(holder, id, &decision);
             }
-            MailKind::Decided { server } if self.now - mail.sent <= STALE_MS => {
+            MessageKind::Decided { server } if self.now - message.sent <= MAX_DECISION_AGE_MS => {
                 self.run(host, id, server, Decider::Holder(holder));
             }
-            MailKind::Decided { .. } => self.mail(host, holder, id, MailKind::Ended { took: 0 }),
-            MailKind::Ended { took } => {
+            MessageKind::Decided { .. } => {
+                self.send(host, holder, id, MessageKind::Ended { took: 0 });
+            }
+            MessageKind::Ended { took } => {
                 self.asked.remove(&(holder, id));
                 let Some(queue) = self.holders.get_mut(&holder) else { return };
                 let end = if took > 0 { CallOutcome::Answered } else { CallOutcome::Abandoned };
@@ -293,17 +296,17 @@
         }
     }
 
-    /// Hosts that run learn which calls have ended.
+    /// Ends the calls of a running host that are over.
     fn end_calls(&mut self, host: usize) {
         let now = self.now;
         let over = self.hosts[host].calls.extract_if(.., |_id, call| call.ends <= now);
         for (id, call) in over.collect::<Vec<_>>() {
-            let took = call.ends - call.began;
+            let took = call.ends - call.started_at;
             match self.hosts[host].decider {
-                Decider::Holder(holder) => self.mail(host, holder, id, MailKind::Ended { took }),
+                Decider::Holder(holder) => self.send(host, holder, id, MessageKind::Ended { took }),
                 Decider::Host(_host) => {
                     let took = Duration::from_millis(took);
-                    self.hosts[host].desk.complete(
+                    self.hosts[host].own_queue.complete(
                         CallId(id),
                         CallOutcome::Answered,
                         took,
@@ -317,31 +320,33 @@
     fn step(&mut self) {
         self.now += 1;
         if self.random.random_range(0..60) == 0 {
-            self.disturb();
+            self.inject_fault();
         }
         let now = self.now;
-        let due = |mail: &mut Mail| {
-            let waits = matches!(mail.kind, MailKind::Decided { .. })
-                && self.hosts[mail.host].frozen_until > now;
-            mail.at <= now && !waits
+        let due = |message: &mut Message| {
+            let waits = matches!(message.kind, MessageKind::Decided { .. })
+                && self.hosts[message.host].frozen_until > now;
+            message.at <= now && !waits
         };
-        for mail in self.mails.extract_if(.., due).collect::<Vec<_>>() {
-            self.deliver(&mail);
+        for message in self.messages.extract_if(.., due).collect::<Vec<_>>() {
+            self.deliver(&message);
         }
         for host in 0..HOSTS {
             if self.is_frozen(host) {
                 continue;
             }
             self.end_calls(host);
-            if self.hosts[host].decider == Decider::Host(host) && self.hosts[host].links_at <= now {
-                self.link(host);
+            if self.hosts[host].decider == Decider::Host(host)
+                && self.hosts[host].connects_at <= now
+            {
+                self.connect(host);
             }
             if self.random.random_range(0..12) == 0 {
-                self.ask(host);
+                self.submit(host);
             }
-            for (id, decision) in self.hosts[host].desk.poll(moment(now)) {
+            for (id, decision) in self.hosts[host].own_queue.poll(moment(now)) {
                 if self.hosts[host].decider == Decider::Host(host) {
-                    self.decided(host, id.0, &decision);
+                    self.carry_out(host, id.0, &decision);
                 }
             }
         }
@@ -353,13 +358,14 @@
             decided.extend(polled.map(|(id, decision)| (*holder, id.0, decision)));
         }
         for (holder, id, decision) in decided {
-            self.tell(holder, id, &decision);
+            self.send_decision(holder, id, &decision);
         }
     }
 
-    /// The most calls in flight at a server beyond the bound. A decider counts while a call runs that it decided.
-    fn beyond(&self) -> usize {
-        let beyond = |server| {
+    /// The most calls in flight at a server beyond the bound. Each decider that has a running call
+    /// adds its limit to the bound.
+    fn excess(&self) -> usize {
+        let excess = |server| {
             let calls = self.hosts.iter().flat_map(|host| host.calls.values());
             let here = calls.filter(|call| call.server == server && call.ends > self.now);
             let deciders: std::collections::BTreeSet<Decider> =
@@ -370,42 +376,43 @@
             });
             here.count().saturating_sub(allowed.sum())
         };
-        (0..SERVERS).map(beyond).max().unwrap_or_default()
+        (0..SERVERS).map(excess).max().unwrap_or_default()
     }
 }
 
 /// Reports the calls that a host has in flight.
 fn report(host: &ModelHost, queue: &mut CallQueue, now: u64) {
     for (id, call) in &host.calls {
-        let ran = Duration::from_millis(now - call.began);
+        let ran = Duration::from_millis(now - call.started_at);
         queue.adopt(CallId(*id), request(), backend(call.server), ran, moment(now));
     }
 }
 
-/// Schedules in which the bound was passed, and the most calls beyond it.
-fn play(approach: Approach, schedules: u64) -> (usize, usize) {
-    let beyond = |seed| {
-        let mut world = World::new(approach, seed);
+/// Returns the number of schedules in which the bound was exceeded, and the most calls beyond it.
+fn run_schedules(approach: Approach, schedules: u64) -> (usize, usize) {
+    let excess = |seed| {
+        let mut simulation = Simulation::new(approach, seed);
         (0..STEPS)
             .map(|_step| {
-                world.step();
-                world.beyond()
+                simulation.step();
+                simulation.excess()
             })
             .max()
             .unwrap_or_default()
     };
-    let beyond: Vec<usize> = (0..schedules).map(beyond).collect();
-    let passed = beyond.iter().filter(|beyond| **beyond > 0).count();
-    (passed, beyond.into_iter().max().unwrap_or_default())
+    let excess: Vec<usize> = (0..schedules).map(excess).collect();
+    let exceeded = excess.iter().filter(|excess| **excess > 0).count();
+    (exceeded, excess.into_iter().max().unwrap_or_default())
 }
 
-/// Guards against servers that get more calls than they take while hosts change the host that decides. By hand,
-/// `CALL_SCHEDULES=1000` plays more of them.
+/// Guards against servers that get more calls than their limits while hosts change the host that
+/// decides. `CALL_SCHEDULES=1000` runs more schedules.
 #[test]
 fn changes_of_holders_keep_to_the_limits() {
     let schedules = std::env::var("CALL_SCHEDULES").ok().and_then(|it| it.parse().ok());
     let schedules = schedules.unwrap_or(100);
-    let (plain, queue) = (play(Approach::Plain, 10), play(Approach::OneQueue, schedules));
+    let (plain, queue) =
+        (run_schedules(Approach::Plain, 10), run_schedules(Approach::OneQueue, schedules));
     println!(
         "schedules beyond the bound, and by how many calls: plain {plain:?} of 10, queue {queue:?}"
     );
--- a/crates/dillspool_calls/tests/model/approach.rs
+++ b/crates/dillspool_calls/tests/model/approach.rs
@@ -9,44 +9,44 @@
 use super::server::{ModelServer, server_name};
 use super::{CallRecord, LoadCase, REPORT_BYTES, SendEnd, TO_HOST_US, ms};
 
-/// Who decides, and by what.
+/// Who decides on calls, and from which information.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Approach {
-    /// Each host by its own calls, without a limit: `dillspool_forward::plain` at present.
+    /// Each host decides from its own calls, without a limit, as `dillspool_forward::plain` does.
     Present,
-    /// One host with the queue of this crate, for all.
+    /// One host decides for all, with the queue of this crate.
     OneQueue,
-    /// Each host with a queue and an equal part of the limits.
+    /// Each host decides with a queue of its own and an equal part of the limits.
     PerHost,
-    /// Each host the less loaded of two random servers, by reports of all loads.
+    /// Each host picks the less loaded of two random servers, from reports of all loads.
     TwoChoices,
 }
 
-/// What a host knows of a server by its own calls, as `dillspool_forward::book` has it.
+/// What a host knows of a server from its own calls, as in `dillspool_forward::backend_tracker`.
 #[derive(Clone, Debug)]
 struct HostLoad {
     outstanding: u32,
     latency_ms: f64,
     failures: f64,
     failures_in_row: u32,
-    aside_until: u64,
-    /// By the last report, and what the host has sent since.
+    ejected_until: u64,
+    /// Load in the last report, plus the calls that the host has sent since.
     reported: usize,
 }
 
-/// The deciders of one replay.
+/// The deciders of one simulation.
 pub(super) struct Deciders {
     approach: Approach,
     random: SmallRng,
     pub(super) queues: Vec<CallQueue>,
-    /// When each queue is polled next.
+    /// When each queue is next polled.
     polls: Vec<u64>,
     /// By host and server.
     loads: Vec<Vec<HostLoad>>,
     present: Vec<bool>,
 }
 
-const NEWEST_WEIGHT: f64 = 0.15;
+const NEWEST_CALL_WEIGHT: f64 = 0.15;
 
 impl Deciders {
     #[expect(clippy::cast_precision_loss, reason = "hosts are counted in hundreds")]
@@ -66,7 +66,7 @@
             latency_ms: 60.0,
             failures: 0.0,
             failures_in_row: 0,
-            aside_until: 0,
+            ejected_until: 0,
             reported: 0,
         };
         Self {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Time of a message to the queue; `None` without queues.
+    /// Latency of a message to the queue; `None` without queues.
     pub(super) fn delay_us(&self) -> Option<u64> {
         match self.approach {
             Approach::Present | Approach::TwoChoices => None,
@@ -89,16 +89,16 @@
     }
 
     /// The queue of a host.
-    pub(super) fn of(&self, host: usize) -> usize {
+    pub(super) fn queue_of(&self, host: usize) -> usize {
         host % self.queues.len()
     }
 
-    /// Whether a poll is due before the next that is planned.
+    /// Whether a poll is due before the next scheduled one.
     pub(super) fn is_earlier(&mut self, decider: usize, due: u64, now: u64) -> bool {
-        let planned = &mut self.polls[decider];
-        let is_earlier = *planned <= now || due < *planned;
+        let scheduled = &mut self.polls[decider];
+        let is_earlier = *scheduled <= now || due < *scheduled;
         if is_earlier {
-            *planned = due;
+            *scheduled = due;
         }
         is_earlier
     }
@@ -118,7 +118,7 @@
         self.present = present;
     }
 
-    /// Reports the servers' loads to all hosts; messages and bytes of that.
+    /// Reports the servers' loads to all hosts; returns the number of messages and bytes.
     pub(super) fn report(&mut self, reported: &[usize]) -> (u64, u64) {
         if self.approach != Approach::TwoChoices {
             return (0, 0);
@@ -132,51 +132,58 @@
         (messages, messages * REPORT_BYTES)
     }
 
-    /// When a caller returns that a host rejects by itself: `dillspool_forward::plain` at present.
-    pub(super) fn come_back_us(&mut self, objective_ms: u64) -> u64 {
+    /// Retry delay of a caller that a host rejects by itself, as in `dillspool_forward::plain`.
+    pub(super) fn retry_delay_us(&mut self, objective_ms: u64) -> u64 {
         objective_ms * self.random.random_range(300..900)
     }
 
-    /// A host's own choice among servers that were not tried.
+    /// A host's own choice among the servers that were not tried yet.
     pub(super) fn choose(&mut self, call: &CallRecord, now: u64) -> Option<usize> {
-        let open = |server: &usize| self.present[*server] && !call.tried.contains(server);
-        let mut open: Vec<usize> = (0..self.present.len()).filter(open).collect();
+        let is_candidate = |server: &usize| self.present[*server] && !call.tried.contains(server);
+        let mut candidates: Vec<usize> = (0..self.present.len()).filter(is_candidate).collect();
         let loads = &self.loads[call.host];
         if self.approach == Approach::TwoChoices {
-            while open.len() > 2 {
-                open.swap_remove(self.random.random_range(0..open.len()));
+            while candidates.len() > 2 {
+                candidates.swap_remove(self.random.random_range(0..candidates.len()));
             }
-            return open.into_iter().min_by_key(|server| loads[*server].reported);
+            return candidates.into_iter().min_by_key(|server| loads[*server].reported);
         }
         let mut cost = |server: usize| {
             let load = &loads[server];
             let queue = f64::from(load.outstanding + 1) * load.latency_ms;
             let spread = 1.0 + self.random.random_range(0.0..0.1);
-            (load.aside_until > now, queue * (1.0 + 6.0 * load.failures) * spread)
+            (load.ejected_until > now, queue * (1.0 + 6.0 * load.failures) * spread)
         };
-        let costs: Vec<_> = open.into_iter().map(|server| (cost(server), server)).collect();
+        let costs: Vec<_> = candidates.into_iter().map(|server| (cost(server), server)).collect();
         let least = costs
             .into_iter()
             .min_by(|one, other| one.0.0.cmp(&other.0.0).then(one.0.1.total_cmp(&other.0.1)));
         least.map(|(_cost, server)| server)
     }
 
-    pub(super) fn enter(&mut self, host: usize, server: usize) {
+    pub(super) fn record_send(&mut self, host: usize, server: usize) {
         let load = &mut self.loads[host][server];
         load.outstanding += 1;
         load.reported += 1;
     }
 
-    pub(super) fn leave(&mut self, host: usize, server: usize, end: SendEnd, took: u64, now: u64) {
+    pub(super) fn record_end(
+        &mut self,
+        host: usize,
+        server: usize,
+        end: SendEnd,
+        took: u64,
+        now: u64,
+    ) {
         let load = &mut self.loads[host][server];
         load.outstanding -= 1;
         if end == SendEnd::Answered {
-            load.latency_ms += NEWEST_WEIGHT * (ms(took) - load.latency_ms);
-            load.failures -= NEWEST_WEIGHT * load.failures;
-            (load.failures_in_row, load.aside_until) = (0, 0);
+            load.latency_ms += NEWEST_CALL_WEIGHT * (ms(took) - load.latency_ms);
+            load.failures -= NEWEST_CALL_WEIGHT * load.failures;
+            (load.failures_in_row, load.ejected_until) = (0, 0);
             return;
         }
-        load.failures += NEWEST_WEIGHT * (1.0 - load.failures);
+        load.failures += NEWEST_CALL_WEIGHT * (1.0 - load.failures);
         let before = match end {
             SendEnd::NotSent => 1,
             SendEnd::Lost => 2,
@@ -184,7 +191,7 @@
         };
         load.failures_in_row += 1;
         if let Some(doublings) = load.failures_in_row.checked_sub(before) {
-            load.aside_until = now + (500_000 << doublings.min(3));
+            load.ejected_until = now + (500_000 << doublings.min(3));
         }
     }
 }
--- a/crates/dillspool_calls/tests/model/server.rs
+++ b/crates/dillspool_calls/tests/model/server.rs
@@ -1,4 +1,4 @@
-//! A plain server with slots and a queue behind them.
+//! A simulated plain server with slots and a queue.
 
 use std::collections::VecDeque;
 
@@ -7,39 +7,41 @@
 use rand::rngs::SmallRng;
 
 /// Calls that wait in a server at most.
-const LONGEST_QUEUE: usize = 24;
-/// Exponential parts of a call's run; the more, the less runs differ.
-const RUN_PARTS: u32 = 3;
+const MAX_QUEUE_LENGTH: usize = 24;
+/// Number of exponential phases of a call's run time (Erlang distribution); more of them make run
+/// times differ less.
+const RUN_PHASES: u32 = 3;
 
 #[derive(Clone, Debug)]
 pub struct ModelServer {
     pub slots: u32,
     pub mean_ms: f64,
-    pub joins_us: u64,
-    pub leaves_us: u64,
+    pub joins_at_us: u64,
+    pub leaves_at_us: u64,
     /// When it runs slower.
     pub slow: Option<SlowSpell>,
-    /// Part of its answers that are lost after the run.
-    pub loses: f64,
+    /// Fraction of its answers that are lost after the run.
+    pub loss_rate: f64,
     running: u32,
     queue: VecDeque<usize>,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct SlowSpell {
-    /// In microseconds: when it begins, after which time it begins again, and how long it is.
+    /// In microseconds: the start of the first spell, the time between two starts, and the length
+    /// of a spell.
     pub first: u64,
     pub period: u64,
     pub length: u64,
 }
 
-const SLOWER: f64 = 2.5;
+const SLOWDOWN_FACTOR: f64 = 2.5;
 
-pub(super) enum ServerWord {
-    Runs,
-    Queues,
-    Rejects,
-    IsGone,
+pub(super) enum AcceptResult {
+    Running,
+    Queued,
+    Rejected,
+    Gone,
 }
 
 impl ModelServer {
@@ -48,39 +50,39 @@
         Self {
             slots: 6,
             mean_ms: 30.0,
-            joins_us: 0,
-            leaves_us: u64::MAX,
+            joins_at_us: 0,
+            leaves_at_us: u64::MAX,
             slow: None,
-            loses: 0.0,
+            loss_rate: 0.0,
             running: 0,
             queue: VecDeque::new(),
         }
     }
 
     pub(super) fn is_present(&self, now: u64) -> bool {
-        (self.joins_us..self.leaves_us).contains(&now)
+        (self.joins_at_us..self.leaves_at_us).contains(&now)
     }
 
     pub(super) fn load(&self) -> usize {
         usize::try_from(self.running).unwrap() + self.queue.len()
     }
 
-    pub(super) fn accept(&mut self, call: usize, now: u64) -> ServerWord {
+    pub(super) fn accept(&mut self, call: usize, now: u64) -> AcceptResult {
         if !self.is_present(now) {
-            return ServerWord::IsGone;
+            return AcceptResult::Gone;
         }
         if self.running < self.slots {
             self.running += 1;
-            return ServerWord::Runs;
+            return AcceptResult::Running;
         }
-        if self.queue.len() == LONGEST_QUEUE {
-            return ServerWord::Rejects;
+        if self.queue.len() == MAX_QUEUE_LENGTH {
+            return AcceptResult::Rejected;
         }
         self.queue.push_back(call);
-        ServerWord::Queues
+        AcceptResult::Queued
     }
 
-    /// Ends a run; the call that is run next.
+    /// Ends a run; returns the call that runs next.
     pub(super) fn finish(&mut self) -> Option<usize> {
         let next = self.queue.pop_front();
         self.running -= u32::from(next.is_none());
@@ -89,12 +91,12 @@
 
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "short times")]
     pub(super) fn run_us(&self, now: u64, random: &mut SmallRng) -> u64 {
-        let draws = (0..RUN_PARTS).map(|_part| -(1.0 - random.random::<f64>()).ln());
-        let run = draws.sum::<f64>() / f64::from(RUN_PARTS) * self.mean_ms * 1000.0;
+        let draws = (0..RUN_PHASES).map(|_phase| -(1.0 - random.random::<f64>()).ln());
+        let run = draws.sum::<f64>() / f64::from(RUN_PHASES) * self.mean_ms * 1000.0;
         let is_slow = self.slow.is_some_and(|SlowSpell { first, period, length }| {
             now >= first && (now - first) % period < length
         });
-        (if is_slow { run * SLOWER } else { run }) as u64
+        (if is_slow { run * SLOWDOWN_FACTOR } else { run }) as u64
     }
 }
 
--- a/crates/dillspool_calls/tests/rules.rs
+++ b/crates/dillspool_calls/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules of the queue, one by one.
+//! Tests of single rules of the queue.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use dillspool_routing::{BackendStart, StartedBackend};
 
 /// A queue and a clock.
-struct Bench {
+struct Fixture {
     queue: CallQueue,
     now: Moment,
     ids: u64,
@@ -36,7 +36,7 @@
     }
 }
 
-impl Bench {
+impl Fixture {
     fn new(servers: &[CallServer]) -> Self {
         let mut queue = CallQueue::new(CallPolicy::default(), 3);
         let now = Moment::after_origin(Duration::from_secs(9));
@@ -44,28 +44,28 @@
         Self { queue, now, ids: 0 }
     }
 
-    fn ask(&mut self, request: CallRequest) -> (CallId, CallDecision) {
+    fn submit(&mut self, request: CallRequest) -> (CallId, CallDecision) {
         self.ids += 1;
         (CallId(self.ids), self.queue.submit(CallId(self.ids), request, self.now))
     }
 
-    /// Sends calls until none is sent; their ids and servers.
+    /// Submits calls until none is sent; returns the ids and servers of those that were.
     fn fill(&mut self) -> Vec<(CallId, String)> {
         let mut sent = Vec::new();
-        while let (id, CallDecision::Send { backend }) = self.ask(request(0, 150)) {
+        while let (id, CallDecision::Send { backend }) = self.submit(request(0, 150)) {
             sent.push((id, backend.id.to_string()));
         }
         self.queue.forget(CallId(self.ids), self.now);
         sent
     }
 
-    fn end(&mut self, id: CallId, end: CallOutcome, took: u64) {
+    fn complete(&mut self, id: CallId, outcome: CallOutcome, took: u64) {
         self.now = self.now + ms(took);
-        self.queue.complete(id, end, ms(took), self.now);
+        self.queue.complete(id, outcome, ms(took), self.now);
     }
 
-    /// Calls that a server gets until no server gets more.
-    fn places(&mut self, name: &str) -> usize {
+    /// Number of calls that a server gets until no server gets more.
+    fn available_calls(&mut self, name: &str) -> usize {
         let sent = self.fill();
         for (id, _server) in &sent {
             self.queue.complete(*id, CallOutcome::Abandoned, ms(0), self.now);
@@ -76,91 +76,95 @@
 
 struct FaultCase {
     name: &'static str,
-    ends: &'static [CallOutcome],
-    /// Places at once, after 0.6 s when its limit may not have recovered yet, and then once a call was answered.
-    places: [usize; 3],
+    outcomes: &'static [CallOutcome],
+    /// Calls that the server gets at once, after 0.6 s when its limit may not have recovered yet,
+    /// and then once a call was answered.
+    calls: [usize; 3],
 }
 
-/// Guards against servers that draw calls because they fail them at once, and servers that get none for one
-/// call that failed.
+/// Guards against servers that attract calls because they fail them at once, and servers that get
+/// none because one call failed.
 #[test]
-fn failing_servers_rest_and_are_tried_again() {
+fn circuits_of_failing_servers_open_and_are_probed() {
     use CallOutcome::{Answered, Failed, Lost, NotRun, NotSent};
     let cases = [
-        FaultCase { name: "one lost", ends: &[Lost], places: [9, 9, 9] },
-        FaultCase { name: "two lost", ends: &[Lost, Lost], places: [0, 1, 9] },
-        FaultCase { name: "lost, answered", ends: &[Lost, Answered, Lost], places: [9, 9, 9] },
-        FaultCase { name: "not sent", ends: &[NotSent], places: [0, 1, 9] },
-        FaultCase { name: "rejected", ends: &[NotRun], places: [7, 9, 9] },
-        FaultCase { name: "rejected thrice", ends: &[NotRun; 3], places: [0, 1, 9] },
-        FaultCase { name: "one failed", ends: &[Failed], places: [9, 9, 9] },
-        FaultCase { name: "all failed", ends: &[Failed; 9], places: [0, 1, 9] },
+        FaultCase { name: "one lost", outcomes: &[Lost], calls: [9, 9, 9] },
+        FaultCase { name: "two lost", outcomes: &[Lost, Lost], calls: [0, 1, 9] },
+        FaultCase { name: "lost, answered", outcomes: &[Lost, Answered, Lost], calls: [9, 9, 9] },
+        FaultCase { name: "not sent", outcomes: &[NotSent], calls: [0, 1, 9] },
+        FaultCase { name: "rejected", outcomes: &[NotRun], calls: [7, 9, 9] },
+        FaultCase { name: "rejected thrice", outcomes: &[NotRun; 3], calls: [0, 1, 9] },
+        FaultCase { name: "one failed", outcomes: &[Failed], calls: [9, 9, 9] },
+        FaultCase { name: "all failed", outcomes: &[Failed; 9], calls: [0, 1, 9] },
     ];
-    for FaultCase { name, ends, places } in cases {
-        let mut bench = Bench::new(&[server("good", Some(6)), server("bad", Some(6))]);
-        for end in ends {
-            let sent = bench.fill();
+    for FaultCase { name, outcomes, calls } in cases {
+        let mut fixture = Fixture::new(&[server("good", Some(6)), server("bad", Some(6))]);
+        for outcome in outcomes {
+            let sent = fixture.fill();
             let mut is_first = true;
             for (id, server) in sent {
-                let is_it = server == "bad" && std::mem::take(&mut is_first);
-                let took = if *end == Answered { 30 } else { 2 };
-                let (end, took) = if is_it { (*end, took) } else { (CallOutcome::Abandoned, 0) };
-                bench.end(id, end, took);
+                let is_faulty_call = server == "bad" && std::mem::take(&mut is_first);
+                let took = if *outcome == Answered { 30 } else { 2 };
+                let (outcome, took) =
+                    if is_faulty_call { (*outcome, took) } else { (CallOutcome::Abandoned, 0) };
+                fixture.complete(id, outcome, took);
             }
         }
-        let at_once = bench.places("bad");
-        bench.now = bench.now + ms(600);
-        let later = bench.places("bad");
-        let sent = bench.fill();
+        let at_once = fixture.available_calls("bad");
+        fixture.now = fixture.now + ms(600);
+        let later = fixture.available_calls("bad");
+        let sent = fixture.fill();
         let (id, _server) = sent.iter().find(|(_id, server)| server == "bad").expect(name).clone();
-        bench.end(id, CallOutcome::Answered, 30);
+        fixture.complete(id, CallOutcome::Answered, 30);
         for (id, _server) in &sent {
-            bench.end(*id, CallOutcome::Abandoned, 0);
+            fixture.complete(*id, CallOutcome::Abandoned, 0);
         }
-        assert_eq!([at_once, later, bench.places("bad")], places, "{name}");
+        assert_eq!([at_once, later, fixture.available_calls("bad")], calls, "{name}");
     }
 }
 
-/// Guards against a service that gets no calls because all of its servers rest.
+/// Guards against a service that gets no calls because the circuits of all of its servers are open.
 #[test]
-fn if_all_rest_all_are_tried() {
-    let mut bench = Bench::new(&[server("one", Some(6)), server("two", Some(6))]);
-    for (id, _server) in bench.fill() {
-        bench.end(id, CallOutcome::NotSent, 0);
+fn all_servers_are_probed_if_all_circuits_are_open() {
+    let mut fixture = Fixture::new(&[server("one", Some(6)), server("two", Some(6))]);
+    for (id, _server) in fixture.fill() {
+        fixture.complete(id, CallOutcome::NotSent, 0);
     }
-    assert_eq!([bench.places("one"), bench.places("two")], [1, 1]);
+    assert_eq!([fixture.available_calls("one"), fixture.available_calls("two")], [1, 1]);
 }
 
-/// Guards against late calls before calls on time, and against objectives and priorities out of order.
+/// Guards against late calls that are sent before on-time calls, and against a wrong order of
+/// objectives and priorities.
 #[test]
 fn waiting_calls_are_served_in_order() {
-    let mut bench = Bench::new(&[server("one", Some(6)), server("two", Some(6))]);
-    let sent = bench.fill();
+    let mut fixture = Fixture::new(&[server("one", Some(6)), server("two", Some(6))]);
+    let sent = fixture.fill();
     let terms = [(1, 140), (0, 150), (1, 120), (0, 130), (0, 0)];
     let ids = terms.map(|(priority, objective)| {
-        let (id, decision) = bench.ask(request(priority, objective));
+        let (id, decision) = fixture.submit(request(priority, objective));
         assert_eq!(decision, CallDecision::Wait);
         id
     });
     let mut decided = Vec::new();
     for (id, _server) in &sent[..4] {
-        bench.end(*id, CallOutcome::Abandoned, 0);
-        decided.extend(bench.queue.poll(bench.now).into_iter().map(|(id, _decision)| id));
+        fixture.complete(*id, CallOutcome::Abandoned, 0);
+        decided.extend(fixture.queue.poll(fixture.now).into_iter().map(|(id, _decision)| id));
     }
     assert_eq!(decided, [ids[3], ids[1], ids[2], ids[0]]);
 }
 
-/// Guards against late calls that take the slots of calls on time that are about to arrive.
+/// Guards against late calls that take the slots of on-time calls that are about to arrive.
 #[test]
-fn late_calls_get_what_calls_on_time_leave() {
-    // Calls on time a second, of 400 that two servers run, and late calls that are answered a second.
+fn late_calls_use_the_capacity_that_on_time_calls_leave() {
+    // On-time calls per second, of 400 that two servers can run, and late calls that are answered
+    // per second.
     for (per_s, late) in [(0, 350..=400), (200, 170..=230), (333, 40..=90)] {
-        let mut bench = Bench::new(&[server("one", Some(6)), server("two", Some(6))]);
+        let mut fixture = Fixture::new(&[server("one", Some(6)), server("two", Some(6))]);
         let mut in_flight = std::collections::VecDeque::<(CallId, u64)>::new();
         let mut on_time_ids = std::collections::HashSet::new();
         let (mut on_time, mut answered, mut credit) = (0, 0, 0);
         for step in 0..4000_u64 {
-            bench.now = bench.now + ms(1);
+            fixture.now = fixture.now + ms(1);
             let mut decided = Vec::new();
             // Two servers of 6 slots end 2 calls in 5 ms at most.
             credit = (credit + 2).min(10);
@@ -168,21 +172,21 @@
                 && let Some((id, sent)) = in_flight.pop_front_if(|it| step >= it.1 + 30)
             {
                 credit -= 5;
-                bench.queue.complete(id, CallOutcome::Answered, ms(step - sent), bench.now);
+                fixture.queue.complete(id, CallOutcome::Answered, ms(step - sent), fixture.now);
                 answered += u64::from(!on_time_ids.contains(&id));
             }
             if step * per_s / 1000 > on_time {
                 on_time += 1;
-                let (id, decision) = bench.ask(request(0, 100));
+                let (id, decision) = fixture.submit(request(0, 100));
                 let is_sent = matches!(decision, CallDecision::Send { .. });
-                // The rate of arrivals is known after some hundred milliseconds.
+                // The arrival rate is known after some hundred milliseconds.
                 assert!(is_sent || step < 1000, "{per_s} a second, step {step}: {decision:?}");
                 on_time_ids.insert(id);
                 decided.push((id, decision));
             }
-            let (id, decision) = bench.ask(request(0, 0));
+            let (id, decision) = fixture.submit(request(0, 0));
             decided.push((id, decision));
-            decided.extend(bench.queue.poll(bench.now));
+            decided.extend(fixture.queue.poll(fixture.now));
             let sent = decided.into_iter().filter(|it| matches!(it.1, CallDecision::Send { .. }));
             in_flight.extend(sent.map(|(id, _decision)| (id, step)));
         }
@@ -191,14 +195,16 @@
     }
 }
 
-/// Guards against rejections that come late or send all callers back at once, and wrong causes.
+/// Guards against rejections that come late, retry delays that bring all callers back at once, and
+/// wrong causes.
 #[test]
-fn rejections_come_at_once_and_are_spread() {
-    let mut bench = Bench::new(&[server("one", Some(6))]);
-    bench.fill();
+fn rejections_are_immediate_and_retry_delays_are_spread() {
+    let mut fixture = Fixture::new(&[server("one", Some(6))]);
+    fixture.fill();
     let mut after = Vec::new();
     for _call in 0..200 {
-        if let (_id, CallDecision::Reject { cause, retry_after }) = bench.ask(request(0, 150)) {
+        if let (_id, CallDecision::Reject { cause, retry_after }) = fixture.submit(request(0, 150))
+        {
             assert_eq!(cause, RejectCause::NoCapacity);
             assert!(retry_after <= ms(500), "{retry_after:?}");
             after.push(retry_after);
@@ -208,23 +214,23 @@
     after.dedup();
     assert!(after.len() > 100, "{} different times", after.len());
     let excluded = CallRequest { excluded: vec!["one".into()], ..request(0, 150) };
-    let (_id, decision) = bench.ask(excluded);
+    let (_id, decision) = fixture.submit(excluded);
     assert!(matches!(decision, CallDecision::Reject { cause: RejectCause::NoServer, .. }));
 }
 
-/// Guards against calls that wait for servers that have left, and a wrong cause.
+/// Guards against calls that wait for servers that have left, and wrong causes.
 #[test]
 fn calls_whose_servers_leave_are_rejected_at_once() {
-    let mut bench = Bench::new(&[server("one", Some(6)), server("two", Some(6))]);
-    bench.fill();
-    let (other, _decision) = bench.ask(request(0, 150));
+    let mut fixture = Fixture::new(&[server("one", Some(6)), server("two", Some(6))]);
+    fixture.fill();
+    let (other, _decision) = fixture.submit(request(0, 150));
     let (lost, decision) =
-        bench.ask(CallRequest { excluded: vec!["two".into()], ..request(0, 150) });
+        fixture.submit(CallRequest { excluded: vec!["two".into()], ..request(0, 150) });
     assert_eq!(decision, CallDecision::Wait);
     for (left, ids) in [(vec![server("two", Some(6))], vec![lost]), (Vec::new(), vec![other])] {
-        bench.queue.set_servers(left.into_iter(), bench.now);
-        assert_eq!(bench.queue.next_deadline(), Some(bench.now));
-        let rejected = bench.queue.poll(bench.now).into_iter().map(|(id, decision)| {
+        fixture.queue.set_servers(left.into_iter(), fixture.now);
+        assert_eq!(fixture.queue.next_deadline(), Some(fixture.now));
+        let rejected = fixture.queue.poll(fixture.now).into_iter().map(|(id, decision)| {
             let cause = RejectCause::NoServer;
             assert!(matches!(decision, CallDecision::Reject { cause: it, .. } if it == cause));
             id
@@ -233,21 +239,22 @@
     }
 }
 
-/// Guards against a learned limit that stays too high where calls queue in the server, or too low where none do.
+/// Guards against a learned limit that stays too high while calls queue in the server, or too low
+/// while none do.
 #[test]
 fn limits_are_learned_where_no_slots_are_reported() {
     for (slots, limits) in [(4, 3..=8), (30, 20..=48)] {
-        let mut bench = Bench::new(&[server("one", None)]);
+        let mut fixture = Fixture::new(&[server("one", None)]);
         for _round in 0..200 {
-            let sent = bench.fill();
-            // What is beyond the server's slots waits in it.
+            let sent = fixture.fill();
+            // Calls beyond the server's slots wait in it.
             let took = 30 * u64::try_from(sent.len().div_ceil(slots)).unwrap();
-            bench.now = bench.now + ms(took);
+            fixture.now = fixture.now + ms(took);
             for (id, _server) in &sent {
-                bench.queue.complete(*id, CallOutcome::Answered, ms(took), bench.now);
+                fixture.queue.complete(*id, CallOutcome::Answered, ms(took), fixture.now);
             }
         }
-        let limit = bench.queue.snapshot(bench.now).servers[0].limit;
+        let limit = fixture.queue.snapshot(fixture.now).servers[0].limit;
         assert!(limits.contains(&limit), "{slots} slots: {limit}");
     }
 }
