--- a/crates/dillspool_calls/src/queue.rs
+++ b/crates/dillspool_calls/src/queue.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dillspool_moment::Moment;
-use dillspool_routing::StartedBackend;
+use dillspool_routing::BackendInstance;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -176,14 +176,14 @@
         &mut self,
         id: CallId,
         request: CallRequest,
-        backend: StartedBackend,
+        backend: BackendInstance,
         elapsed: Duration,
         now: Moment,
     ) {
         self.forget(id, now);
         self.servers.remove_forgotten(id, now);
         if let Some(call) =
-            self.servers.adopt(backend, request.failure_domain, now.before(elapsed), now)
+            self.servers.adopt(backend, request.failure_domain, now.saturating_sub(elapsed), now)
         {
             self.calls.insert(id, CallState::InFlight { call, is_late: false });
         }
@@ -377,7 +377,7 @@
         time_limit: Duration,
         is_late: bool,
         now: Moment,
-    ) -> Option<StartedBackend> {
+    ) -> Option<BackendInstance> {
         let (backend, call) = self.servers.send(request, time_limit, &mut self.random, now)?;
         self.late_in_flight += usize::from(is_late);
         self.calls.insert(id, CallState::InFlight { call, is_late });
--- a/crates/dillspool_calls/src/request.rs
+++ b/crates/dillspool_calls/src/request.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dillspool_routing::StartedBackend;
+use dillspool_routing::BackendInstance;
 use dillspool_schema::Name;
 
 /// Identifies a call in a queue; unique among the calls that wait or are in flight.
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallServer {
     /// The backend server, and which start of it.
-    pub backend: StartedBackend,
+    pub backend: BackendInstance,
     /// Its failure domain.
     pub failure_domain: Name,
     /// Calls that it runs concurrently; `None` if it reports none, and then its limit is learned.
@@ -56,7 +56,7 @@
     /// Send it to this backend server now.
     Send {
         /// The backend server that it is sent to.
-        backend: StartedBackend,
+        backend: BackendInstance,
     },
     /// It waits; [`CallQueue::poll`](crate::CallQueue::poll) returns its decision.
     Wait,
--- a/crates/dillspool_calls/src/servers.rs
+++ b/crates/dillspool_calls/src/servers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillspool_moment::Moment;
-use dillspool_routing::{BackendStart, StartedBackend};
+use dillspool_routing::{BackendInstance, BackendStart};
 use dillspool_schema::Name;
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -103,7 +103,7 @@
             .states
             .entry(id)
             .or_insert_with(|| ServerState::new(server.clone(), epoch, mean, policy, now));
-        if BackendStart::differ(state.server.backend.start, server.backend.start) {
+        if BackendStart::are_different(state.server.backend.start, server.backend.start) {
             *state = ServerState::new(server, epoch, mean, policy, now);
         } else {
             state.update(server, mean, policy, now);
@@ -189,7 +189,7 @@
         time_limit: Duration,
         random: &mut SmallRng,
         now: Moment,
-    ) -> Option<(StartedBackend, InFlightCall)> {
+    ) -> Option<(BackendInstance, InFlightCall)> {
         let context = self.context(now);
         let candidates = self.present().filter(|state| {
             state.has_capacity(&context)
@@ -226,7 +226,7 @@
     /// Counts a call that another host sent.
     pub(crate) fn adopt(
         &mut self,
-        backend: StartedBackend,
+        backend: BackendInstance,
         failure_domain: Name,
         sent_at: Moment,
         now: Moment,
@@ -237,7 +237,8 @@
             let server =
                 CallServer { backend, failure_domain, slots: None, max_connections: u32::MAX };
             self.upsert_server(server, now).is_present = false;
-        } else if BackendStart::differ(self.states[&id].server.backend.start, backend.start) {
+        } else if BackendStart::are_different(self.states[&id].server.backend.start, backend.start)
+        {
             return None;
         }
         let context = self.context(now);
--- a/crates/dillspool_calls/tests/decisions.rs
+++ b/crates/dillspool_calls/tests/decisions.rs
@@ -8,7 +8,7 @@
 };
 use dillspool_cases::fixed_cases;
 use dillspool_moment::Moment;
-use dillspool_routing::{BackendStart, StartedBackend};
+use dillspool_routing::{BackendInstance, BackendStart};
 use proptest::prelude::*;
 
 /// A step of a schedule. Servers are numbered from 0 to 3.
@@ -74,9 +74,9 @@
     proptest::collection::vec(step, 1..250)
 }
 
-fn backend(server: u64, start: u64) -> StartedBackend {
+fn backend(server: u64, start: u64) -> BackendInstance {
     let start = Some(BackendStart(start));
-    StartedBackend { id: format!("server-{server}").into(), start }
+    BackendInstance { id: format!("server-{server}").into(), start }
 }
 
 /// What the test knows of a call.
@@ -84,7 +84,7 @@
     deadline: Moment,
     excluded: Option<u64>,
     /// The server where it is in flight; `None` while it waits.
-    at: Option<StartedBackend>,
+    at: Option<BackendInstance>,
 }
 
 struct ModelChecker {
@@ -92,12 +92,12 @@
     now: Moment,
     calls: BTreeMap<u64, KnownCall>,
     /// Present servers, with the most calls that each may ever have.
-    servers: HashMap<StartedBackend, u32>,
+    servers: HashMap<BackendInstance, u32>,
     last_id: u64,
 }
 
 impl ModelChecker {
-    fn in_flight(&self, at: &StartedBackend) -> u32 {
+    fn in_flight(&self, at: &BackendInstance) -> u32 {
         let count = self.calls.values().filter(|call| call.at.as_ref() == Some(at)).count();
         u32::try_from(count).unwrap()
     }
@@ -165,7 +165,12 @@
         }
     }
 
-    fn add_call(&mut self, time_ms: u64, excluded: Option<u64>, at: Option<StartedBackend>) -> u64 {
+    fn add_call(
+        &mut self,
+        time_ms: u64,
+        excluded: Option<u64>,
+        at: Option<BackendInstance>,
+    ) -> u64 {
         self.last_id += 1;
         let deadline = self.now + Duration::from_millis(time_ms);
         self.calls.insert(self.last_id, KnownCall { deadline, excluded, at });
--- a/crates/dillspool_forward/src/answer.rs
+++ b/crates/dillspool_forward/src/handle.rs
@@ -4,25 +4,25 @@
 
 use dillspool_io::ResponseBody;
 use dillspool_routing::{RequestKind, RoutedRequest};
-use dillspool_suspects::{COPY_RETRY, CopyGuard, CopyRefusal};
+use dillspool_suspects::{COPY_RETRY_DELAY, CopyGuard, CopyRefusal};
 use hyper::Response;
 
 use crate::context::ForwardContext;
-use crate::generate::answer_stream;
+use crate::generate::handle_stream;
 use crate::plain::{PlainResponse, handle_plain};
 use crate::refusal::{Refusal, RefusalCause};
 use crate::trace::{RequestTrace, log_suspect_refused};
 use crate::workspace_limit::spend_workspace_limit;
 
 /// Answers a request; the answer is always final.
-pub async fn answer_request(
+pub async fn handle_request(
     context: ForwardContext,
     request: RoutedRequest,
 ) -> Response<ResponseBody> {
     let request = Arc::new(request);
     let mut trace = RequestTrace::new(&request, &context.metrics);
     context.budgets.record_request(&request.service);
-    let copy = match enter(&context, &request) {
+    let copy = match admit_copy(&context, &request) {
         Ok(copy) => copy,
         Err(refusal) => {
             trace.refused(&refusal);
@@ -50,13 +50,13 @@
                     Ok(answer)
                 }
                 Ok(PlainResponse::Streamed(answer)) => {
-                    Ok(answer.pass_on(&context, &request, trace, copy))
+                    Ok(answer.relay(&context, &request, trace, copy))
                 }
                 Err(refusal) => Err((refusal, trace)),
             }
         }
         // On the heap, so that plain requests do not take the room of a stream.
-        RequestKind::Streaming => Box::pin(answer_stream(&context, &request, copy, trace)).await,
+        RequestKind::Streaming => Box::pin(handle_stream(&context, &request, copy, trace)).await,
     };
     match answered {
         Ok(response) => response,
@@ -74,13 +74,15 @@
 ///
 /// A request that crashes what runs it comes again under another id and at any host: where each copy is
 /// taken for a new request, every one of them ends an engine, with all that runs there.
-fn enter(context: &ForwardContext, request: &RoutedRequest) -> Result<CopyGuard, Refusal> {
-    context.suspects.enter(request.print).map_err(|refused| {
+fn admit_copy(context: &ForwardContext, request: &RoutedRequest) -> Result<CopyGuard, Refusal> {
+    context.suspects.admit(request.fingerprint).map_err(|refused| {
         log_suspect_refused(request, refused);
         match refused {
             // No time to come back: whenever it comes, it is not run.
             CopyRefusal::Deadly { .. } => Refusal::new(RefusalCause::Deadly),
-            CopyRefusal::CopyRuns { .. } => Refusal::come_back(RefusalCause::CopyRuns, COPY_RETRY),
+            CopyRefusal::CopyRuns { .. } => {
+                Refusal::with_retry_after(RefusalCause::CopyRuns, COPY_RETRY_DELAY)
+            }
         }
     })
 }
--- a/crates/dillspool_forward/src/picker.rs
+++ b/crates/dillspool_forward/src/picker.rs
@@ -34,9 +34,9 @@
     ) -> Option<Arc<BackendEntry>> {
         let candidates = self.view.ready(service).filter(|entry| !tried.contains(entry));
         let candidates =
-            candidates.filter(|entry| self.throttle.closed_until(&entry.started()).is_none());
+            candidates.filter(|entry| self.throttle.closed_until(&entry.instance()).is_none());
         least(candidates, |entry| {
-            let load = self.tracker.snapshot(&entry.started());
+            let load = self.tracker.snapshot(&entry.instance());
             let far = if self.is_near(entry) { 1.0 } else { FAR_FACTOR };
             let queue = f64::from(load.outstanding + 1) * load.latency_ms;
             (load.is_aside, queue * (1.0 + FAILURE_FACTOR * load.failures) * far)
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_admission::{PlacementRequest, TurnAwayCause};
+use dillspool_admission::{PlacementRejection, PlacementRequest};
 use dillspool_calls::{CallDecision, CallRequest, RejectCause};
 use dillspool_routing::{BackendId, DirectoryView, RoutedRequest};
 use dillspool_schema::Name;
@@ -14,7 +14,7 @@
 use crate::metrics::{ForwardMetrics, OutcomeLabels};
 use crate::refusal::Refusal;
 use crate::retry_budget::RetryBudgets;
-use crate::stages::{FirstEventStages, LateCause, StreamFigures};
+use crate::stages::{FirstEventStages, LateCause, StreamStats};
 
 /// Reports the end of a request; one that is dropped before reports that the caller left.
 #[derive(Debug)]
@@ -38,12 +38,12 @@
 
 impl RequestTrace {
     pub(crate) fn new(request: &Arc<RoutedRequest>, metrics: &ForwardMetrics) -> Self {
-        metrics.enter();
+        metrics.record_start();
         Self { request: Arc::clone(request), metrics: metrics.clone(), choice: None, ended: false }
     }
 
     /// A backend server was chosen.
-    pub(crate) fn chose(&mut self, backend: &BackendId, directory: StoreVersion) {
+    pub(crate) fn record_backend(&mut self, backend: &BackendId, directory: StoreVersion) {
         let count = self.choice.as_ref().map_or(0, |choice| choice.count) + 1;
         let backend = BackendId::clone(backend);
         self.choice = Some(BackendChoice { backend, directory, count });
@@ -55,29 +55,24 @@
     }
 
     /// The whole stream was given to the caller's connection.
-    pub(crate) fn streamed(
-        &mut self,
-        status: u16,
-        stages: &FirstEventStages,
-        figures: &StreamFigures,
-    ) {
-        let late = LateCause::of(&self.request, stages, figures).map_or("", LateCause::name);
-        let detail = format!("status={status} late={late} {}", self.stream_words(stages, figures));
+    pub(crate) fn streamed(&mut self, status: u16, stages: &FirstEventStages, stats: &StreamStats) {
+        let late = LateCause::of(&self.request, stages, stats).map_or("", LateCause::name);
+        let detail = format!("status={status} late={late} {}", self.stream_fields(stages, stats));
         self.end("answered", "", &detail);
     }
 
-    fn stream_words(&self, stages: &FirstEventStages, figures: &StreamFigures) -> String {
+    fn stream_fields(&self, stages: &FirstEventStages, stats: &StreamStats) -> String {
         format!(
             "spent_before_ms={} reserved_ms={} prefilled_ms={} opened_ms={} first_ms={} events={} longest_pause_ms={} reopened={} read_at_decode={}",
             self.request.spent_before.as_millis(),
             stages.reserved.as_millis(),
             stages.prefilled.as_millis(),
             stages.opened.as_millis(),
-            figures.first_after.as_millis(),
-            figures.events,
-            figures.longest_pause.as_millis(),
-            figures.reopened,
-            figures.read_at_decode,
+            stats.time_to_first_event.as_millis(),
+            stats.events,
+            stats.longest_pause.as_millis(),
+            stats.resumes,
+            stats.read_at_decode,
         )
     }
 
@@ -97,18 +92,18 @@
     }
 
     /// The answer broke off; the caller sees its connection break.
-    pub(crate) fn broken(
+    pub(crate) fn stream_broken(
         &mut self,
         detail: &str,
         stages: &FirstEventStages,
-        figures: &StreamFigures,
+        stats: &StreamStats,
     ) {
-        let words = self.stream_words(stages, figures);
-        self.end("broken", "", &format!("{words} detail=\"{detail}\""));
+        let fields = self.stream_fields(stages, stats);
+        self.end("broken", "", &format!("{fields} detail=\"{detail}\""));
     }
 
     /// An answer that was passed on in part broke off; the caller sees its connection break.
-    pub(crate) fn broken_off(&mut self, detail: &str) {
+    pub(crate) fn response_broken(&mut self, detail: &str) {
         self.end("broken", "", &format!("detail=\"{detail}\""));
     }
 
@@ -126,7 +121,7 @@
         log::info!(
             "event=request_ended id={} print={} route={} service={} workspace={} config={} outcome={outcome} cause={cause} after_ms={} {choice}{detail}",
             request.id,
-            request.print,
+            request.fingerprint,
             request.route.name,
             request.service,
             request.workspace.as_ref().map_or("", |workspace| &*workspace.name),
@@ -134,7 +129,7 @@
             lasted.as_millis(),
         );
         let route = Name::clone(&request.route.name);
-        self.metrics.leave(&OutcomeLabels { route, outcome, cause }, lasted);
+        self.metrics.record_end(&OutcomeLabels { route, outcome, cause }, lasted);
     }
 }
 
@@ -149,7 +144,7 @@
     log::info!(
         "event=suspect_refused id={} print={} route={} workspace={} why={refused:?}",
         request.id,
-        request.print,
+        request.fingerprint,
         request.route.name,
         request.workspace.as_ref().map_or("", |workspace| &*workspace.name),
     );
@@ -165,7 +160,11 @@
 }
 
 /// A decision names a backend server that takes no new requests as far as this host knows.
-pub(crate) fn log_overruled(request: &RoutedRequest, backend: &BackendId, view: &DirectoryView) {
+pub(crate) fn log_decision_overruled(
+    request: &RoutedRequest,
+    backend: &BackendId,
+    view: &DirectoryView,
+) {
     let known = if view.entries.contains_key(backend) { "leaving" } else { "gone" };
     log::info!(
         "event=decision_overruled id={} backend={backend} known={known} directory={} after_ms={}",
@@ -176,7 +175,7 @@
 }
 
 /// Another try was due and the budget did not allow it.
-pub(crate) fn log_budget_empty(request: &RoutedRequest, budgets: &RetryBudgets) {
+pub(crate) fn log_retry_budget_exhausted(request: &RoutedRequest, budgets: &RetryBudgets) {
     let reading = budgets.usage(&request.service);
     log::info!(
         "event=retry_budget_empty id={} service={} requests={} repeats={} allowed={:.1} hosts={}",
@@ -190,11 +189,11 @@
 }
 
 /// Why a request is refused for want of engines, and what that rested on.
-pub(crate) fn log_turned_away(
+pub(crate) fn log_placement_rejected(
     context: &ForwardContext,
     request: &RoutedRequest,
     question: &PlacementRequest,
-    cause: TurnAwayCause,
+    cause: PlacementRejection,
     come_back: Duration,
 ) {
     log::info!(
@@ -202,7 +201,7 @@
         request.id,
         question.class,
         question.prompt_tokens,
-        question.guess_tokens,
+        question.estimated_tokens,
         question.refusals,
         context.view().version,
         request.age().as_millis(),
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -11,21 +11,23 @@
 use dillspool_admission::AdmissionPolicy;
 use dillspool_capacity::DemandMeter;
 use dillspool_forward::{
-    BackendAnswer, BackendCalls, BackendSign, BackendTracker, BreakLooks, BudgetSettings,
-    CallError, ForwardContext, ForwardMetrics, ForwardTerms, OrderOutcome, PrefilledPrompt,
-    RetryBudgets, WorkRank,
+    BackendCalls, BackendProbes, BackendResponse, BackendTracker, BudgetSettings, CallError,
+    ForwardContext, ForwardMetrics, ForwardParams, OrderOutcome, PrefilledPrompt, ProbeResult,
+    RetryBudgets, WorkPriority,
 };
 use dillspool_io::{ExchangeBytes, HostClock, full_body};
 use dillspool_routing::{
     BackendEntry, BackendState, ClientLimits, DirectoryView, EnginePool, EngineStage,
-    GenerationTerms, RequestKind, RouteEntry, RouteTable, RoutedRequest, RoutingConfig,
+    GenerationParams, RequestKind, RouteEntry, RouteTable, RoutedRequest, RoutingConfig,
     ServiceEntry, ServiceShare,
 };
 use dillspool_scheduler::{
     BusHandlers, CallClient, CallDesk, CallTerms, FleetBus, LimitClient, LimitDesk, LimitTerms,
     PoolDesk, ScheduleClient,
 };
-use dillspool_suspects::{PrintKey, PrintParts, RequestPrint, SuspectDesk, SuspectPolicy};
+use dillspool_suspects::{
+    FingerprintInput, FingerprintKey, RequestFingerprint, SuspectPolicy, SuspectTracker,
+};
 use dillspool_throttle::ThrottleDesk;
 use hyper::{HeaderMap, Method, StatusCode, Uri};
 use tokio::sync::watch;
@@ -70,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub backend: String,
-    pub terms: ForwardTerms,
+    pub terms: ForwardParams,
     pub at: Instant,
 }
 
@@ -79,7 +81,7 @@
 pub struct Record {
     pub arrivals: Vec<Arrival>,
     pub prefills: Vec<String>,
-    pub ranks: Vec<WorkRank>,
+    pub ranks: Vec<WorkPriority>,
     /// Whoever was asked for memory.
     pub hold_asks: Vec<String>,
     pub holds: Vec<(String, u64)>,
@@ -138,9 +140,9 @@
     let pool = EnginePool {
         slots: 24,
         memory_tokens: 60_000,
-        handle_life: Duration::from_millis(500),
-        longest_hold: Duration::from_secs(2),
-        switch_time: Duration::from_secs(6),
+        handle_ttl: Duration::from_millis(500),
+        max_reservation_ttl: Duration::from_secs(2),
+        stage_switch_time: Duration::from_secs(6),
     };
     let service = ServiceEntry {
         name: "service".into(),
@@ -149,9 +151,9 @@
         engine: Some(pool),
     };
     let limits = ClientLimits {
-        head_bytes: 16_384,
-        body_bytes: 65_536,
-        head_timeout: Duration::from_secs(2),
+        max_header_bytes: 16_384,
+        max_body_bytes: 65_536,
+        header_timeout: Duration::from_secs(2),
         idle_timeout: Duration::from_secs(10),
     };
     let services = BTreeMap::from([("service".into(), service)]);
@@ -217,7 +219,7 @@
                     {
                         let mut record = site.record.lock().unwrap();
                         record.prefills.push(engine.id.to_string());
-                        record.ranks.push(terms.rank);
+                        record.ranks.push(terms.priority);
                     }
                     let takes = *site.prefill_takes.lock().unwrap();
                     tokio::time::sleep(takes).await;
@@ -253,7 +255,7 @@
                     Ok(format!("hold-{}", record.holds.len()).into())
                 })
             }),
-            release_hold: Arc::new(move |_entry, hold| {
+            release_reservation: Arc::new(move |_entry, hold| {
                 let site = hold_dropper.clone();
                 Box::pin(async move {
                     site.record.lock().unwrap().released_holds.push(hold.to_string());
@@ -267,14 +269,14 @@
                     Ok(())
                 })
             }),
-            look: Arc::new(move |entry| {
+            probe: Arc::new(move |entry| {
                 let id = entry.id.to_string();
                 let ended = looker.ended.lock().unwrap().contains(&id);
                 let unclear = looker.unclear.lock().unwrap().contains(&id);
                 let sign = match (ended, unclear) {
-                    (true, _) => BackendSign::Ended,
-                    (false, true) => BackendSign::Unclear,
-                    (false, false) => BackendSign::Lives,
+                    (true, _) => ProbeResult::Refused,
+                    (false, true) => ProbeResult::NoResponse,
+                    (false, false) => ProbeResult::Reachable,
                 };
                 Box::pin(async move { sign })
             }),
@@ -324,8 +326,8 @@
             backend_limits: LimitClient::new(LimitDesk::of_backend_servers(2, HostClock::steady())),
             backend_tracker: BackendTracker::default(),
             budgets: RetryBudgets::new(budget, HostClock::steady()),
-            breaks: BreakLooks::default(),
-            suspects: SuspectDesk::new(SuspectPolicy::default(), HostClock::steady()),
+            probes: BackendProbes::default(),
+            suspects: SuspectTracker::new(SuspectPolicy::default(), HostClock::steady()),
             metrics: ForwardMetrics::default(),
             tasks: TaskTracker::new(),
         };
@@ -334,11 +336,11 @@
 }
 
 /// The backend server's own answer without a body.
-pub fn genuine(status: u16) -> BackendAnswer {
-    BackendAnswer {
+pub fn genuine(status: u16) -> BackendResponse {
+    BackendResponse {
         status: StatusCode::from_u16(status).expect("a status"),
         headers: HeaderMap::new(),
-        names_request: true,
+        matches_request_id: true,
         is_sealed: true,
         is_encoded: false,
         did_not_run: false,
@@ -346,36 +348,41 @@
     }
 }
 
-async fn play(step: Step) -> Result<BackendAnswer, CallError> {
+async fn play(step: Step) -> Result<BackendResponse, CallError> {
     let whole = |status: u16, text: &'static str| {
         let body = full_body(text);
-        BackendAnswer { body, ..genuine(status) }
+        BackendResponse { body, ..genuine(status) }
     };
     match step {
         Step::Answer(status, text) => Ok(whole(status, text)),
-        Step::Unsealed(status) => Ok(BackendAnswer { is_sealed: false, ..whole(status, "x") }),
-        Step::OtherRequest => Ok(BackendAnswer { names_request: false, ..whole(200, "other") }),
-        Step::Encoded => Ok(BackendAnswer { is_encoded: true, ..whole(200, "zip") }),
-        Step::NotRun(status) => Ok(BackendAnswer { did_not_run: true, ..whole(status, "") }),
+        Step::Unsealed(status) => Ok(BackendResponse { is_sealed: false, ..whole(status, "x") }),
+        Step::OtherRequest => {
+            Ok(BackendResponse { matches_request_id: false, ..whole(200, "other") })
+        }
+        Step::Encoded => Ok(BackendResponse { is_encoded: true, ..whole(200, "zip") }),
+        Step::NotRun(status) => Ok(BackendResponse { did_not_run: true, ..whole(status, "") }),
         Step::Unreachable => Err(CallError::NotSent { reason: "unreachable".to_owned() }),
         Step::Lost => Err(CallError::Lost { reason: "reset".to_owned() }),
         Step::Silent => std::future::pending().await,
         Step::Stream(parts) => {
-            Ok(BackendAnswer { body: parts_body(parts, true), ..whole(200, "") })
+            Ok(BackendResponse { body: parts_body(parts, true), ..whole(200, "") })
         }
         Step::Broken(parts) => {
-            Ok(BackendAnswer { body: parts_body(parts, false), ..whole(200, "") })
+            Ok(BackendResponse { body: parts_body(parts, false), ..whole(200, "") })
         }
         Step::Paced(parts) => {
-            Ok(BackendAnswer { body: paced_body(parts, Duration::ZERO), ..whole(200, "") })
+            Ok(BackendResponse { body: paced_body(parts, Duration::ZERO), ..whole(200, "") })
         }
         Step::StalledFailure(status) => {
             let body = paced_body(vec![(0, "part")], Duration::from_mins(10));
-            Ok(BackendAnswer { body, ..whole(status, "") })
+            Ok(BackendResponse { body, ..whole(status, "") })
         }
         Step::Stalled(parts) => {
             let parts = parts.into_iter().map(|part| (0, part)).collect();
-            Ok(BackendAnswer { body: paced_body(parts, Duration::from_mins(10)), ..whole(200, "") })
+            Ok(BackendResponse {
+                body: paced_body(parts, Duration::from_mins(10)),
+                ..whole(200, "")
+            })
         }
     }
 }
@@ -390,27 +397,32 @@
         kind,
         timeout,
         objective: Duration::from_millis(300),
-        pause_target: Some(Duration::from_millis(300)),
+        max_event_gap: Some(Duration::from_millis(300)),
         priority: 1,
         max_attempts,
         resumable,
         keyless: false,
         shares: vec![ServiceShare { service: "service".into(), weight: 1 }],
     };
-    let generation = (kind == RequestKind::Streaming).then(|| GenerationTerms {
+    let generation = (kind == RequestKind::Streaming).then(|| GenerationParams {
         model: "m".into(),
         prompt_tokens: 1000,
-        output_limit: 800,
-        output_hint: Some(100),
+        max_output_tokens: 800,
+        expected_output_tokens: Some(100),
         prompt_parts: Vec::new(),
     });
     let clock = HostClock::steady();
     let arrived = clock.now();
     RoutedRequest {
         id: "request-1".into(),
-        print: RequestPrint::of(
-            &PrintKey::default(),
-            &PrintParts { caller: "caller-1", host: "a.example", path: "/x/1", body: b"body" },
+        fingerprint: RequestFingerprint::of(
+            &FingerprintKey::default(),
+            &FingerprintInput {
+                caller: "caller-1",
+                host: "a.example",
+                path: "/x/1",
+                body: b"body",
+            },
         ),
         method: Method::POST,
         uri: Uri::from_static("/x/1"),
@@ -426,8 +438,8 @@
         generation,
         resume_after: None,
         config_version: 1,
-        held: ExchangeBytes::default(),
-        takes_chunks: true,
+        held_bytes: ExchangeBytes::default(),
+        accepts_chunked: true,
     }
 }
 
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dillspool_forward::{
-    BackendAnswer, BackendCalls, BackendSign, BudgetSettings, CallError, OrderOutcome,
+    BackendCalls, BackendResponse, BudgetSettings, CallError, OrderOutcome, ProbeResult,
 };
 use dillspool_io::{HostClock, full_body};
 use dillspool_keys::{CallerKey, PresentedKey};
@@ -19,11 +19,11 @@
 use dillspool_roles::ShareRule;
 use dillspool_router::{PolicyConfig, RouterConfig, SiteProtocol};
 use dillspool_routing::{
-    BackendEntry, BackendStart, BackendState, ClientLimits, RequestKind, RequestTerms, RouteEntry,
-    RouteTable, RoutingConfig, ServiceShare, WorkspaceEntry, WorkspaceTable,
+    BackendEntry, BackendStart, BackendState, ClientLimits, RequestKind, RequestMetadata,
+    RouteEntry, RouteTable, RoutingConfig, ServiceShare, WorkspaceEntry, WorkspaceTable,
 };
 use dillspool_scheduler::{CallTerms, LimitTerms};
-use dillspool_suspects::PrintKey;
+use dillspool_suspects::FingerprintKey;
 use dillspool_throttle::ThrottleDesk;
 use hyper::{HeaderMap, StatusCode};
 
@@ -53,7 +53,7 @@
         budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
         limits: LimitTerms { slack: 0.0, shares: 2 },
         held: None,
-        print_key: PrintKey::default(),
+        print_key: FingerprintKey::default(),
         lifted: vec![],
         grace: Duration::from_secs(8),
         lapse_grace: Duration::from_secs(2),
@@ -92,11 +92,11 @@
     }
 }
 
-fn take_terms(headers: &mut HeaderMap) -> RequestTerms {
+fn take_terms(headers: &mut HeaderMap) -> RequestMetadata {
     let id = headers.get("x-id").and_then(|value| value.to_str().ok()).map(Into::into);
     let key = headers.remove("x-key").and_then(|value| CallerKey::new(value.to_str().ok()?));
     let key = key.map_or(PresentedKey::Missing, PresentedKey::One);
-    RequestTerms { id, key, ..RequestTerms::default() }
+    RequestMetadata { id, key, ..RequestMetadata::default() }
 }
 
 fn mark_answer(headers: &mut HeaderMap, id: &str) {
@@ -126,7 +126,7 @@
         kind: RequestKind::NonIdempotent,
         timeout: Duration::from_secs(15),
         objective: Duration::from_millis(300),
-        pause_target: None,
+        max_event_gap: None,
         priority: 1,
         max_attempts: 1,
         resumable: false,
@@ -139,9 +139,9 @@
         services: std::collections::BTreeMap::default(),
         workspaces: workspaces(rest),
         limits: ClientLimits {
-            head_bytes: 16_384,
-            body_bytes: 1000,
-            head_timeout: Duration::from_secs(3),
+            max_header_bytes: 16_384,
+            max_body_bytes: 1000,
+            header_timeout: Duration::from_secs(3),
             idle_timeout: Duration::from_secs(15),
         },
     })
@@ -199,10 +199,10 @@
                 site.arrivals.lock().unwrap().push(arrival);
                 let work = *site.work.lock().unwrap();
                 tokio::time::sleep(work).await;
-                Ok(BackendAnswer {
+                Ok(BackendResponse {
                     status: StatusCode::OK,
                     headers: HeaderMap::new(),
-                    names_request: true,
+                    matches_request_id: true,
                     is_sealed: true,
                     is_encoded: false,
                     did_not_run: false,
@@ -212,9 +212,9 @@
         }),
         prefill: Arc::new(move |_entry, _request, _limit| Box::pin(async move { Err(refuse()) })),
         reserve: Arc::new(move |_entry, _terms| Box::pin(async move { Err(refuse()) })),
-        release_hold: Arc::new(|_entry, _hold| Box::pin(async { Ok(()) })),
+        release_reservation: Arc::new(|_entry, _hold| Box::pin(async { Ok(()) })),
         release_prefill: Arc::new(|_entry, _handle| Box::pin(async { Ok(()) })),
-        look: Arc::new(|_entry| Box::pin(async { BackendSign::Lives })),
+        probe: Arc::new(|_entry| Box::pin(async { ProbeResult::Reachable })),
         order: Arc::new(|_entry, _order| Box::pin(async { Ok(OrderOutcome::Started) })),
     }
 }
