--- a/crates/dillspool_router/src/directory_tracker.rs
+++ b/crates/dillspool_router/src/directory_tracker.rs
@@ -220,15 +220,15 @@
             log::info!("event=directory_restored version={version} before={before}");
         }
         self.version = belief.version;
-        let mut changed = self.part != belief.part;
+        let mut changed = self.part != belief.subset;
         if changed {
-            let part = belief.part.as_deref().map(ToString::to_string).unwrap_or_default();
+            let part = belief.subset.as_deref().map(ToString::to_string).unwrap_or_default();
             log::info!(
                 "event=directory_part part=\"{part}\" rows={} version={}",
                 belief.rows.len(),
                 belief.version
             );
-            self.part.clone_from(&belief.part);
+            self.part.clone_from(&belief.subset);
         }
         for (id, row) in &belief.rows {
             let Some(text) = &row.value else { continue };
--- a/crates/dillspool_watch/src/relay/client.rs
+++ b/crates/dillspool_watch/src/relay/client.rs
@@ -105,7 +105,7 @@
     loop {
         let direct = changes.borrow_and_update().direct;
         let listed = peers();
-        let (part, has_sources) = (listed.subset_seed, !listed.sources.is_empty());
+        let (subset_seed, has_sources) = (listed.subset_seed, !listed.sources.is_empty());
         if listed.sources != sources {
             // Failed attempts at the previous sources must not make this host skip the first of the
             // new ones.
@@ -127,10 +127,10 @@
         let started = Instant::now();
         let mut regained = changes.clone();
         let ended = tokio::select! {
-            ended = receive_from(stack, address, part, replicas, &status) => ended,
+            ended = receive_from(stack, address, subset_seed, replicas, &status) => ended,
             // The store answers this host again, so it resumes its own polls.
             _regained = regained.wait_for(|state| state.direct), if !direct => Ok(()),
-            () = left(address, part, peers, &status) => Ok(()),
+            () = wait_until_unlisted(address, subset_seed, peers, &status) => Ok(()),
         };
         reachability::update(&status, "relay ended", |state| state.relayed = false);
         if let Err(error) = ended {
@@ -144,9 +144,9 @@
 
 /// Waits until the peer is no longer one that this host should receive tables from, or this host
 /// needs another subset.
-async fn left(
+async fn wait_until_unlisted(
     address: SocketAddr,
-    part: Option<u64>,
+    subset_seed: Option<u64>,
     peers: &(impl Fn() -> RelayPeers + Send + Sync),
     status: &watch::Sender<StoreReachability>,
 ) {
@@ -154,14 +154,14 @@
     loop {
         tokio::time::sleep(PEER_CHECK_INTERVAL).await;
         let now = peers();
-        if now.subset_seed != part {
+        if now.subset_seed != subset_seed {
             return;
         }
         let listed = now.sources;
         // While the store is unreachable, a peer that is not listed may be the only one that
         // relays.
-        let may_leave = status.borrow().direct || listed != before;
-        if may_leave && !listed.contains(&address) {
+        let may_switch = status.borrow().direct || listed != before;
+        if may_switch && !listed.contains(&address) {
             return;
         }
     }
@@ -170,15 +170,15 @@
 async fn receive_from(
     stack: &NetStack,
     address: SocketAddr,
-    part: Option<u64>,
+    subset_seed: Option<u64>,
     replicas: &[SharedReplica],
     status: &watch::Sender<StoreReachability>,
 ) -> Result<(), RelayError> {
     let ended = |reason: String| RelayError::Ended { address, reason };
-    let opening = tokio::time::timeout(CONNECT_TIMEOUT, open(stack, address, part)).await;
+    let opening = tokio::time::timeout(CONNECT_TIMEOUT, open(stack, address, subset_seed)).await;
     let mut socket = opening.map_err(|elapsed| ended(elapsed.to_string()))?.map_err(ended)?;
     let mut first = true;
-    let mut parts = HashMap::new();
+    let mut subsets = HashMap::new();
     loop {
         let limit = if first { FIRST_MESSAGE_TIMEOUT } else { IDLE_TIMEOUT };
         let waited_since = replicas.first().map(|replica| replica.freshness().clock().now());
@@ -192,17 +192,17 @@
         };
         let mut message = relay_codec::decode(&bytes).map_err(|error| ended(error.to_string()))?;
         if message.full {
-            let part = message.part.take().map(|part| Arc::new(subset_from_wire(part)));
-            parts.insert(Name::clone(&message.table), part);
+            let subset = message.part.take().map(|part| Arc::new(subset_from_wire(part)));
+            subsets.insert(Name::clone(&message.table), subset);
         }
         if first {
             let version = StoreVersion::from(message.version);
             log::info!("event=relay_started peer={address} version={version}");
             first = false;
         }
-        let part = parts.get(&message.table).and_then(Option::as_ref);
+        let subset = subsets.get(&message.table).and_then(Option::as_ref);
         let era = StoreVersion::from(message.version).era();
-        take(replicas, message, part, waited_since.unwrap_or_default());
+        merge_message(replicas, message, subset, waited_since.unwrap_or_default());
         reachability::update(status, "relayed", |state| {
             state.relayed = true;
             state.era = state.era.max(era);
@@ -213,20 +213,21 @@
 async fn open(
     stack: &NetStack,
     address: SocketAddr,
-    part: Option<u64>,
+    subset_seed: Option<u64>,
 ) -> Result<WebSocketStream<NetStream>, String> {
     let stream = stack.connect(address).await.map_err(|error| error.to_string())?;
-    let path = format!("ws://{address}{}", RelayOptions { is_compressed: true, part }.path());
+    let path =
+        format!("ws://{address}{}", RelayOptions { is_compressed: true, subset_seed }.path());
     let opened = client_async_with_config(path, stream, Some(config())).await;
     let (socket, _response) = opened.map_err(|error| error.to_string())?;
     Ok(socket)
 }
 
 /// Merges a relay message for one table or subset, which was awaited since `waited_since`.
-fn take(
+fn merge_message(
     replicas: &[SharedReplica],
     message: RelayMessage,
-    part: Option<&Arc<TableSubset>>,
+    subset: Option<&Arc<TableSubset>>,
     waited_since: Moment,
 ) {
     let Some(replica) = replicas.iter().find(|replica| replica.table == message.table) else {
@@ -242,15 +243,15 @@
     let delta = TableDelta { full: message.full, version: message.version.into(), rows };
     // A peer that does not know yet that the store was restored says nothing about the table as it
     // is now.
-    let is_of_before = delta.version.era() < replica.version().era();
-    replica.merge_relayed(&delta, part);
-    if is_of_before {
+    let is_previous_era = delta.version.era() < replica.version().era();
+    replica.merge_relayed(&delta, subset);
+    if is_previous_era {
         return;
     }
     // An age that reaches back before the start of this host's clock is too old to count.
     let age = Duration::from_millis(message.age_ms);
-    let heard_at = replica.freshness().valid_as_of(waited_since);
-    replica.freshness().record_relayed(heard_at.checked_sub(age));
+    let valid_as_of = replica.freshness().valid_as_of(waited_since);
+    replica.freshness().record_relayed(valid_as_of.checked_sub(age));
 }
 
 fn subset_from_wire(part: RelayPart) -> TableSubset {
--- a/crates/dillspool_watch/src/relay/server.rs
+++ b/crates/dillspool_watch/src/relay/server.rs
@@ -40,10 +40,10 @@
 const INITIAL_TABLES_TIMEOUT: Duration = Duration::from_millis(800);
 /// Interval at which to check for the initial tables.
 const TABLES_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval at which to check whether a peer's subset still fits the table,
+/// Interval at which to check whether a peer's subset still fits the table.
 const SUBSET_CHECK_INTERVAL: Duration = Duration::from_secs(10);
-/// and changed rows that trigger a check at once, since backend servers that start together
-/// register within seconds.
+/// Number of changed rows after which this is checked at once, since backend servers that start
+/// together register within seconds.
 const SUBSET_CHECK_ROWS: usize = 64;
 
 /// Which tables a host relays, and how.
@@ -51,8 +51,8 @@
 pub struct RelayService {
     replicas: Vec<SharedReplica>,
     status: watch::Receiver<StoreReachability>,
-    limit: Duration,
-    hosts: Arc<dyn Fn() -> Option<usize> + Send + Sync>,
+    change_limit: Duration,
+    host_count: Arc<dyn Fn() -> Option<usize> + Send + Sync>,
 }
 
 impl fmt::Debug for RelayService {
@@ -62,40 +62,43 @@
 }
 
 impl RelayService {
-    /// Relays tables whose changes must be in force everywhere within `limit`; the number of hosts
-    /// is unknown.
+    /// Relays tables whose changes must be in force everywhere within `change_limit`; the
+    /// number of hosts is unknown.
     pub fn new(
         replicas: Vec<SharedReplica>,
         status: watch::Receiver<StoreReachability>,
-        limit: Duration,
+        change_limit: Duration,
     ) -> Self {
-        Self { replicas, status, limit, hosts: Arc::new(|| None) }
+        Self { replicas, status, change_limit, host_count: Arc::new(|| None) }
     }
 
     /// Sets the source of the number of hosts.
     #[must_use]
     pub fn with_host_count(
         self,
-        hosts: impl Fn() -> Option<usize> + Send + Sync + 'static,
+        host_count: impl Fn() -> Option<usize> + Send + Sync + 'static,
     ) -> Self {
-        Self { hosts: Arc::new(hosts), ..self }
+        Self { host_count: Arc::new(host_count), ..self }
     }
 
     /// The subset of a table for a peer that holds subsets of large tables.
     fn subset_for(&self, replica: &SharedReplica, seed: u64) -> Option<Arc<TableSubset>> {
-        let counts = replica.count_rows((self.hosts)())?;
+        let counts = replica.count_rows((self.host_count)())?;
         TableSubset::for_counts(seed, &counts).map(Arc::new)
     }
 
     /// Assigns a peer a new subset if the table has outgrown its current one.
     fn check_subset(&self, table: &mut SentTable, seed: u64) {
-        if table.rows < SUBSET_CHECK_ROWS && table.checked_at.elapsed() < SUBSET_CHECK_INTERVAL {
+        if table.rows_since_check < SUBSET_CHECK_ROWS
+            && table.checked_at.elapsed() < SUBSET_CHECK_INTERVAL
+        {
             return;
         }
-        (table.checked_at, table.rows) = (Instant::now(), 0);
-        let counts = table.replica.count_rows((self.hosts)());
-        if counts.is_some_and(|counts| TableSubset::needs_resize(table.part.as_deref(), &counts)) {
-            table.part = self.subset_for(&table.replica, seed);
+        (table.checked_at, table.rows_since_check) = (Instant::now(), 0);
+        let counts = table.replica.count_rows((self.host_count)());
+        if counts.is_some_and(|counts| TableSubset::needs_resize(table.subset.as_deref(), &counts))
+        {
+            table.subset = self.subset_for(&table.replica, seed);
             table.version = StoreVersion::default();
         }
     }
@@ -143,18 +146,18 @@
     /// Version up to which the peer has the table; the default version before the first rows.
     version: StoreVersion,
     /// The rows that the peer holds; `None` for all.
-    part: Option<Arc<TableSubset>>,
+    subset: Option<Arc<TableSubset>>,
     /// When it was last checked whether the subset fits the table, and rows sent since then.
     checked_at: Instant,
-    rows: usize,
+    rows_since_check: usize,
 }
 
 impl SentTable {
     /// What the peer lacks: the whole table or subset the first time, then only changed rows, since
     /// every row that is newer than a complete replica has a higher version.
     fn changes(&self, age: Duration) -> RelayMessage {
-        let delta = match &self.part {
-            Some(part) => self.replica.subset_changes_since(self.version, part),
+        let delta = match &self.subset {
+            Some(subset) => self.replica.subset_changes_since(self.version, subset),
             None => self.replica.changes_since(self.version),
         };
         let row = |row: ChangedRow| RelayRow {
@@ -167,7 +170,7 @@
             full: delta.full,
             version: delta.version.into(),
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-            part: self.part.as_deref().filter(|_part| delta.full).map(subset_to_wire),
+            part: self.subset.as_deref().filter(|_subset| delta.full).map(subset_to_wire),
             rows: delta.rows.into_iter().map(row).collect(),
         }
     }
@@ -178,40 +181,41 @@
     service: RelayService,
     snapshot_sends: Arc<Semaphore>,
 ) -> Result<(), String> {
-    let repeat = service.limit.mul_f64(HEARTBEAT_FRACTION).min(MAX_HEARTBEAT_INTERVAL);
+    let heartbeat = service.change_limit.mul_f64(HEARTBEAT_FRACTION).min(MAX_HEARTBEAT_INTERVAL);
     let accepted = tokio::time::timeout(CONNECT_TIMEOUT, accept(stream)).await;
     let (mut socket, options) = accepted.map_err(|elapsed| elapsed.to_string())??;
     service.wait_for_initial_tables().await;
-    let mut whole = Some(snapshot_sends.acquire_owned().await.map_err(|error| error.to_string())?);
+    let mut send_permit =
+        Some(snapshot_sends.acquire_owned().await.map_err(|error| error.to_string())?);
     let table = |replica: &SharedReplica| SentTable {
         replica: replica.clone(),
         version: StoreVersion::default(),
-        part: options.part.and_then(|seed| service.subset_for(replica, seed)),
+        subset: options.subset_seed.and_then(|seed| service.subset_for(replica, seed)),
         checked_at: Instant::now(),
-        rows: 0,
+        rows_since_check: 0,
     };
     let mut sent: Vec<_> = service.replicas.iter().map(table).collect();
-    let mut watchers: Vec<_> = service.replicas.iter().map(SharedReplica::subscribe).collect();
+    let mut receivers: Vec<_> = service.replicas.iter().map(SharedReplica::subscribe).collect();
     let mut status = service.status.clone();
     loop {
         status.mark_unchanged();
         let sending = send_changes(&mut socket, &mut sent, options.is_compressed);
         let ended = tokio::time::timeout(SEND_TIMEOUT, sending).await;
         ended.map_err(|_elapsed| "the peer did not read in time")??;
-        drop(whole.take());
-        if let Some(seed) = options.part {
+        drop(send_permit.take());
+        if let Some(seed) = options.subset_seed {
             for table in &mut sent {
                 service.check_subset(table, seed);
             }
         }
         tokio::time::sleep(MIN_SEND_INTERVAL).await;
         let changed = futures_util::future::select_all(
-            watchers.iter_mut().map(|watcher| Box::pin(watcher.changed())),
+            receivers.iter_mut().map(|receiver| Box::pin(receiver.changed())),
         );
         tokio::select! {
             _changed = changed => {}
             _lost = status.changed() => {}
-            () = tokio::time::sleep(repeat) => {}
+            () = tokio::time::sleep(heartbeat) => {}
             incoming = socket.next() => {
                 if !matches!(incoming, Some(Ok(_))) {
                     return Err("the peer disconnected".to_owned());
@@ -250,7 +254,7 @@
             age.ok_or_else(|| format!("the replica of the table {name} is too old to relay"))?;
         let message = table.changes(age);
         table.version = message.version.into();
-        table.rows += message.rows.len();
+        table.rows_since_check += message.rows.len();
         let bytes =
             relay_codec::encode(&message, is_compressed).map_err(|error| error.to_string())?;
         socket.send(Message::Binary(bytes.into())).await.map_err(|error| error.to_string())?;
@@ -258,8 +262,8 @@
     Ok(())
 }
 
-fn subset_to_wire(part: &TableSubset) -> RelayPart {
+fn subset_to_wire(subset: &TableSubset) -> RelayPart {
     let class =
         |(class, bits): (&Name, &u32)| RelayClass { class: Name::clone(class), bits: *bits };
-    RelayPart { seed: part.seed, classes: part.sampling_bits.iter().map(class).collect() }
+    RelayPart { seed: subset.seed, classes: subset.sampling_bits.iter().map(class).collect() }
 }
--- a/crates/dillspool_watch/src/relay_codec.rs
+++ b/crates/dillspool_watch/src/relay_codec.rs
@@ -30,18 +30,18 @@
     /// Whether the client accepts compressed messages.
     pub(crate) is_compressed: bool,
     /// The seed that selects the client's rows; `None` for whole tables.
-    pub(crate) part: Option<u64>,
+    pub(crate) subset_seed: Option<u64>,
 }
 
 impl RelayOptions {
     pub(crate) fn from_path(path: &str) -> Self {
         let seed = path.strip_prefix(SUBSET_PATH);
-        let part = seed.and_then(|seed| u64::from_str_radix(seed, 16).ok());
-        Self { is_compressed: part.is_some() || path == COMPRESSED_PATH, part }
+        let subset_seed = seed.and_then(|seed| u64::from_str_radix(seed, 16).ok());
+        Self { is_compressed: subset_seed.is_some() || path == COMPRESSED_PATH, subset_seed }
     }
 
     pub(crate) fn path(self) -> String {
-        match self.part {
+        match self.subset_seed {
             Some(seed) => format!("{SUBSET_PATH}{seed:016x}"),
             None => COMPRESSED_PATH.to_owned(),
         }
--- a/crates/dillspool_watch/src/replica.rs
+++ b/crates/dillspool_watch/src/replica.rs
@@ -72,14 +72,14 @@
     /// Version of the newest snapshot; rows that it did not contain did not exist then.
     snapshot_version: StoreVersion,
     /// The subset of rows held; `None` for all.
-    pub part: Option<Arc<TableSubset>>,
+    pub subset: Option<Arc<TableSubset>>,
     /// Whether the store was restored from a backup since the replica was first filled. From then
     /// on a row that is written again with its restored text counts as changed.
     is_restored: bool,
     /// Version of the newest tombstone that was compacted; the default version while all are kept.
     compacted_at: StoreVersion,
     /// Tombstones among [`Self::rows`], and their maximum number.
-    deleted: usize,
+    tombstones: usize,
     max_tombstones: usize,
 }
 
@@ -97,9 +97,9 @@
             rows: BTreeMap::new(),
             snapshot_version: StoreVersion::default(),
             is_restored: false,
-            part: None,
+            subset: None,
             compacted_at: StoreVersion::default(),
-            deleted: 0,
+            tombstones: 0,
             max_tombstones,
         }
     }
@@ -110,8 +110,8 @@
         self.is_restored |= self.version.is_known() && delta.version.era() > self.version.era();
         // An unknown row that is not newer than the newest compacted tombstone may have been
         // deleted. In a snapshot that is at least as new, the row is known to exist.
-        let shows = delta.full && delta.version >= self.compacted_at;
-        let compacted = if shows { StoreVersion::default() } else { self.compacted_at };
+        let shows_existing = delta.full && delta.version >= self.compacted_at;
+        let compacted = if shows_existing { StoreVersion::default() } else { self.compacted_at };
         for row in &delta.rows {
             changed |= self.merge_row(row, compacted);
         }
@@ -127,7 +127,7 @@
     /// Removes the oldest tombstones when there are too many. Tombstones serve only to tell peers
     /// of a deletion; a peer that has not heard of a compacted one is sent the whole table.
     fn compact_tombstones(&mut self) {
-        if self.deleted <= self.max_tombstones {
+        if self.tombstones <= self.max_tombstones {
             return;
         }
         let deleted = self.rows.values().filter(|row| row.value.is_none());
@@ -142,7 +142,7 @@
     }
 
     fn count_tombstones(&mut self) {
-        self.deleted = self.rows.values().filter(|row| row.value.is_none()).count();
+        self.tombstones = self.rows.values().filter(|row| row.value.is_none()).count();
     }
 
     fn merge_row(&mut self, row: &ChangedRow, compacted: StoreVersion) -> bool {
@@ -152,29 +152,30 @@
         if row.version <= oldest {
             return false;
         }
-        let same = known.is_some_and(|known| known.value == row.value);
-        let is_copied = known.is_some_and(|known| known.version.number() == row.version.number());
-        if same && is_copied {
+        let is_same_value = known.is_some_and(|known| known.value == row.value);
+        let is_same_number =
+            known.is_some_and(|known| known.version.number() == row.version.number());
+        if is_same_value && is_same_number {
             // The row came through the restore unchanged, so it is not sent to peers again.
             return false;
         }
-        self.deleted -= usize::from(known.is_some_and(|known| known.value.is_none()));
-        self.deleted += usize::from(row.value.is_none());
-        let replica = ReplicaRow::new(row.version, row.value.clone());
-        self.rows.insert(Name::clone(&row.key), replica);
-        !same || self.is_restored
+        self.tombstones -= usize::from(known.is_some_and(|known| known.value.is_none()));
+        self.tombstones += usize::from(row.value.is_none());
+        let stored = ReplicaRow::new(row.version, row.value.clone());
+        self.rows.insert(Name::clone(&row.key), stored);
+        !is_same_value || self.is_restored
     }
 
     /// Deletes the rows that are absent from a snapshot, unless they are newer than it.
     fn delete_absent(&mut self, delta: &TableDelta) -> bool {
-        let shown: BTreeSet<&Name> = delta.rows.iter().map(|row| &row.key).collect();
+        let present: BTreeSet<&Name> = delta.rows.iter().map(|row| &row.key).collect();
         let mut changed = false;
-        for (key, replica) in &mut self.rows {
-            if shown.contains(key) || replica.value.is_none() || replica.version > delta.version {
+        for (key, stored) in &mut self.rows {
+            if present.contains(key) || stored.value.is_none() || stored.version > delta.version {
                 continue;
             }
-            *replica = ReplicaRow::new(delta.version, None);
-            self.deleted += 1;
+            *stored = ReplicaRow::new(delta.version, None);
+            self.tombstones += 1;
             changed = true;
         }
         changed
@@ -182,18 +183,18 @@
 
     /// Replaces the replica with another subset of the table, given all of that subset's rows. Rows
     /// known to be newer are kept, so a sender with an older replica undoes nothing.
-    fn switch_subset(&mut self, delta: &TableDelta, part: Option<Arc<TableSubset>>) -> bool {
+    fn switch_subset(&mut self, delta: &TableDelta, subset: Option<Arc<TableSubset>>) -> bool {
         let before = std::mem::replace(self, Self::with_tombstone_limit(self.max_tombstones));
-        self.part = part;
+        self.subset = subset;
         self.is_restored = before.is_restored || delta.version.era() > before.version.era();
         self.compacted_at = before.compacted_at.min(delta.version);
         self.merge(delta);
-        let named: BTreeSet<&Name> = delta.rows.iter().map(|row| &row.key).collect();
+        let listed: BTreeSet<&Name> = delta.rows.iter().map(|row| &row.key).collect();
         for (key, known) in before.rows {
             let is_newer =
                 self.rows.get(&key).map_or(delta.version, |row| row.version) < known.version;
             // A row that only the previous replica had may belong to the previous subset.
-            if is_newer && (named.contains(&key) || known.value.is_none()) {
+            if is_newer && (listed.contains(&key) || known.value.is_none()) {
                 self.rows.insert(key, known);
             }
         }
@@ -203,10 +204,10 @@
     }
 
     /// Drops the rows that are not in a subset.
-    fn restrict_to(&mut self, part: &Arc<TableSubset>, classifier: &RowClassifier) {
+    fn restrict_to(&mut self, subset: &Arc<TableSubset>, classifier: &RowClassifier) {
         self.rows
-            .retain(|key, row| row.value.is_none() || is_in_subset(part, key, row, classifier));
-        self.part = Some(Arc::clone(part));
+            .retain(|key, row| row.value.is_none() || is_in_subset(subset, key, row, classifier));
+        self.subset = Some(Arc::clone(subset));
     }
 
     /// The rows that are newer than a version, including tombstones. All rows for the default
@@ -226,12 +227,12 @@
         version: StoreVersion,
         wanted: impl Fn(&str, &ReplicaRow) -> bool,
     ) -> TableDelta {
-        let newer = self.rows.iter().filter(|(_key, replica)| replica.version > version);
-        let newer = newer.filter(|(key, replica)| wanted(key, replica));
-        let row = |(key, replica): (&Name, &ReplicaRow)| ChangedRow {
+        let newer = self.rows.iter().filter(|(_key, stored)| stored.version > version);
+        let newer = newer.filter(|(key, stored)| wanted(key, stored));
+        let row = |(key, stored): (&Name, &ReplicaRow)| ChangedRow {
             key: Name::clone(key),
-            version: replica.version,
-            value: replica.value.clone(),
+            version: stored.version,
+            value: stored.value.clone(),
         };
         TableDelta {
             full: !version.is_known(),
@@ -304,7 +305,7 @@
     /// those of its own rows.
     pub fn merge(&self, delta: &TableDelta) -> bool {
         self.modify(|replica| {
-            if delta.full && replica.part.is_some() {
+            if delta.full && replica.subset.is_some() {
                 return replica.switch_subset(delta, None);
             }
             self.merge_into(replica, delta)
@@ -315,19 +316,19 @@
     pub(crate) fn merge_relayed(
         &self,
         delta: &TableDelta,
-        part: Option<&Arc<TableSubset>>,
+        subset: Option<&Arc<TableSubset>>,
     ) -> bool {
         self.modify(|replica| {
-            if replica.part.as_ref() == part {
+            if replica.subset.as_ref() == subset {
                 return self.merge_into(replica, delta);
             }
             if delta.full {
-                return replica.switch_subset(delta, part.cloned());
+                return replica.switch_subset(delta, subset.cloned());
             }
-            if let (Some(part), Some(classifier)) = (part, &self.classifier) {
+            if let (Some(subset), Some(classifier)) = (subset, &self.classifier) {
                 // A snapshot was read from the store meanwhile, but the peer sends only changes of
                 // the subset.
-                replica.restrict_to(part, classifier);
+                replica.restrict_to(subset, classifier);
             }
             self.merge_into(replica, delta);
             true
@@ -337,13 +338,15 @@
     /// Merges an update that covers the same subset. Of incremental changes, a subset takes those
     /// of its own rows.
     fn merge_into(&self, replica: &mut TableReplica, delta: &TableDelta) -> bool {
-        let (Some(part), Some(classifier), false) = (&replica.part, &self.classifier, delta.full)
+        let (Some(subset), Some(classifier), false) =
+            (&replica.subset, &self.classifier, delta.full)
         else {
             return replica.merge(delta);
         };
         let is_wanted = |row: &&ChangedRow| {
-            let told = ReplicaRow::new(row.version, row.value.clone());
-            replica.rows.contains_key(&row.key) || is_in_subset(part, &row.key, &told, classifier)
+            let changed_row = ReplicaRow::new(row.version, row.value.clone());
+            replica.rows.contains_key(&row.key)
+                || is_in_subset(subset, &row.key, &changed_row, classifier)
         };
         let rows = delta.rows.iter().filter(is_wanted).cloned().collect();
         replica.merge(&TableDelta { full: false, version: delta.version, rows })
@@ -361,7 +364,7 @@
 
     /// Whether this host holds only a subset of the table, and cannot relay it.
     pub(crate) fn is_subset(&self) -> bool {
-        self.sender.borrow().part.is_some()
+        self.sender.borrow().subset.is_some()
     }
 
     /// Number of rows by class; `None` for a table that every host holds whole.
@@ -397,25 +400,26 @@
     pub(crate) fn subset_changes_since(
         &self,
         version: StoreVersion,
-        part: &TableSubset,
+        subset: &TableSubset,
     ) -> TableDelta {
         let Some(classifier) = &self.classifier else { return self.changes_since(version) };
         let replica = self.sender.borrow();
         let version = replica.delta_base(version);
         replica.changes_of(version, |key, row| {
             // The host may hold a row that was deleted or has changed its class.
-            let may_be_known = version.is_known() && (row.value.is_none() || part.may_contain(key));
-            may_be_known || is_in_subset(part, key, row, classifier)
+            let may_be_known =
+                version.is_known() && (row.value.is_none() || subset.may_contain(key));
+            may_be_known || is_in_subset(subset, key, row, classifier)
         })
     }
 }
 
 /// Whether a row exists and is in a subset.
 fn is_in_subset(
-    part: &TableSubset,
+    subset: &TableSubset,
     key: &str,
     row: &ReplicaRow,
     classifier: &RowClassifier,
 ) -> bool {
-    row.class(key, classifier).is_some_and(|class| part.for_class(class).contains(key))
+    row.class(key, classifier).is_some_and(|class| subset.for_class(class).contains(key))
 }
--- a/crates/dillspool_watch/tests/table_subsets.rs
+++ b/crates/dillspool_watch/tests/table_subsets.rs
@@ -94,11 +94,11 @@
                 *counts.rows.entry(class.into()).or_default() += 1;
             }
         }
-        let part = self.held.subscribe().borrow().part.clone();
-        assert!(!TableSubset::needs_resize(part.as_deref(), &counts), "{case}: {part:?}");
+        let subset = self.held.subscribe().borrow().subset.clone();
+        assert!(!TableSubset::needs_resize(subset.as_deref(), &counts), "{case}: {subset:?}");
         let of_part = |(key, text): &(String, String)| {
             let Some((class, _text)) = text.split_once(' ') else { return false };
-            part.as_ref().is_none_or(|part| part.for_class(class).contains(key))
+            subset.as_ref().is_none_or(|subset| subset.for_class(class).contains(key))
         };
         rows.into_iter().filter(of_part).collect()
     }
@@ -213,7 +213,7 @@
         held.retain(|(_key, text)| text.contains(' '));
         assert_eq!(held, pair.expected(case.name), "{}", case.name);
         // While it holds a subset, the host keeps tombstones only for rows of its own.
-        let is_subset = pair.held.subscribe().borrow().part.is_some();
+        let is_subset = pair.held.subscribe().borrow().subset.is_some();
         let tombstones = pair.held.changes_since(0.into()).rows.len() - live(&pair.held).len();
         assert!(!is_subset || tombstones <= case.before / 8, "{}: {tombstones}", case.name);
     }
