--- a/crates/dillspool_routing/src/backend.rs
+++ b/crates/dillspool_routing/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the platform's directory shows them.
+//! Backend servers as listed in the platform's directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,18 +8,17 @@
 use dillspool_schema::Name;
 use dillspool_version::StoreVersion;
 
-/// Names a backend server; another start of it may have the same name.
+/// Identifies a backend server. The ID may be reused after a restart; see [`BackendInstance`].
 pub type BackendId = Name;
 
-/// When a backend server started, by its own clock, in milliseconds of Unix time.
+/// Start time of a backend server by its own clock, in milliseconds of Unix time.
 ///
-/// Tells one start from another and nothing more: clocks jump, so a later start may have the smaller
-/// number.
+/// Compare for equality only: clocks can jump, so a later start may have a smaller value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct BackendStart(pub u64);
 
 impl BackendStart {
-    /// Whether two tellings of one id are of different starts. One that tells none is taken for the same.
+    /// Whether two start times are known to differ. An unknown start time matches any other.
     pub fn are_different(one: Option<Self>, other: Option<Self>) -> bool {
         matches!((one, other), (Some(one), Some(other)) if one != other)
     }
@@ -31,106 +30,108 @@
     }
 }
 
-/// One start of a backend server: what it holds, does or did is remembered under this.
+/// One run of a backend server, from start to exit; state about a backend server is keyed by this.
 ///
-/// `docs/design/identity.md` lists all that is remembered.
+/// `docs/design/identity.md` lists all such state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BackendInstance {
-    /// The backend server.
+    /// ID of the backend server.
     pub id: BackendId,
-    /// Its start; `None` where it tells none, and then its id alone counts.
+    /// Start time; if `None`, instances are told apart by ID only.
     pub start: Option<BackendStart>,
 }
 
 impl BackendInstance {
-    /// Names this start, as its id does where it tells none.
+    /// Returns a unique label: the ID, followed by the start time if it is known.
     pub fn label(&self) -> Name {
         match self.start {
-            // No id has a space.
+            // IDs contain no spaces, so labels are unambiguous.
             Some(start) => format!("{} {start}", self.id).into(),
             None => Name::clone(&self.id),
         }
     }
 }
 
-/// Whether a backend server takes new requests.
+/// Whether a backend server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It is about to leave.
+    /// Finishes its requests and is about to shut down.
     Draining,
 }
 
-/// The part that an engine plays in its pool.
+/// Role of an engine in its pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineStage {
     /// Computes the KV cache of prompts.
     Prefill,
-    /// Generates answers.
+    /// Generates the output tokens.
     Decode,
 }
 
-/// One backend server.
+/// Directory entry of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendEntry {
-    /// Its id.
+    /// ID of the backend server.
     pub id: BackendId,
-    /// Its start; `None` where its row tells none.
+    /// Start time; `None` if the directory row has none.
     pub start: Option<BackendStart>,
-    /// Service to which it belongs.
+    /// Service to which the backend server belongs.
     pub service: Name,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Failure domain in which it runs.
     pub failure_domain: Name,
-    /// Whether it takes new requests.
+    /// State reported by its directory row.
     pub state: BackendState,
-    /// Set for a model engine.
+    /// Role of the engine; `None` if this is not a model engine.
     pub stage: Option<EngineStage>,
-    /// Requests that it runs at the same time; `None` where its row tells none.
+    /// Maximum concurrent requests; `None` if the directory row has none.
     pub slots: Option<u32>,
 }
 
 impl BackendEntry {
-    /// Whether it takes new requests, as its own row says.
+    /// Whether its directory row reports it as ready.
     pub fn is_ready(&self) -> bool {
         self.state == BackendState::Ready
     }
 
-    /// The start that this entry is of.
+    /// The instance that this entry describes.
     pub fn instance(&self) -> BackendInstance {
         BackendInstance { id: BackendId::clone(&self.id), start: self.start }
     }
 }
 
-/// The backend servers known at one moment.
+/// Snapshot of the known backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryView {
-    /// Version of the store's directory that it was made from.
+    /// Version of the store's directory table at the time of the snapshot.
     pub version: StoreVersion,
-    /// By id.
+    /// Entries by ID.
     pub entries: BTreeMap<BackendId, Arc<BackendEntry>>,
-    /// Failure domains whose backend servers get nothing new, by the operator's word.
+    /// Failure domains that an operator has drained; their backend servers get no new requests.
     pub drained_domains: BTreeSet<Name>,
-    /// Which of all backend servers these are, with their services as classes; `None` for all.
+    /// The subset of all backend servers that this snapshot covers, with services as classes;
+    /// `None` for all.
     pub subset: Option<Arc<TableSubset>>,
 }
 
 impl DirectoryView {
-    /// Whether new requests may go to a backend server: it is ready, and its failure domain is not drained.
+    /// Whether new requests may go to a backend server: it is ready and its failure domain is not
+    /// drained.
     pub fn accepts_requests(&self, entry: &BackendEntry) -> bool {
         entry.is_ready() && !self.drained_domains.contains(&entry.failure_domain)
     }
 
-    /// The backend servers of a service that take new requests.
+    /// Backend servers of a service that accept new requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Arc<BackendEntry>> {
         self.entries
             .values()
             .filter(move |entry| &*entry.service == service && self.accepts_requests(entry))
     }
 
-    /// The engines of a service that play one part and take new requests.
+    /// Engines of a service that have the given role and accept new requests.
     pub fn ready_in_stage<'a>(
         &'a self,
         service: &'a str,
@@ -139,13 +140,13 @@
         self.ready(service).filter(move |entry| entry.stage == Some(stage))
     }
 
-    /// Whether an id still takes new requests.
+    /// Whether the backend server with this ID accepts new requests.
     pub fn is_ready(&self, id: &str) -> bool {
         self.entries.get(id).is_some_and(|entry| self.accepts_requests(entry))
     }
 
-    /// Whether a backend server is known to have started again since an entry of it was read: what it
-    /// held then is gone.
+    /// Whether a backend server has restarted since `entry` was read, which means that its
+    /// in-memory state is lost.
     pub fn has_restarted(&self, entry: &BackendEntry) -> bool {
         self.entries
             .get(&entry.id)
--- a/crates/dillspool_routing/src/config.rs
+++ b/crates/dillspool_routing/src/config.rs
@@ -1,4 +1,4 @@
-//! The routing configuration in force, as one whole.
+//! The routing configuration.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,58 +8,59 @@
 use crate::route::RouteTable;
 use crate::workspace::WorkspaceTable;
 
-/// What the engines of a pool have in common.
+/// Properties shared by all engines of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePool {
-    /// Requests that an engine runs at once.
+    /// Maximum concurrent requests per engine.
     pub slots: u32,
-    /// Tokens that fit into an engine's memory.
+    /// KV cache capacity of an engine in tokens.
     pub memory_tokens: u64,
-    /// Life of a prefill's result.
+    /// Time to live of a KV handle, the result of a prefill.
     pub handle_ttl: Duration,
-    /// Longest life of a reservation of memory; zero where engines take none.
+    /// Maximum time to live of a memory reservation; zero if the engines do not support
+    /// reservations.
     pub max_reservation_ttl: Duration,
-    /// Time that an engine takes to change its stage.
+    /// Time that an engine takes to switch between prefill and decode.
     pub stage_switch_time: Duration,
 }
 
-/// A set of alike backend servers.
+/// A set of interchangeable backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceEntry {
     /// Name of the service.
     pub name: Name,
     /// Path of the health check.
     pub health_path: Name,
-    /// Connections that a backend server takes from all callers together.
+    /// Maximum connections to one backend server from all hosts together.
     pub max_connections: u32,
-    /// Set for a pool of model engines.
+    /// Engine properties; `None` if this is not a pool of model engines.
     pub engine: Option<EnginePool>,
 }
 
-/// What a caller may send and how long it may take.
+/// Limits on the size and duration of client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Longest head of a request in bytes.
+    /// Maximum size of the request head in bytes.
     pub max_header_bytes: usize,
-    /// Longest body of a request in bytes.
+    /// Maximum size of the request body in bytes.
     pub max_body_bytes: usize,
-    /// Time to send a head.
+    /// Maximum time to receive the request head.
     pub header_timeout: Duration,
-    /// Time that a connection may rest between two requests.
+    /// Maximum time that a connection may stay idle between two requests.
     pub idle_timeout: Duration,
 }
 
-/// One version of the configuration.
+/// One version of the routing configuration.
 #[derive(Clone, Debug)]
 pub struct RoutingConfig {
-    /// Grows with each change.
+    /// Version number; increases with each change.
     pub version: u64,
     /// The routes.
     pub routes: RouteTable,
-    /// The services by name.
+    /// Services by name.
     pub services: BTreeMap<Name, ServiceEntry>,
-    /// The workspaces; `None` where callers need no keys.
+    /// Workspaces; `None` if clients need no keys.
     pub workspaces: Option<WorkspaceTable>,
-    /// Limits on callers.
+    /// Limits on client requests.
     pub limits: ClientLimits,
 }
--- a/crates/dillspool_routing/src/lib.rs
+++ b/crates/dillspool_routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Requests, routes and backend servers, as the router sees them.
+//! Requests, routes and backend servers as the router represents them.
 //!
-//! These types say what a request needs and where it may go. They know neither a wire format nor
-//! a policy; see `docs/design/platform_site.md`.
+//! These types are independent of wire formats and of scheduling policy; see
+//! `docs/design/platform_site.md`.
 
 mod backend;
 mod config;
--- a/crates/dillspool_routing/src/request.rs
+++ b/crates/dillspool_routing/src/request.rs
@@ -1,4 +1,4 @@
-//! A request on its way to a backend server.
+//! Requests that are routed to backend servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,96 +14,98 @@
 use crate::route::RouteEntry;
 use crate::workspace::WorkspaceEntry;
 
-/// Time that a first attempt may seem to have spent: the way to this host, a lost packet on it.
-const FRESH_SLACK: Duration = Duration::from_millis(100);
+/// Elapsed time up to which a request counts as a first attempt: covers the network delay to this
+/// host, including one lost packet.
+const FIRST_ATTEMPT_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// A part of a prompt that requests may share.
+/// A segment of a prompt that several requests may have in common.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the part.
+    /// Identifies the segment.
     pub id: Name,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// What a request asks of a model.
+/// Parameters of a model request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerationParams {
     /// Name of the model.
     pub model: Name,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the answer in tokens.
     pub max_output_tokens: u64,
-    /// The caller's guess of the answer's length in tokens.
+    /// Answer length in tokens that the client expects.
     pub expected_output_tokens: Option<u64>,
-    /// The parts of the prompt in order; the last belongs to this request or its session.
+    /// Segments of the prompt in order; the last one is specific to this request or its session.
     pub prompt_parts: Vec<PromptPart>,
 }
 
-/// What the head of a request says, decoded.
+/// Decoded request headers.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMetadata {
-    /// Names this attempt of the caller.
+    /// ID of this attempt, set by the client.
     pub id: Option<Name>,
-    /// How long the caller waits from now on.
+    /// How long the client waits for the answer, counted from now.
     pub time_budget: Option<Duration>,
-    /// The caller's key.
+    /// API key that the client sent.
     pub key: PresentedKey,
     /// Set for a model request.
     pub generation: Option<GenerationParams>,
-    /// The last event that the caller has of an answer that broke off.
+    /// ID of the last event that the client received before its stream was interrupted.
     pub resume_after: Option<u64>,
 }
 
-/// A request that was read whole and has a route.
+/// A fully received request with its route.
 #[derive(Clone, Debug)]
 pub struct RoutedRequest {
-    /// Names this attempt of the caller.
+    /// ID of this attempt, set by the client.
     pub id: Name,
-    /// The same for all attempts of the caller.
+    /// Identifies the request across retries by the client.
     pub fingerprint: RequestFingerprint,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query, unchanged.
     pub uri: Uri,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// The body, unchanged.
+    /// Body, unchanged.
     pub body: Bytes,
-    /// The clock by which its time runs.
+    /// Clock for the time limits of the request.
     pub clock: HostClock,
-    /// When its head had been read.
+    /// When the request head had been received.
     pub arrived: Moment,
-    /// Time that the caller had spent before this attempt; a refused one comes back later.
+    /// Time that the client had spent on earlier, refused attempts.
     pub spent_before: Duration,
-    /// When it must have its final answer.
+    /// When the final answer is due.
     pub deadline: Moment,
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<RouteEntry>,
-    /// The service that takes it.
+    /// Service that the request goes to.
     pub service: Name,
-    /// The workspace that asks; `None` where no key was needed.
+    /// Workspace of the client; `None` if no key was required.
     pub workspace: Option<Arc<WorkspaceEntry>>,
     /// Set for a model request.
     pub generation: Option<GenerationParams>,
-    /// The last event that the caller has of an answer that broke off.
+    /// ID of the last event that the client received before its stream was interrupted.
     pub resume_after: Option<u64>,
-    /// Version of the configuration that chose the route.
+    /// Version of the configuration that the route was selected from.
     pub config_version: u64,
-    /// The bytes that the host holds for it.
+    /// Accounts for the memory that the host holds for the request.
     pub held_bytes: ExchangeBytes,
-    /// Whether its caller sees that an answer of unknown length ends early; HTTP/1.0 has no way.
+    /// Whether the client can detect a truncated answer of unknown length; HTTP/1.0 has no chunked
+    /// encoding, so it cannot.
     pub accepts_chunked: bool,
 }
 
 impl RoutedRequest {
-    /// Time left until the final answer is due.
+    /// Time left until the deadline.
     pub fn remaining(&self) -> Duration {
         self.clock.until(self.deadline)
     }
 
-    /// Waits until its final answer is due.
+    /// Waits until the deadline.
     pub async fn wait_for_deadline(&self) {
         self.clock.sleep_until(self.deadline).await;
     }
@@ -113,14 +115,14 @@
         self.clock.since(self.arrived)
     }
 
-    /// Whether its first event can no longer be in time: the objective counts from the caller's
-    /// first attempt, and an answer that broke off has paused for too long already.
+    /// Whether the first event would miss the objective, which counts from the client's first
+    /// attempt. A resumed stream always has: the interruption was already too long a pause.
     pub fn is_past_objective(&self) -> bool {
         self.resume_after.is_some() || self.spent_before + self.age() > self.route.objective
     }
 
-    /// Whether the caller was refused, or lost an answer, before this attempt.
+    /// Whether an earlier attempt of the client was refused or lost its answer.
     pub fn is_client_retry(&self) -> bool {
-        self.spent_before > FRESH_SLACK
+        self.spent_before > FIRST_ATTEMPT_TOLERANCE
     }
 }
--- a/crates/dillspool_routing/src/route.rs
+++ b/crates/dillspool_routing/src/route.rs
@@ -7,57 +7,57 @@
 use dillspool_schema::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How often a request may run.
+/// How often a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Running it again does no harm.
+    /// May be executed more than once.
     Idempotent,
-    /// It may run once at most.
+    /// May be executed at most once.
     NonIdempotent,
-    /// Its answer is a stream of numbered events.
+    /// The answer is a stream of numbered events.
     Streaming,
 }
 
-/// A service and its part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceShare {
     /// Name of the service.
     pub service: Name,
-    /// Weight relative to the route's other services.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// Where the requests of one host name and path prefix go, and on which terms.
+/// Destination and settings for the requests of one host name and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteEntry {
     /// Name of the route.
     pub name: Name,
-    /// Host name of its requests, in lower case.
+    /// Host name in lower case.
     pub host: Name,
     /// Path prefix; begins and ends with a slash.
     pub path_prefix: Name,
-    /// How often its requests may run.
+    /// How often a request may be executed.
     pub kind: RequestKind,
-    /// Longest time that a request is held.
+    /// Maximum time to handle a request.
     pub timeout: Duration,
-    /// Time within which an answer is of full use; for a stream, its first event.
+    /// Target time to the answer, or to the first event of a stream.
     pub objective: Duration,
-    /// Longest pause between two events of a stream that is in time.
+    /// Target for the longest pause between two events of a stream.
     pub max_event_gap: Option<Duration>,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Backend servers to which one request may be sent.
+    /// Maximum number of backend servers that one request is sent to.
     pub max_attempts: u32,
-    /// Whether a stream may go on at another engine behind its last event.
+    /// Whether an interrupted stream may resume on another engine after its last event.
     pub resumable: bool,
-    /// Whether its callers need no key where others do.
+    /// Whether clients need no key on this route even if other routes require one.
     pub keyless: bool,
-    /// Services that take its requests.
+    /// Services that the requests are split between.
     pub shares: Vec<ServiceShare>,
 }
 
 impl RouteEntry {
-    /// Whether a request may run again after it may have run.
+    /// Whether a request may be executed again after an attempt that may have been executed.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RequestKind::Idempotent => true,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The service for a request, by weight; the same id always gets the same one.
+    /// Picks a service by weight; the same ID always yields the same service.
     pub fn pick_service(&self, request_id: &str) -> Option<&Name> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
         if total == 0 {
@@ -84,14 +84,14 @@
     }
 }
 
-/// All routes, found by host name and longest path prefix.
+/// Route table, matched by host name and longest path prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_host: BTreeMap<Name, BTreeMap<Name, Arc<RouteEntry>>>,
 }
 
 impl RouteTable {
-    /// Builds the table; of two routes with one prefix the later one stays.
+    /// Builds the table. If two routes have the same host name and prefix, the later one wins.
     pub fn new(routes: impl IntoIterator<Item = RouteEntry>) -> Self {
         let mut table = Self::default();
         for route in routes {
@@ -101,11 +101,11 @@
         table
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// Finds the route with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         let host = host_name(host).to_ascii_lowercase();
         let prefixes = self.by_host.get(host.as_str())?;
-        // Prefixes end with a slash, so only the path's own directories can be one.
+        // All prefixes end with a slash, so only positions after a slash can match.
         path.rmatch_indices('/').find_map(|(at, _slash)| prefixes.get(path.get(..=at)?))
     }
 
@@ -114,13 +114,13 @@
         self.by_host.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether there is no route.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.by_host.is_empty()
     }
 }
 
-/// The host without its port.
+/// Strips the port from a `Host` header value.
 fn host_name(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/dillspool_routing/src/workspace.rs
+++ b/crates/dillspool_routing/src/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: whose keys open which routes, and how much each may ask.
+//! Workspaces, their keys and their rate limits.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -8,31 +8,31 @@
 
 use crate::request::GenerationParams;
 
-/// What a workspace's limit counts.
+/// What a workspace's rate limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitUnit {
     /// Requests.
     Requests,
-    /// Tokens: those of the prompt and the most that the answer may have.
+    /// Tokens: the prompt's and the maximum of the answer.
     Tokens {
-        /// Tokens that a request without a model counts for.
+        /// Tokens charged for a request that is not a model request.
         plain: u64,
     },
 }
 
-/// How much a workspace may ask of all hosts together.
+/// Rate limit of a workspace, shared by all hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkspaceLimit {
     /// What is counted.
     pub unit: LimitUnit,
-    /// How much of it a second.
+    /// Refill rate per second.
     pub per_s: f64,
-    /// How much beyond that at once.
+    /// Burst size on top of the refill rate.
     pub burst: f64,
 }
 
 impl WorkspaceLimit {
-    /// How much a request counts for.
+    /// Returns what a request counts for.
     #[expect(clippy::cast_precision_loss, reason = "tokens are far below 2^52")]
     pub fn amount(&self, generation: Option<&GenerationParams>) -> f64 {
         match (self.unit, generation) {
@@ -48,15 +48,15 @@
 /// One workspace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkspaceEntry {
-    /// Its name, which backend servers are told.
+    /// Name, also sent to backend servers.
     pub name: Name,
-    /// Rank of its requests, before that of the route; 0 is the highest.
+    /// Priority of its requests, compared before the route's; 0 is the highest.
     pub priority: u32,
-    /// `None` where it may ask as much as it likes.
+    /// Rate limit; `None` if the workspace has none.
     pub limit: Option<WorkspaceLimit>,
 }
 
-/// All workspaces, found by their callers' keys.
+/// Workspaces by name and by key.
 #[derive(Clone, Debug, Default)]
 pub struct WorkspaceTable {
     by_key: HashMap<KeyDigest, Arc<WorkspaceEntry>>,
@@ -64,7 +64,7 @@
 }
 
 impl WorkspaceTable {
-    /// Builds the table; a key that two workspaces name opens the later one.
+    /// Builds the table. If two workspaces list the same key, the later one gets it.
     pub fn new(workspaces: impl IntoIterator<Item = (WorkspaceEntry, Vec<CallerKey>)>) -> Self {
         let mut table = Self::default();
         for (entry, keys) in workspaces {
@@ -77,12 +77,12 @@
         table
     }
 
-    /// The workspace that a caller's key belongs to, in constant time.
+    /// Finds the workspace of a client's key, in constant time.
     pub fn find_by_key(&self, key: &CallerKey) -> Option<&Arc<WorkspaceEntry>> {
         self.by_key.get(key.digest())
     }
 
-    /// A workspace by name.
+    /// Finds a workspace by name.
     pub fn get(&self, name: &str) -> Option<&Arc<WorkspaceEntry>> {
         self.by_name.get(name)
     }
--- a/crates/dillspool_routing/tests/routes.rs
+++ b/crates/dillspool_routing/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes are found by host name and longest prefix, services by weight.
+//! Matching of routes by host name and longest prefix, and the weighted choice of a service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_prefix_of_the_host_wins() {
     let table = RouteTable::new([
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn services_share_requests_by_weight_and_an_id_keeps_its_service() {
+fn requests_split_by_weight_and_an_id_always_gets_the_same_service() {
     let mut split = route("split", "a.example", "/x/");
     split.shares = vec![
         ServiceShare { service: "most".into(), weight: 90 },
