--- a/crates/dillspool_forward/src/context.rs
+++ b/crates/dillspool_forward/src/context.rs
@@ -1,4 +1,4 @@
-//! State shared by all requests of a host.
+//! What all requests of a host share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use dillspool_scheduler::{CallClient, LimitClient, ScheduleClient};
 use dillspool_schema::Name;
 use dillspool_suspects::SuspectTracker;
-use dillspool_throttle::ThrottleDesk;
+use dillspool_throttle::ThrottleTracker;
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
 
@@ -19,11 +19,11 @@
 use crate::retry_budget::RetryBudgets;
 use crate::trace::log_decision_overruled;
 
-/// Cause reported for work that is lost because its backend server restarted.
-pub(crate) const RESTARTED_CAUSE: &str = "the backend server restarted";
-/// How long a response is still awaited after its backend server is known to have restarted. Data sent before
-/// the restart arrives within a few round trips; if the old process still runs beside its successor, its events
-/// arrive a few dozen milliseconds apart.
+/// Why something under way at a backend server is lost.
+pub(crate) const RESTARTED_CAUSE: &str = "it started again";
+/// Time for which something under way is still waited for once its backend server is known to have started
+/// again: what the start before had sent comes within some round trips, and events a few dozen
+/// milliseconds apart come if it lives on beside its successor.
 const RESTART_GRACE: Duration = Duration::from_millis(250);
 
 /// Shared by all requests of a host.
@@ -33,40 +33,40 @@
     pub failure_domain: Name,
     /// Calls to backend servers.
     pub calls: BackendCalls,
-    /// The current directory of backend servers.
+    /// The backend servers known now.
     pub directory: watch::Receiver<Arc<DirectoryView>>,
-    /// Places model requests on engines.
+    /// Decides where model requests run.
     pub schedule: ScheduleClient,
-    /// Assigns calls of plain services that have few slots.
+    /// Decides where calls of plain services go whose slots are few.
     pub call_client: CallClient,
-    /// Checks the rate limits of workspaces.
+    /// Tells whether a workspace's limit has room.
     pub limits: LimitClient,
-    /// Rate limits and backoff periods that backend servers asked for.
-    pub throttle: ThrottleDesk,
-    /// Checks the rate limits of backend servers.
+    /// What backend servers say they take.
+    pub throttle: ThrottleTracker,
+    /// Tells whether they take one request more.
     pub backend_limits: LimitClient,
-    /// Load of backend servers without a prefill or decode stage.
+    /// What is under way at backend servers that play no part.
     pub backend_tracker: BackendTracker,
-    /// Retry budgets of all services.
+    /// Budget of repeated sends.
     pub budgets: RetryBudgets,
-    /// Probes of backend servers whose attempts failed.
+    /// Looks at backend servers whose runs broke off.
     pub probes: BackendProbes,
-    /// Requests suspected of crashing backend servers.
+    /// Requests under which backend servers ended.
     pub suspects: SuspectTracker,
     /// Counters and histograms.
     pub metrics: ForwardMetrics,
-    /// Tasks that outlive their request, such as releasing a reservation.
+    /// Work that goes on when its request is gone, such as giving memory back.
     pub tasks: TaskTracker,
 }
 
 impl ForwardContext {
-    /// The current directory.
+    /// The directory as it is now.
     pub(crate) fn view(&self) -> Arc<DirectoryView> {
         Arc::clone(&self.directory.borrow())
     }
 
-    /// The scheduled backend server, if it accepts new requests as far as this host knows. A scheduler that is
-    /// partitioned from the store may have older data; a decision that is overruled for it is logged and counted.
+    /// The backend server that was decided on, if it takes new requests as far as this host knows. A
+    /// scheduler that is cut off from the store may know less; where it does, that is told.
     pub(crate) fn ready_entry(
         &self,
         request: &RoutedRequest,
@@ -81,8 +81,8 @@
         ready
     }
 
-    /// Waits until the directory shows a restart of a backend server, plus [`RESTART_GRACE`] for data that the
-    /// previous instance sent. Never returns for a backend server that reports no start.
+    /// Waits until the directory shows another start of a backend server, and a moment longer for what
+    /// the one before may still send; for ever where no start is told.
     pub(crate) async fn wait_for_restart(&self, entry: &BackendEntry) {
         let mut directory = self.directory.clone();
         if entry.start.is_none()
@@ -93,8 +93,8 @@
         tokio::time::sleep(RESTART_GRACE).await;
     }
 
-    /// Runs a call to a backend server and fails it if the backend server restarts, since a new instance does not
-    /// answer calls to the previous one.
+    /// Waits for a call to a backend server, but no longer than its start lasts: one that has started again
+    /// does not answer what was asked before.
     pub(crate) async fn cancel_on_restart<T>(
         &self,
         entry: &BackendEntry,
@@ -102,12 +102,12 @@
     ) -> Result<T, CallError> {
         tokio::select! {
             biased;
-            response = call => response,
+            answer = call => answer,
             () = self.wait_for_restart(entry) => Err(CallError::Lost { reason: RESTARTED_CAUSE.to_owned() }),
         }
     }
 
-    /// A picker that prefers backend servers near this host.
+    /// Chooses from this host's place.
     pub(crate) fn picker<'a>(&'a self, view: &'a DirectoryView) -> BackendPicker<'a> {
         let (tracker, throttle) = (&self.backend_tracker, &self.throttle);
         BackendPicker { view, tracker, throttle, failure_domain: &self.failure_domain }
--- a/crates/dillspool_forward/src/generate/send.rs
+++ b/crates/dillspool_forward/src/generate/send.rs
@@ -69,7 +69,7 @@
         let decode = &prepared.placement.entry;
         // During the prefill the decode engine may have started to leave, or asked this host to back off.
         let is_ready = self.context.ready_entry(&self.request, &decode.id).is_some();
-        if !is_ready || self.context.throttle.rests_until(&decode.instance()).is_some() {
+        if !is_ready || self.context.throttle.backoff_until(&decode.instance()).is_some() {
             self.tried.push(decode);
             return false;
         }
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -12,7 +12,7 @@
 };
 use dillspool_io::{HostClock, full_body};
 use dillspool_keys::{CallerKey, PresentedKey};
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_platform::{
     ChangedRow, MemoryTable, PlatformError, TableDelta, TableWatch, WatchError,
 };
@@ -24,7 +24,7 @@
 };
 use dillspool_scheduler::{CallTerms, LimitTerms};
 use dillspool_suspects::FingerprintKey;
-use dillspool_throttle::ThrottleDesk;
+use dillspool_throttle::ThrottleTracker;
 use hyper::{HeaderMap, StatusCode};
 
 /// Where the host takes callers.
@@ -232,8 +232,8 @@
         directory_table: "servers".into(),
         own_table: "own".into(),
         calls: calls(site),
-        throttle: ThrottleDesk::new(HostClock::steady()),
-        leaving: LeavingDesk::new(HostClock::steady()),
+        throttle: ThrottleTracker::new(HostClock::steady()),
+        leaving: LeavingTracker::new(HostClock::steady()),
         watch: TableWatch {
             snapshot: Arc::new(move |table| {
                 let site = for_snapshot.clone();
