--- a/crates/dillspool_forward/src/context.rs
+++ b/crates/dillspool_forward/src/context.rs
@@ -1,4 +1,4 @@
-//! What all requests of a host share.
+//! State shared by all requests of a host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,11 +19,11 @@
 use crate::retry_budget::RetryBudgets;
 use crate::trace::log_decision_overruled;
 
-/// Why something under way at a backend server is lost.
-pub(crate) const RESTARTED_CAUSE: &str = "it started again";
-/// Time for which something under way is still waited for once its backend server is known to have started
-/// again: what the start before had sent comes within some round trips, and events a few dozen
-/// milliseconds apart come if it lives on beside its successor.
+/// Cause reported for work that is lost because its backend server restarted.
+pub(crate) const RESTARTED_CAUSE: &str = "the backend server restarted";
+/// How long a response is still awaited after its backend server is known to have restarted. Data sent before
+/// the restart arrives within a few round trips; if the old process still runs beside its successor, its events
+/// arrive a few dozen milliseconds apart.
 const RESTART_GRACE: Duration = Duration::from_millis(250);
 
 /// Shared by all requests of a host.
@@ -33,40 +33,40 @@
     pub failure_domain: Name,
     /// Calls to backend servers.
     pub calls: BackendCalls,
-    /// The backend servers known now.
+    /// The current directory of backend servers.
     pub directory: watch::Receiver<Arc<DirectoryView>>,
-    /// Decides where model requests run.
+    /// Places model requests on engines.
     pub schedule: ScheduleClient,
-    /// Decides where calls of plain services go whose slots are few.
+    /// Assigns calls of plain services that have few slots.
     pub call_client: CallClient,
-    /// Tells whether a workspace's limit has room.
+    /// Checks the rate limits of workspaces.
     pub limits: LimitClient,
-    /// What backend servers say they take.
+    /// Rate limits and backoff periods that backend servers asked for.
     pub throttle: ThrottleTracker,
-    /// Tells whether they take one request more.
+    /// Checks the rate limits of backend servers.
     pub backend_limits: LimitClient,
-    /// What is under way at backend servers that play no part.
+    /// Load of backend servers without a prefill or decode stage.
     pub backend_tracker: BackendTracker,
-    /// Budget of repeated sends.
+    /// Retry budgets of all services.
     pub budgets: RetryBudgets,
-    /// Looks at backend servers whose runs broke off.
+    /// Probes of backend servers whose attempts failed.
     pub probes: BackendProbes,
-    /// Requests under which backend servers ended.
+    /// Requests suspected of crashing backend servers.
     pub suspects: SuspectTracker,
     /// Counters and histograms.
     pub metrics: ForwardMetrics,
-    /// Work that goes on when its request is gone, such as giving memory back.
+    /// Tasks that outlive their request, such as releasing a reservation.
     pub tasks: TaskTracker,
 }
 
 impl ForwardContext {
-    /// The directory as it is now.
+    /// The current directory.
     pub(crate) fn view(&self) -> Arc<DirectoryView> {
         Arc::clone(&self.directory.borrow())
     }
 
-    /// The backend server that was decided on, if it takes new requests as far as this host knows. A
-    /// scheduler that is cut off from the store may know less; where it does, that is told.
+    /// The scheduled backend server, if it accepts new requests as far as this host knows. A scheduler that is
+    /// partitioned from the store may have older data; a decision that is overruled for it is logged and counted.
     pub(crate) fn ready_entry(
         &self,
         request: &RoutedRequest,
@@ -81,8 +81,8 @@
         ready
     }
 
-    /// Waits until the directory shows another start of a backend server, and a moment longer for what
-    /// the one before may still send; for ever where no start is told.
+    /// Waits until the directory shows a restart of a backend server, plus [`RESTART_GRACE`] for data that the
+    /// previous instance sent. Never returns for a backend server that reports no start.
     pub(crate) async fn wait_for_restart(&self, entry: &BackendEntry) {
         let mut directory = self.directory.clone();
         if entry.start.is_none()
@@ -93,8 +93,8 @@
         tokio::time::sleep(RESTART_GRACE).await;
     }
 
-    /// Waits for a call to a backend server, but no longer than its start lasts: one that has started again
-    /// does not answer what was asked before.
+    /// Runs a call to a backend server and fails it if the backend server restarts, since a new instance does not
+    /// answer calls to the previous one.
     pub(crate) async fn cancel_on_restart<T>(
         &self,
         entry: &BackendEntry,
@@ -102,12 +102,12 @@
     ) -> Result<T, CallError> {
         tokio::select! {
             biased;
-            answer = call => answer,
+            response = call => response,
             () = self.wait_for_restart(entry) => Err(CallError::Lost { reason: RESTARTED_CAUSE.to_owned() }),
         }
     }
 
-    /// Chooses from this host's place.
+    /// A picker that prefers backend servers near this host.
     pub(crate) fn picker<'a>(&'a self, view: &'a DirectoryView) -> BackendPicker<'a> {
         let (tracker, throttle) = (&self.backend_tracker, &self.throttle);
         BackendPicker { view, tracker, throttle, failure_domain: &self.failure_domain }
