--- a/crates/dillspool_forward/src/stages.rs
+++ b/crates/dillspool_forward/src/stages.rs
@@ -89,13 +89,13 @@
     pub(crate) fn of(
         request: &RoutedRequest,
         stages: &FirstEventStages,
-        stats: &StreamStats,
+        stream_stats: &StreamStats,
     ) -> Option<Self> {
         if request.resume_after.is_some() {
             return Some(Self::Continued);
         }
         let objective = request.route.objective;
-        let first = stats.time_to_first_event;
+        let first = stream_stats.time_to_first_event;
         if first > objective {
             return Some(Self::longest_stage(stages, first));
         }
@@ -103,7 +103,7 @@
             return Some(Self::Returned);
         }
         let target = request.route.max_event_gap?;
-        match (stats.longest_event_gap > target, stats.resumes > 0) {
+        match (stream_stats.longest_event_gap > target, stream_stats.resumes > 0) {
             (false, _) => None,
             (true, true) => Some(Self::Reopened),
             (true, false) => Some(Self::Pause),
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -55,24 +55,30 @@
     }
 
     /// Reports that the complete stream was written to the caller's connection.
-    pub(crate) fn streamed(&mut self, status: u16, stages: &FirstEventStages, stats: &StreamStats) {
-        let late = LateCause::of(&self.request, stages, stats).map_or("", LateCause::name);
-        let detail = format!("status={status} late={late} {}", self.stream_fields(stages, stats));
+    pub(crate) fn streamed(
+        &mut self,
+        status: u16,
+        stages: &FirstEventStages,
+        stream_stats: &StreamStats,
+    ) {
+        let late = LateCause::of(&self.request, stages, stream_stats).map_or("", LateCause::name);
+        let detail =
+            format!("status={status} late={late} {}", self.stream_fields(stages, stream_stats));
         self.end("answered", "", &detail);
     }
 
-    fn stream_fields(&self, stages: &FirstEventStages, stats: &StreamStats) -> String {
+    fn stream_fields(&self, stages: &FirstEventStages, stream_stats: &StreamStats) -> String {
         format!(
             "spent_before_ms={} reserved_ms={} prefilled_ms={} opened_ms={} first_ms={} events={} longest_pause_ms={} reopened={} read_at_decode={}",
             self.request.spent_before.as_millis(),
             stages.reserved.as_millis(),
             stages.prefilled.as_millis(),
             stages.opened.as_millis(),
-            stats.time_to_first_event.as_millis(),
-            stats.events,
-            stats.longest_event_gap.as_millis(),
-            stats.resumes,
-            stats.read_at_decode,
+            stream_stats.time_to_first_event.as_millis(),
+            stream_stats.events,
+            stream_stats.longest_event_gap.as_millis(),
+            stream_stats.resumes,
+            stream_stats.read_at_decode,
         )
     }
 
@@ -96,9 +102,9 @@
         &mut self,
         detail: &str,
         stages: &FirstEventStages,
-        stats: &StreamStats,
+        stream_stats: &StreamStats,
     ) {
-        let fields = self.stream_fields(stages, stats);
+        let fields = self.stream_fields(stages, stream_stats);
         self.end("broken", "", &format!("{fields} detail=\"{detail}\""));
     }
 
--- a/crates/dillspool_forward/tests/admission.rs
+++ b/crates/dillspool_forward/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What a request reserves at an engine, and what becomes of it where there is no memory.
+//! How much memory a request reserves at an engine, and what happens when there is none.
 
 mod common;
 
@@ -13,64 +13,64 @@
     /// Free tokens of the two engines, of which the first is nearer.
     free: [u64; 2],
     hint: Option<u64>,
-    /// Engine that gets the request; none when it is refused.
+    /// Engine that receives the request; none if it is refused.
     placed: Option<&'static str>,
-    /// Tokens asked of that engine.
-    asked: u64,
+    /// Tokens reserved at that engine.
+    reserved: u64,
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_reserves_its_prompt_and_a_part_of_its_answer() {
-    // The prompt has 1,000 tokens, the answer 5,000 at most.
+async fn a_request_reserves_its_prompt_and_a_part_of_its_response() {
+    // The prompt has 1,000 tokens, the response at most 5,000.
     let cases = [
         MemoryCase {
-            name: "two fifths of the guess",
+            name: "two fifths of the estimate",
             free: [10_000, 0],
             hint: Some(2_000),
             placed: Some("decode-1"),
-            asked: 1_800,
+            reserved: 1_800,
         },
         MemoryCase {
             name: "just enough",
             free: [1_800, 0],
             hint: Some(2_000),
             placed: Some("decode-1"),
-            asked: 1_800,
+            reserved: 1_800,
         },
         MemoryCase {
             name: "no memory at the nearer engine",
             free: [1_799, 1_800],
             hint: Some(2_000),
             placed: Some("decode-2"),
-            asked: 1_800,
+            reserved: 1_800,
         },
         MemoryCase {
             name: "no memory anywhere",
             free: [1_799, 1_799],
             hint: Some(2_000),
             placed: None,
-            asked: 0,
+            reserved: 0,
         },
         MemoryCase {
-            name: "a short guess counts as the least",
+            name: "a short estimate is raised to the minimum",
             free: [2_000, 0],
             hint: Some(10),
             placed: Some("decode-1"),
-            asked: 1_500,
+            reserved: 1_500,
         },
         MemoryCase {
-            name: "no guess: the longest answer counts",
+            name: "no estimate: the longest response counts",
             free: [20_000, 0],
             hint: None,
             placed: Some("decode-1"),
-            asked: 3_000,
+            reserved: 3_000,
         },
         MemoryCase {
-            name: "a guess beyond the longest answer",
+            name: "an estimate above the longest response",
             free: [20_000, 0],
             hint: Some(100_000),
             placed: Some("decode-1"),
-            asked: 3_000,
+            reserved: 3_000,
         },
     ];
     for case in cases {
@@ -96,15 +96,21 @@
     let status = if case.placed.is_some() { 200 } else { 503 };
     assert_eq!(answer.status().as_u16(), status, "{}", case.name);
     assert!(started.elapsed() < Duration::from_millis(75), "{}: decided at once", case.name);
-    let come_back = answer.headers().contains_key("retry-after");
-    assert_eq!(come_back, case.placed.is_none(), "{}: it says when to come back", case.name);
+    let has_retry_after = answer.headers().contains_key("retry-after");
+    assert_eq!(
+        has_retry_after,
+        case.placed.is_none(),
+        "{}: it has a Retry-After header",
+        case.name
+    );
     drop(answer);
     tasks.close();
     tasks.wait().await;
     let record = site.record.lock().unwrap();
     let placed = record.arrivals.first().map(|arrival| arrival.backend.as_str());
     assert_eq!(placed, case.placed, "{}", case.name);
-    let held: Vec<_> = record.holds.iter().map(|(id, tokens)| (id.as_str(), *tokens)).collect();
-    let expected: Vec<_> = case.placed.map(|placed| (placed, case.asked)).into_iter().collect();
+    let held: Vec<_> =
+        record.reservations.iter().map(|(id, tokens)| (id.as_str(), *tokens)).collect();
+    let expected: Vec<_> = case.placed.map(|placed| (placed, case.reserved)).into_iter().collect();
     assert_eq!(held, expected, "{}", case.name);
 }
--- a/crates/dillspool_forward/tests/common/bodies.rs
+++ b/crates/dillspool_forward/tests/common/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies that come in parts.
+//! Bodies that arrive in chunks.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use dillspool_io::{BoxError, ResponseBody, channel_body};
 use tokio::sync::mpsc;
 
-pub fn paced_body(parts: Vec<(u64, &'static str)>, end_after: Duration) -> ResponseBody {
+pub fn paced_body(chunks: Vec<(u64, &'static str)>, end_after: Duration) -> ResponseBody {
     let (sender, receiver) = mpsc::channel(64);
     tokio::spawn(async move {
-        for (pause_ms, part) in parts {
+        for (pause_ms, chunk) in chunks {
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-            if sender.send(Ok(Bytes::from(part))).await.is_err() {
+            if sender.send(Ok(Bytes::from(chunk))).await.is_err() {
                 return;
             }
         }
@@ -20,12 +20,12 @@
     channel_body(receiver)
 }
 
-pub fn parts_body(parts: Vec<&'static str>, clean: bool) -> ResponseBody {
+pub fn chunked_body(chunks: Vec<&'static str>, ends_cleanly: bool) -> ResponseBody {
     let (sender, receiver) = mpsc::channel(64);
-    for part in parts {
-        sender.try_send(Ok(Bytes::from(part))).expect("room for the parts");
+    for chunk in chunks {
+        sender.try_send(Ok(Bytes::from(chunk))).expect("room for the chunks");
     }
-    if !clean {
+    if !ends_cleanly {
         let error: BoxError = "reset".into();
         sender.try_send(Err(error)).expect("room for the error");
     }
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Backend servers as closures that play a script and record what reached them.
+//! Scripted backend servers that record the requests they receive.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod bodies;
@@ -35,36 +35,36 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use bodies::{paced_body, parts_body};
+use bodies::{chunked_body, paced_body};
 
-/// What a backend server does with the next request.
+/// A backend server's scripted reaction to the next request.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A genuine answer, whole.
+    /// A complete, verified response.
     Answer(u16, &'static str),
     /// A success without the server's seal.
     Unsealed(u16),
-    /// A success that names another request.
+    /// A success with the id of another request.
     OtherRequest,
     /// A success with an encoded body.
     Encoded,
-    /// It says that the request did not run.
+    /// A response stating that the request did not run.
     NotRun(u16),
-    /// No connection can be made.
+    /// The connection fails.
     Unreachable,
     /// The connection breaks after the request was sent.
     Lost,
-    /// No answer ever comes.
+    /// No response ever arrives.
     Silent,
-    /// An answer whose body breaks off after these parts.
+    /// A response whose body breaks off after these chunks.
     Broken(Vec<&'static str>),
-    /// A stream of these parts with a clean end.
+    /// A stream of these chunks with a clean end.
     Stream(Vec<&'static str>),
-    /// A stream whose parts each come after a pause, in milliseconds, with a clean end.
+    /// A stream whose chunks each follow a delay in milliseconds, with a clean end.
     Paced(Vec<(u64, &'static str)>),
-    /// The head of a genuine failure whose body never comes whole.
+    /// The head of a verified failure whose body never completes.
     StalledFailure(u16),
-    /// A stream of these parts that then falls silent.
+    /// A stream that stalls after these chunks.
     Stalled(Vec<&'static str>),
 }
 
@@ -76,16 +76,16 @@
     pub at: Instant,
 }
 
-/// What happened, in order.
+/// Recorded calls, in order.
 #[derive(Debug, Default)]
 pub struct Record {
     pub arrivals: Vec<Arrival>,
     pub prefills: Vec<String>,
-    pub ranks: Vec<WorkPriority>,
-    /// Whoever was asked for memory.
-    pub hold_asks: Vec<String>,
-    pub holds: Vec<(String, u64)>,
-    pub released_holds: Vec<String>,
+    pub priorities: Vec<WorkPriority>,
+    /// Backends that received a reservation request.
+    pub reservation_requests: Vec<String>,
+    pub reservations: Vec<(String, u64)>,
+    pub released_reservations: Vec<String>,
     pub released_prefills: Vec<String>,
 }
 
@@ -94,21 +94,21 @@
 /// A site of scripted backend servers.
 #[derive(Clone, Default)]
 pub struct ScriptedSite {
-    /// Steps by backend id; the last one repeats.
+    /// Steps by backend id; the last step repeats.
     pub steps: Arc<Mutex<BTreeMap<String, VecDeque<Step>>>>,
     /// Backends that refuse reservations.
     pub full: Arc<Mutex<Vec<String>>>,
-    /// Backends that have ended and refuse connections.
+    /// Backends that have crashed and refuse connections.
     pub ended: Arc<Mutex<Vec<String>>>,
-    /// Backends whose machines answer no connection.
+    /// Backends whose machines do not respond to connections.
     pub unclear: Arc<Mutex<Vec<String>>>,
-    /// Called when a request reaches a backend server.
+    /// Called when a backend server receives a request.
     pub arrival_hook: Arc<Mutex<Option<ArrivalHook>>>,
-    /// Backends whose address is another one's by now.
+    /// Backends whose address now belongs to another backend.
     pub moved: Arc<Mutex<Vec<String>>>,
-    /// Free tokens of backends that have few; all others have enough.
+    /// Free tokens of backends with limited memory; all others have enough.
     pub memory: Arc<Mutex<BTreeMap<String, u64>>>,
-    /// How prefills fail, by engine.
+    /// Errors of prefills, by engine.
     pub prefill_fails: Arc<Mutex<BTreeMap<String, CallError>>>,
     /// Whether prefills are refused.
     pub refuses_prefill: Arc<Mutex<bool>>,
@@ -179,7 +179,7 @@
         self.steps.lock().unwrap().insert(id.to_owned(), steps.into_iter().collect());
     }
 
-    /// Calls this whenever a request reaches a backend server.
+    /// Calls the hook whenever a backend server receives a request.
     pub fn on_arrival(&self, hook: impl Fn() + Send + 'static) {
         *self.arrival_hook.lock().unwrap() = Some(Box::new(hook));
     }
@@ -195,8 +195,8 @@
 
     fn calls(&self) -> BackendCalls {
         let (site, prefiller, reserver) = (self.clone(), self.clone(), self.clone());
-        let (hold_dropper, prefill_dropper) = (self.clone(), self.clone());
-        let looker = self.clone();
+        let (reservation_releaser, prefill_releaser) = (self.clone(), self.clone());
+        let prober = self.clone();
         BackendCalls {
             forward: Arc::new(move |entry, _request, terms| {
                 let site = site.clone();
@@ -219,7 +219,7 @@
                     {
                         let mut record = site.record.lock().unwrap();
                         record.prefills.push(engine.id.to_string());
-                        record.ranks.push(terms.priority);
+                        record.priorities.push(terms.priority);
                     }
                     let takes = *site.prefill_takes.lock().unwrap();
                     tokio::time::sleep(takes).await;
@@ -236,7 +236,7 @@
             reserve: Arc::new(move |entry, terms| {
                 let site = reserver.clone();
                 Box::pin(async move {
-                    site.record.lock().unwrap().hold_asks.push(entry.id.to_string());
+                    site.record.lock().unwrap().reservation_requests.push(entry.id.to_string());
                     if site.moved.lock().unwrap().contains(&entry.id.to_string()) {
                         return Err(CallError::Refused { status: StatusCode::MISDIRECTED_REQUEST });
                     }
@@ -251,19 +251,19 @@
                         *free = left;
                     }
                     let mut record = site.record.lock().unwrap();
-                    record.holds.push((entry.id.to_string(), terms.tokens));
-                    Ok(format!("hold-{}", record.holds.len()).into())
+                    record.reservations.push((entry.id.to_string(), terms.tokens));
+                    Ok(format!("hold-{}", record.reservations.len()).into())
                 })
             }),
-            release_reservation: Arc::new(move |_entry, hold| {
-                let site = hold_dropper.clone();
+            release_reservation: Arc::new(move |_entry, reservation| {
+                let site = reservation_releaser.clone();
                 Box::pin(async move {
-                    site.record.lock().unwrap().released_holds.push(hold.to_string());
+                    site.record.lock().unwrap().released_reservations.push(reservation.to_string());
                     Ok(())
                 })
             }),
             release_prefill: Arc::new(move |_entry, handle| {
-                let site = prefill_dropper.clone();
+                let site = prefill_releaser.clone();
                 Box::pin(async move {
                     site.record.lock().unwrap().released_prefills.push(handle.to_string());
                     Ok(())
@@ -271,20 +271,20 @@
             }),
             probe: Arc::new(move |entry| {
                 let id = entry.id.to_string();
-                let ended = looker.ended.lock().unwrap().contains(&id);
-                let unclear = looker.unclear.lock().unwrap().contains(&id);
-                let sign = match (ended, unclear) {
+                let ended = prober.ended.lock().unwrap().contains(&id);
+                let unclear = prober.unclear.lock().unwrap().contains(&id);
+                let result = match (ended, unclear) {
                     (true, _) => ProbeResult::Refused,
                     (false, true) => ProbeResult::NoResponse,
                     (false, false) => ProbeResult::Reachable,
                 };
-                Box::pin(async move { sign })
+                Box::pin(async move { result })
             }),
             order: Arc::new(|_entry, _order| Box::pin(async { Ok(OrderOutcome::Started) })),
         }
     }
 
-    /// A client that decides by the engines of a directory, without any scheduler.
+    /// A client that schedules locally from a directory, without a remote scheduler.
     fn schedule(directory: &watch::Receiver<Arc<DirectoryView>>) -> ScheduleClient {
         let desk = PoolDesk::new(
             AdmissionPolicy::default(),
@@ -299,7 +299,7 @@
             running.run(known, directory, CancellationToken::new()).await;
             drop(sender);
         });
-        ScheduleClient::new(desk, no_news())
+        ScheduleClient::new(desk, idle_bus())
     }
 
     /// A context over the site and the sender of its directory.
@@ -335,8 +335,8 @@
     }
 }
 
-/// The backend server's own answer without a body.
-pub fn genuine(status: u16) -> BackendResponse {
+/// A verified response without a body.
+pub fn verified_response(status: u16) -> BackendResponse {
     BackendResponse {
         status: StatusCode::from_u16(status).expect("a status"),
         headers: HeaderMap::new(),
@@ -349,45 +349,45 @@
 }
 
 async fn play(step: Step) -> Result<BackendResponse, CallError> {
-    let whole = |status: u16, text: &'static str| {
+    let complete = |status: u16, text: &'static str| {
         let body = full_body(text);
-        BackendResponse { body, ..genuine(status) }
+        BackendResponse { body, ..verified_response(status) }
     };
     match step {
-        Step::Answer(status, text) => Ok(whole(status, text)),
-        Step::Unsealed(status) => Ok(BackendResponse { is_sealed: false, ..whole(status, "x") }),
+        Step::Answer(status, text) => Ok(complete(status, text)),
+        Step::Unsealed(status) => Ok(BackendResponse { is_sealed: false, ..complete(status, "x") }),
         Step::OtherRequest => {
-            Ok(BackendResponse { matches_request_id: false, ..whole(200, "other") })
+            Ok(BackendResponse { matches_request_id: false, ..complete(200, "other") })
         }
-        Step::Encoded => Ok(BackendResponse { is_encoded: true, ..whole(200, "zip") }),
-        Step::NotRun(status) => Ok(BackendResponse { did_not_run: true, ..whole(status, "") }),
+        Step::Encoded => Ok(BackendResponse { is_encoded: true, ..complete(200, "zip") }),
+        Step::NotRun(status) => Ok(BackendResponse { did_not_run: true, ..complete(status, "") }),
         Step::Unreachable => Err(CallError::NotSent { reason: "unreachable".to_owned() }),
         Step::Lost => Err(CallError::Lost { reason: "reset".to_owned() }),
         Step::Silent => std::future::pending().await,
         Step::Stream(parts) => {
-            Ok(BackendResponse { body: parts_body(parts, true), ..whole(200, "") })
+            Ok(BackendResponse { body: chunked_body(parts, true), ..complete(200, "") })
         }
         Step::Broken(parts) => {
-            Ok(BackendResponse { body: parts_body(parts, false), ..whole(200, "") })
+            Ok(BackendResponse { body: chunked_body(parts, false), ..complete(200, "") })
         }
         Step::Paced(parts) => {
-            Ok(BackendResponse { body: paced_body(parts, Duration::ZERO), ..whole(200, "") })
+            Ok(BackendResponse { body: paced_body(parts, Duration::ZERO), ..complete(200, "") })
         }
         Step::StalledFailure(status) => {
             let body = paced_body(vec![(0, "part")], Duration::from_mins(10));
-            Ok(BackendResponse { body, ..whole(status, "") })
+            Ok(BackendResponse { body, ..complete(status, "") })
         }
         Step::Stalled(parts) => {
             let parts = parts.into_iter().map(|part| (0, part)).collect();
             Ok(BackendResponse {
                 body: paced_body(parts, Duration::from_mins(10)),
-                ..whole(200, "")
+                ..complete(200, "")
             })
         }
     }
 }
 
-/// A request of a kind, with the route's terms.
+/// A request of a kind on a route with these settings.
 pub fn request(kind: RequestKind, max_attempts: u32, resumable: bool) -> RoutedRequest {
     let timeout = Duration::from_secs(if kind == RequestKind::Streaming { 14 } else { 3 });
     let route = RouteEntry {
@@ -443,6 +443,6 @@
     }
 }
 
-fn no_news() -> FleetBus {
+fn idle_bus() -> FleetBus {
     FleetBus::new(BusHandlers::none(), HostClock::steady())
 }
--- a/crates/dillspool_forward/tests/events.rs
+++ b/crates/dillspool_forward/tests/events.rs
@@ -1,4 +1,4 @@
-//! However its bytes are cut, a stream yields the same whole events.
+//! A stream yields the same complete events however its bytes are split into chunks.
 
 use dillspool_cases::fixed_cases;
 use dillspool_forward::{EventSplitter, StreamEvent};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn ids_and_ends_are_found() {
+fn event_ids_and_boundaries_are_found() {
     let cases = [
         EventCase { bytes: "id: 1\ndata: a\n\n", ids: vec![Some(1)] },
         EventCase { bytes: "id:7\r\ndata: a\r\n\r\n", ids: vec![Some(7)] },
@@ -41,7 +41,7 @@
     #![proptest_config(fixed_cases(256))]
 
     #[test]
-    fn cuts_do_not_matter(
+    fn chunk_boundaries_do_not_matter(
         lengths in prop::collection::vec(0_usize..40, 1..12),
         crlf in any::<bool>(),
         cuts in prop::collection::vec(0_usize..600, 0..20),
--- a/crates/dillspool_forward/tests/late_causes.rs
+++ b/crates/dillspool_forward/tests/late_causes.rs
@@ -1,4 +1,4 @@
-//! The last line of a stream names the stages of its first event and why it was late.
+//! The final log line of a stream reports the stages before its first event and why it was late.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use dillspool_routing::{RequestKind, RoutedRequest};
 use log::{LevelFilter, Log, Metadata, Record};
 
-/// Keeps all lines of this process, in which one test plays its cases one after another.
+/// Captures all log lines of this process, whose only test runs its cases one after another.
 struct LineCapture {
     lines: Mutex<Vec<String>>,
 }
@@ -34,29 +34,29 @@
 
 struct LateCase {
     name: &'static str,
-    /// Changes the request before it is answered.
+    /// Changes the request before it is handled.
     change: fn(&mut RoutedRequest),
     /// What both decode engines do.
     step: Step,
     prefill_takes_ms: u64,
-    /// Fields of the last line.
+    /// Expected fields of the last line.
     fields: &'static [&'static str],
 }
 
-fn leave(_request: &mut RoutedRequest) {}
+fn no_change(_request: &mut RoutedRequest) {}
 
-fn spend_a_second(request: &mut RoutedRequest) {
+fn spend_two_seconds(request: &mut RoutedRequest) {
     request.spent_before = Duration::from_secs(2);
 }
 
-fn continue_behind_first(request: &mut RoutedRequest) {
+fn resume_after_first(request: &mut RoutedRequest) {
     request.resume_after = Some(1);
 }
 
 const CASES: &[fn() -> LateCase] = &[
     || LateCase {
         name: "in time",
-        change: leave,
+        change: no_change,
         step: Step::Paced(vec![(20, ONE), (40, TWO)]),
         prefill_takes_ms: 100,
         fields: &[
@@ -73,35 +73,35 @@
     },
     || LateCase {
         name: "the prefill took too long",
-        change: leave,
+        change: no_change,
         step: Step::Paced(vec![(20, ONE)]),
         prefill_takes_ms: 400,
         fields: &["late=prefill", "prefilled_ms=400", "first_ms=420"],
     },
     || LateCase {
         name: "the first event took too long",
-        change: leave,
+        change: no_change,
         step: Step::Paced(vec![(600, ONE)]),
         prefill_takes_ms: 50,
         fields: &["late=first_event", "opened_ms=50", "first_ms=650"],
     },
     || LateCase {
         name: "the engine paused",
-        change: leave,
+        change: no_change,
         step: Step::Paced(vec![(20, ONE), (500, TWO)]),
         prefill_takes_ms: 50,
         fields: &["late=pause", "longest_pause_ms=500"],
     },
     || LateCase {
         name: "the caller had been refused",
-        change: spend_a_second,
+        change: spend_two_seconds,
         step: Step::Paced(vec![(20, ONE)]),
         prefill_takes_ms: 50,
         fields: &["late=returned", "spent_before_ms=2000"],
     },
     || LateCase {
-        name: "the caller goes on with a broken answer",
-        change: continue_behind_first,
+        name: "the caller resumes a broken stream",
+        change: resume_after_first,
         step: Step::Paced(vec![(20, TWO)]),
         prefill_takes_ms: 50,
         fields: &["late=continued", "events=1"],
@@ -109,7 +109,7 @@
 ];
 
 #[test]
-fn the_last_line_of_a_stream_says_why_it_was_late() {
+fn the_final_log_line_of_a_stream_says_why_it_was_late() {
     log::set_logger(&CAPTURE).expect("the only logger of this process");
     log::set_max_level(LevelFilter::Info);
     for case in CASES {
@@ -123,7 +123,7 @@
             let mut routed = request(RequestKind::Streaming, 2, true);
             (case.change)(&mut routed);
             let answer = handle_request(context, routed).await;
-            read_response_body(answer.into_body(), 10_000).await.expect("a whole stream");
+            read_response_body(answer.into_body(), 10_000).await.expect("a complete stream");
         });
         let lines = CAPTURE.lines.lock().unwrap();
         let last = lines.last().expect("a last line");
--- a/crates/dillspool_forward/tests/log_lines.rs
+++ b/crates/dillspool_forward/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! What the log says of a request, and what it never says.
+//! What the log contains about a request, and what it must never contain.
 
 mod common;
 
@@ -15,13 +15,13 @@
 use log::{LevelFilter, Log, Metadata, Record};
 use proptest::prelude::*;
 
-/// Keeps all lines; tests of this file run one after another.
+/// Captures all log lines; the lock makes the tests of this file run one after another.
 struct LineCapture {
     lines: Mutex<Vec<String>>,
-    turn: Mutex<()>,
+    lock: Mutex<()>,
 }
 
-static CAPTURE: LineCapture = LineCapture { lines: Mutex::new(Vec::new()), turn: Mutex::new(()) };
+static CAPTURE: LineCapture = LineCapture { lines: Mutex::new(Vec::new()), lock: Mutex::new(()) };
 
 impl Log for LineCapture {
     fn enabled(&self, _metadata: &Metadata<'_>) -> bool {
@@ -35,7 +35,7 @@
     fn flush(&self) {}
 }
 
-/// What must stand in no line.
+/// Values that no log line may contain.
 #[derive(Clone, Debug)]
 struct RequestSecrets {
     body: String,
@@ -43,10 +43,10 @@
     part: String,
 }
 
-/// Plays one request at two engines that do `step` and returns the log's lines.
+/// Sends one request to two engines that do `step`, and returns the log lines.
 fn lines_of(kind: RequestKind, step: &Step, full: bool, secrets: &RequestSecrets) -> Vec<String> {
-    let _turn = CAPTURE.turn.lock().unwrap_or_else(PoisonError::into_inner);
-    // Set by the first case of the process.
+    let _lock = CAPTURE.lock.lock().unwrap_or_else(PoisonError::into_inner);
+    // Only the first call in the process sets the logger.
     let _set_before = log::set_logger(&CAPTURE);
     log::set_max_level(LevelFilter::Trace);
     CAPTURE.lines.lock().unwrap().clear();
@@ -73,7 +73,7 @@
             generation.prompt_parts.push(part);
         }
         let answer = handle_request(context, routed).await;
-        let _whole_or_broken = read_response_body(answer.into_body(), 10_000).await;
+        let _complete_or_broken = read_response_body(answer.into_body(), 10_000).await;
     });
     CAPTURE.lines.lock().unwrap().clone()
 }
@@ -97,14 +97,14 @@
     kind: RequestKind,
     step: Step,
     full: bool,
-    /// Events in their order.
+    /// Expected events in order.
     events: Vec<&'static str>,
-    /// Fields of the last line.
+    /// Expected fields of the last line.
     last: Vec<&'static str>,
 }
 
 #[test]
-fn each_decision_leaves_a_line_with_its_inputs() {
+fn each_decision_is_logged_with_its_inputs() {
     let secrets = RequestSecrets { body: "b".into(), key: "k".into(), part: "p".into() };
     let cases = [
         LineCase {
@@ -160,7 +160,7 @@
     #![proptest_config(fixed_cases(64))]
 
     #[test]
-    fn no_line_carries_a_body_a_key_or_a_part_of_a_prompt(
+    fn no_line_contains_a_body_a_key_or_a_part_of_a_prompt(
         step in 0..steps().len(),
         kind in prop_oneof![
             Just(RequestKind::Idempotent),
@@ -184,18 +184,18 @@
     }
 }
 
-/// A crash stands against all that ran there, and each host is told of all of it: hundreds of hosts would write
-/// as many lines for each run, of which all but a few mean nothing.
+/// A crash counts against every request that ran there, and all hosts receive all of these updates. If each were
+/// logged, hundreds of hosts would write a line for each request, and nearly all of them would be irrelevant.
 #[test]
-fn what_others_tell_is_logged_once_it_may_mean_something() {
-    let _turn = CAPTURE.turn.lock().unwrap_or_else(PoisonError::into_inner);
+fn updates_from_other_hosts_are_logged_only_for_repeated_crashes() {
+    let _lock = CAPTURE.lock.lock().unwrap_or_else(PoisonError::into_inner);
     let _set_before = log::set_logger(&CAPTURE);
     log::set_max_level(LevelFilter::Info);
     CAPTURE.lines.lock().unwrap().clear();
     run_paused(async {
         let site = ScriptedSite::default();
         let (context, _directory) = site.context(view([]));
-        let ended = |number: usize, backend: &str| {
+        let crashed = |number: usize, backend: &str| {
             let body = number.to_le_bytes();
             let parts = FingerprintInput { caller: "", host: "", path: "", body: &body };
             let print = RequestFingerprint::of(&FingerprintKey::default(), &parts);
@@ -203,14 +203,14 @@
             SuspectUpdate::Crashed(BackendCrash { fingerprint: print, backend: backend.into(), at })
         };
         for number in 0..1000 {
-            assert!(context.suspects.apply_update(&ended(number, "one")));
+            assert!(context.suspects.apply_update(&crashed(number, "one")));
         }
         for backend in ["two", "three"] {
-            assert!(context.suspects.apply_update(&ended(7, backend)));
+            assert!(context.suspects.apply_update(&crashed(7, backend)));
         }
     });
     let lines = CAPTURE.lines.lock().unwrap().clone();
-    let told: Vec<_> = lines.iter().filter(|line| line.contains("event=suspect ")).collect();
-    assert_eq!(told.len(), 2, "{told:?}");
-    assert!(told[1].contains("Refused { ends: 3 }"), "{told:?}");
+    let logged: Vec<_> = lines.iter().filter(|line| line.contains("event=suspect ")).collect();
+    assert_eq!(logged.len(), 2, "{logged:?}");
+    assert!(logged[1].contains("Refused { ends: 3 }"), "{logged:?}");
 }
--- a/crates/dillspool_forward/tests/long_answers.rs
+++ b/crates/dillspool_forward/tests/long_responses.rs
@@ -1,4 +1,4 @@
-//! Long answers of plain services, where bytes held are limited: passed on as they arrive, never twice.
+//! Long responses of plain services with a byte budget: relayed as they arrive, and never retried once relayed.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use http_body_util::BodyExt;
 use tokio_util::sync::CancellationToken;
 
-/// Longer than what is read whole, so that each one is passed on when it comes.
+/// Longer than the buffered size, so that each chunk is relayed when it arrives.
 const LONG: &str = "a part that is longer than what is read whole";
 const TERMS: HeldTerms =
     HeldTerms { limit: 10_000, answer_bytes: 20, stall: Duration::from_secs(8) };
@@ -24,7 +24,7 @@
     ByteBudget::new(TERMS)
 }
 
-fn held_request(budget: &ByteBudget, kind: RequestKind, attempts: u32) -> RoutedRequest {
+fn budgeted_request(budget: &ByteBudget, kind: RequestKind, attempts: u32) -> RoutedRequest {
     let held = budget.enter("request-1", CancellationToken::new());
     RoutedRequest { held_bytes: held, ..request(kind, attempts, false) }
 }
@@ -34,24 +34,24 @@
     kind: RequestKind,
     first: Step,
     status: u16,
-    /// What its caller gets of the body, and whether it ends as if whole.
+    /// The body that the caller receives, and whether it ends as a complete one.
     body: &'static str,
-    is_whole: bool,
-    /// Requests that reached a backend server.
+    is_complete: bool,
+    /// Number of requests that backend servers received.
     arrivals: usize,
     outcome: &'static str,
 }
 
-/// Something passed on must never be followed by another run, nor end as if whole.
+/// A relayed response must never be followed by a retry, and a truncated one must not look complete.
 #[tokio::test(start_paused = true)]
-async fn an_answer_is_whole_or_broken_off_and_never_sent_again_once_passed_on() {
-    let case = |name, kind, first, status, body, is_whole, arrivals, outcome| LongCase {
+async fn a_response_is_complete_or_visibly_broken_and_never_retried_once_relayed() {
+    let case = |name, kind, first, status, body, is_complete, arrivals, outcome| LongCase {
         name,
         kind,
         first,
         status,
         body,
-        is_whole,
+        is_complete,
         arrivals,
         outcome,
     };
@@ -62,8 +62,8 @@
         case("cut before, once", NonIdempotent, Step::Broken(vec!["o"]), 502, "", true, 1, ""),
         case("cut after", Idempotent, Step::Broken(vec![LONG]), 200, LONG, false, 1, "broken"),
         case("cut, once", NonIdempotent, Step::Broken(vec![LONG]), 200, LONG, false, 1, "broken"),
-        case("silent after", Idempotent, Step::Stalled(vec![LONG]), 200, LONG, false, 1, "broken"),
-        case("no proof", NonIdempotent, Step::Unsealed(200), 502, "", true, 1, ""),
+        case("stalled after", Idempotent, Step::Stalled(vec![LONG]), 200, LONG, false, 1, "broken"),
+        case("unverified", NonIdempotent, Step::Unsealed(200), 502, "", true, 1, ""),
         case("a failure", Idempotent, Step::Answer(500, LONG), 200, "ok", true, 2, "answered"),
         case("a failure, once", NonIdempotent, Step::Answer(500, LONG), 500, LONG, true, 1, ""),
     ];
@@ -73,14 +73,14 @@
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
         let budget = budget();
-        let answer = handle_request(context.clone(), held_request(&budget, case.kind, 2)).await;
+        let answer = handle_request(context.clone(), budgeted_request(&budget, case.kind, 2)).await;
         assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
-        let (body, is_whole) = read_parts(answer.into_body()).await;
+        let (body, is_complete) = read_chunks(answer.into_body()).await;
         let expected = if case.name == "long" { format!("{LONG}b") } else { case.body.to_owned() };
         if case.status < 502 {
             assert_eq!(body, expected, "{}", case.name);
         }
-        assert_eq!(is_whole, case.is_whole, "{}", case.name);
+        assert_eq!(is_complete, case.is_complete, "{}", case.name);
         tokio::time::sleep(Duration::from_secs(5)).await;
         assert_eq!(site.record.lock().unwrap().arrivals.len(), case.arrivals, "{}", case.name);
         assert_eq!(budget.read().held, 0, "{}", case.name);
@@ -90,7 +90,7 @@
     }
 }
 
-async fn read_parts(mut body: dillspool_io::ResponseBody) -> (String, bool) {
+async fn read_chunks(mut body: dillspool_io::ResponseBody) -> (String, bool) {
     let mut text = String::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return (text, false) };
@@ -99,7 +99,7 @@
     (text, true)
 }
 
-/// Requests that ended so, from the metrics.
+/// Number of requests with this outcome, from the metrics.
 fn outcomes(context: &ForwardContext, outcome: &str) -> u64 {
     let mut registry = prometheus_client::registry::Registry::default();
     context.metrics.register(&mut registry);
@@ -109,30 +109,30 @@
     found.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0)
 }
 
-struct EndCase {
+struct RelayCase {
     name: &'static str,
-    /// Time after which the caller reads the second part, in ms; 0 if it leaves.
+    /// When the caller reads the second chunk, in milliseconds; 0 if it disconnects.
     reads_after_ms: u64,
     restarts: bool,
-    /// Whether the answer ends whole.
-    is_whole: bool,
+    /// Whether the response is complete.
+    is_complete: bool,
 }
 
-/// The load at a backend server, its time limit and its restart count until its last byte was read.
+/// The deadline and a restart of the backend server apply until the last byte is read.
 #[tokio::test(start_paused = true)]
-async fn passing_on_ends_with_the_time_limit_a_restart_or_its_caller() {
-    let case = |name, reads_after_ms, restarts, is_whole| EndCase {
+async fn relaying_ends_at_the_deadline_a_restart_or_a_disconnect() {
+    let case = |name, reads_after_ms, restarts, is_complete| RelayCase {
         name,
         reads_after_ms,
         restarts,
-        is_whole,
+        is_complete,
     };
     let cases = [
         case("read at once", 1, false, true),
-        case("read within the time limit", 2900, false, true),
-        case("read after the time limit", 3100, false, false),
-        case("started again", 1000, true, false),
-        case("left", 0, false, false),
+        case("read before the deadline", 2900, false, true),
+        case("read after the deadline", 3100, false, false),
+        case("restarted", 1000, true, false),
+        case("disconnected", 0, false, false),
     ];
     for case in cases {
         let site = ScriptedSite::default();
@@ -141,9 +141,10 @@
         backend.start = Some(BackendStart(1));
         let (context, directory) = site.context(view([backend.clone()]));
         let budget = budget();
-        let answer = handle_request(context.clone(), held_request(&budget, NonIdempotent, 1)).await;
+        let answer =
+            handle_request(context.clone(), budgeted_request(&budget, NonIdempotent, 1)).await;
         let mut body = answer.into_body();
-        let first = body.frame().await.expect("a part").expect("no break");
+        let first = body.frame().await.expect("a chunk").expect("no break");
         assert_eq!(first.into_data().expect("data"), Bytes::from(LONG), "{}", case.name);
         if case.restarts {
             let again = BackendEntry { start: Some(BackendStart(2)), ..backend };
@@ -153,47 +154,47 @@
             drop(body);
             tokio::time::sleep(Duration::from_millis(1)).await;
             assert_eq!(outcomes(&context, "caller_gone"), 1, "{}", case.name);
-            assert_eq!(budget.read().held, 0, "{}: freed at once", case.name);
+            assert_eq!(budget.read().held, 0, "{}: released at once", case.name);
             continue;
         }
         tokio::time::sleep(Duration::from_millis(case.reads_after_ms)).await;
-        let (_text, is_whole) = read_parts(body).await;
-        assert_eq!(is_whole, case.is_whole, "{}", case.name);
+        let (_text, is_complete) = read_chunks(body).await;
+        assert_eq!(is_complete, case.is_complete, "{}", case.name);
         assert_eq!(budget.read().held, 0, "{}", case.name);
     }
 }
 
-/// Without backpressure a long answer lies in memory until its caller has read it.
+/// Without backpressure a long response stays in memory until its caller has read it.
 #[tokio::test(start_paused = true)]
-async fn what_its_caller_does_not_read_is_not_read_from_the_backend_server() {
-    for (is_bounded, most_taken) in [(true, 4), (false, 60)] {
+async fn relaying_applies_backpressure_to_the_backend_server() {
+    for (is_bounded, max_taken) in [(true, 4), (false, 60)] {
         let site = ScriptedSite::default();
         let (mut context, _directory) = site.context(view([entry("first", "near", None)]));
         let taken = Arc::new(AtomicUsize::new(0));
         let counted = Arc::clone(&taken);
         context.calls.forward = Arc::new(move |_entry, _request, _terms| {
             let body = counted_body(Arc::clone(&counted));
-            Box::pin(async move { Ok(BackendResponse { body, ..common::genuine(200) }) })
+            Box::pin(async move { Ok(BackendResponse { body, ..common::verified_response(200) }) })
         });
         let budget = budget();
-        let routed = held_request(&budget, NonIdempotent, 1);
+        let routed = budgeted_request(&budget, NonIdempotent, 1);
         let unbounded = request(NonIdempotent, 1, false);
         let answer = handle_request(context, if is_bounded { routed } else { unbounded }).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         let before = taken.load(Ordering::Relaxed);
-        assert!(before <= most_taken, "{before} parts taken");
+        assert!(before <= max_taken, "{before} chunks taken");
         let held = budget.read().most_held;
         assert!(held <= 2 * LONG.len() as u64, "{held}");
-        let (text, is_whole) = read_parts(answer.into_body()).await;
-        assert!(is_whole && text.len() == 60 * LONG.len());
+        let (text, is_complete) = read_chunks(answer.into_body()).await;
+        assert!(is_complete && text.len() == 60 * LONG.len());
     }
 }
 
-/// Sixty parts, each counted when it is asked for.
+/// A body of sixty chunks, each counted when it is taken.
 fn counted_body(taken: Arc<AtomicUsize>) -> dillspool_io::ResponseBody {
     let (sender, receiver) = tokio::sync::mpsc::channel(1);
     tokio::spawn(async move {
-        for _part in 0..60 {
+        for _chunk in 0..60 {
             let Ok(permit) = sender.reserve().await else { return };
             taken.fetch_add(1, Ordering::Relaxed);
             permit.send(Ok(Bytes::from(LONG)));
@@ -202,9 +203,9 @@
     dillspool_io::channel_body(receiver)
 }
 
-/// A backend server whose answers are passed on slowly is still busy; others must get the next requests.
+/// A backend server whose responses are relayed slowly is still busy, so other ones must receive the next requests.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_is_passed_on_counts_as_load() {
+async fn a_response_that_is_relayed_counts_as_load() {
     let site = ScriptedSite::default();
     for id in ["first", "second"] {
         site.script(id, [Step::Stream(vec![LONG; 60])]);
@@ -214,7 +215,7 @@
     let budget = budget();
     let mut unread = Vec::new();
     for _request in 0..16 {
-        let routed = held_request(&budget, NonIdempotent, 1);
+        let routed = budgeted_request(&budget, NonIdempotent, 1);
         unread.push(handle_request(context.clone(), routed).await);
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -222,10 +223,9 @@
     assert_eq!(record.arrivals.iter().filter(|it| it.backend == "first").count(), 8);
 }
 
-/// Where bytes are not limited, answers are read whole as before: a break is noticed before any part
-/// is passed on.
+/// Without a byte budget responses are buffered completely, so a break is noticed before any chunk is relayed.
 #[tokio::test(start_paused = true)]
-async fn without_a_budget_long_answers_are_read_whole() {
+async fn without_a_budget_long_responses_are_buffered() {
     let long = "0123456789".repeat(20_000).leak();
     for (first, status, arrivals) in [
         (Step::Answer(200, long), 200, 1),
@@ -244,15 +244,15 @@
     }
 }
 
-/// An HTTP/1.0 caller would take an answer of unknown length that ends early for whole.
+/// An HTTP/1.0 caller cannot tell a truncated response of unknown length from a complete one.
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_sees_no_early_end_gets_the_answer_whole_or_not_at_all() {
+async fn a_caller_without_chunked_encoding_gets_a_complete_response_or_none() {
     let site = ScriptedSite::default();
     site.script("first", [Step::Broken(vec![LONG])]);
     let (context, _directory) = site.context(view([entry("first", "near", None)]));
     let budget = budget();
     let routed =
-        RoutedRequest { accepts_chunked: false, ..held_request(&budget, NonIdempotent, 1) };
+        RoutedRequest { accepts_chunked: false, ..budgeted_request(&budget, NonIdempotent, 1) };
     let answer = handle_request(context, routed).await;
     assert_eq!(answer.status().as_u16(), 502);
 }
--- a/crates/dillspool_forward/tests/paused_streams.rs
+++ b/crates/dillspool_forward/tests/paused_streams.rs
@@ -1,4 +1,4 @@
-//! A stream that its caller pauses by reading nothing, where bytes held are limited.
+//! Streams that the caller pauses by not reading, with a byte budget.
 
 mod common;
 
@@ -14,10 +14,10 @@
 const TERMS: HeldTerms =
     HeldTerms { limit: 10_000, answer_bytes: 20, stall: Duration::from_secs(8) };
 
-/// The silence that a caller's pause causes was taken for the engine's: the stream went on elsewhere once
-/// its caller read again, which cost another prefill and a repeated send.
+/// The gap that a caller's pause causes was taken for a stalled engine: when the caller read again, the stream was
+/// resumed at another engine, which cost another prefill and a retry.
 #[tokio::test(start_paused = true)]
-async fn a_pause_of_the_caller_is_no_silence_of_the_engine() {
+async fn a_pause_of_the_caller_does_not_count_as_a_stalled_engine() {
     let site = ScriptedSite::default();
     let events = vec![(0, "id: 1\ndata: a\n\n"), (5_200, "id: 2\ndata: b\n\n")];
     site.script("first", [Step::Paced(events)]);
@@ -36,9 +36,9 @@
     assert_eq!(budget.read().held, 0);
 }
 
-/// A part of an event that has come is in memory until the rest has.
+/// A partial event stays in memory until the rest arrives.
 #[tokio::test(start_paused = true)]
-async fn a_part_of_an_event_is_charged() {
+async fn a_partial_event_is_charged() {
     let site = ScriptedSite::default();
     let events = vec![(0, "id: 1\ndata: a\n\nid: 2"), (500, "\ndata: b\n\n"), (500, "id: 3")];
     site.script("first", [Step::Paced(events)]);
--- a/crates/dillspool_forward/tests/prefills.rs
+++ b/crates/dillspool_forward/tests/prefills.rs
@@ -1,4 +1,4 @@
-//! What becomes of a prompt whose prefill engine fails.
+//! How prefills are retried or skipped when prefill engines fail or leave.
 
 mod common;
 
@@ -17,17 +17,17 @@
     name: &'static str,
     /// How the nearer prefill engine fails.
     failure: CallError,
-    /// Whether the other one fails likewise.
+    /// Whether the other engine fails in the same way.
     both_fail: bool,
     /// Repeated sends that the budget allows.
     budget: f64,
-    /// Engines that two requests in a row ask for a prefill.
+    /// Engines that receive prefills for two requests in a row.
     asked: Vec<&'static str>,
-    /// Whether the first and the second request have a prefill's result.
+    /// Whether the first and the second request are sent with a prefill's result.
     prefilled: [bool; 2],
 }
 
-fn unreachable_engine() -> CallError {
+fn connection_refused() -> CallError {
     CallError::NotSent { reason: "connection refused".to_owned() }
 }
 
@@ -37,23 +37,23 @@
     let lost = || CallError::Lost { reason: "reset".to_owned() };
     let cases = [
         FailureCase {
-            name: "nobody listens: the next one, without a repeat; then it is left out",
-            failure: unreachable_engine(),
+            name: "connection refused: the next engine, without a retry; then the first is excluded",
+            failure: connection_refused(),
             both_fail: false,
             budget: 0.0,
             asked: vec!["prefill-1", "prefill-2", "prefill-2"],
             prefilled: [true, true],
         },
         FailureCase {
-            name: "nobody listens anywhere: the decode engine reads the prompt",
-            failure: unreachable_engine(),
+            name: "connection refused everywhere: the decode engine prefills the prompt",
+            failure: connection_refused(),
             both_fail: true,
             budget: 100.0,
             asked: vec!["prefill-1", "prefill-2"],
             prefilled: [false, false],
         },
         FailureCase {
-            name: "refused: the next one within the budget",
+            name: "refused: the next engine within the budget",
             failure: refused(),
             both_fail: false,
             budget: 100.0,
@@ -61,7 +61,7 @@
             prefilled: [true, true],
         },
         FailureCase {
-            name: "refused and no budget: decode engines read prompts while refusals are recent",
+            name: "refused and no budget: the decode engine prefills while refusals are recent",
             failure: refused(),
             both_fail: false,
             budget: 0.0,
@@ -69,7 +69,7 @@
             prefilled: [false, false],
         },
         FailureCase {
-            name: "broken off: the next one within the budget",
+            name: "connection lost: the next engine within the budget",
             failure: lost(),
             both_fail: false,
             budget: 100.0,
@@ -116,27 +116,27 @@
     assert_eq!(prefilled, case.prefilled, "{}", case.name);
 }
 
-struct SpendCase {
+struct BudgetCase {
     name: &'static str,
-    /// Requests at a time, a second apart.
-    at_once: usize,
+    /// Concurrent requests in each batch; batches are a second apart.
+    concurrent: usize,
     /// Repeated sends that the budget allows.
     budget: f64,
-    /// Refused prefills at most.
-    most: usize,
+    /// Upper limit of refused prefills.
+    max_refused: usize,
 }
 
 #[tokio::test(start_paused = true)]
 async fn refusals_stop_before_the_budget_is_spent() {
     let cases = [
-        SpendCase { name: "one at a time", at_once: 1, budget: 8.0, most: 8 },
-        SpendCase {
-            name: "many at a time, as many as its slots",
-            at_once: 20,
+        BudgetCase { name: "one at a time", concurrent: 1, budget: 8.0, max_refused: 8 },
+        BudgetCase {
+            name: "many at a time, as many as the engine has slots",
+            concurrent: 20,
             budget: 8.0,
-            most: 8,
+            max_refused: 8,
         },
-        SpendCase { name: "a large budget", at_once: 10, budget: 40.0, most: 40 },
+        BudgetCase { name: "a large budget", concurrent: 10, budget: 40.0, max_refused: 40 },
     ];
     for case in cases {
         let site = ScriptedSite::default();
@@ -152,9 +152,9 @@
         context.budgets = RetryBudgets::new(terms, HostClock::steady());
         context.budgets.set_host_count(1);
         for _second in 0..9 {
-            let all = (0..case.at_once).map(|_request| {
+            let all = (0..case.concurrent).map(|_request| {
                 let mut routed = request(RequestKind::Streaming, 1, false);
-                // The decode engine reads prompts one after another: all can be in time.
+                // The decode engine prefills prompts one after another; the objective leaves time for all.
                 let mut route = (*routed.route).clone();
                 route.objective = Duration::from_secs(5);
                 routed.route = route.into();
@@ -166,19 +166,19 @@
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
         let refused = site.record.lock().unwrap().prefills.len();
-        assert!((1..=case.most).contains(&refused), "{}: {refused}", case.name);
+        assert!((1..=case.max_refused).contains(&refused), "{}: {refused}", case.name);
     }
 }
 
 struct LeavingCase {
     name: &'static str,
-    /// Engines that this host knows to leave, or to be gone, while its scheduler does not.
+    /// Engines that this host knows to be leaving or gone, while its scheduler does not.
     leaving: Vec<&'static str>,
     gone: Vec<&'static str>,
 }
 
-/// The engines as this host knows them.
-fn as_known(view: &DirectoryView, case: &LeavingCase) -> DirectoryView {
+/// The directory as this host knows it.
+fn host_view(view: &DirectoryView, case: &LeavingCase) -> DirectoryView {
     let entries = view.entries.values().filter(|entry| !case.gone.contains(&&*entry.id));
     let entries = entries.map(|entry| {
         let leaves = case.leaving.contains(&&*entry.id);
@@ -194,13 +194,12 @@
     line.and_then(|value| value.parse().ok()).expect("the counter is on the page")
 }
 
-/// A host that schedules a pool was cut off from the store, and took the tables from another host that was
-/// cut off, too, so it went on placing prompts at an engine that had said it leaves. The hosts that sent
-/// them knew better and did not look: one read `backend_seen … state=Draining` at 5.412 s, the scheduler
-/// at 8.174 s, and a prompt that the scheduler had placed arrived there at 8.008 s, 2,700 ms after the
-/// engine's word.
+/// A scheduling host was partitioned from the store and copied its tables from another partitioned host, so it
+/// placed prompts at an engine that had announced that it was leaving. The hosts that forwarded the prompts had
+/// newer data but did not check it: one saw `state=Draining` at 5.412 s, the scheduler at 8.174 s, and a prompt
+/// reached the engine at 8.008 s, 2,700 ms after its announcement.
 #[tokio::test(start_paused = true)]
-async fn what_the_scheduler_does_not_know_to_leave_is_not_asked() {
+async fn engines_that_this_host_knows_to_be_leaving_are_not_used() {
     let case = |name, leaving, gone| LeavingCase { name, leaving, gone };
     let cases = [
         case("a prefill engine", vec!["prefill-1"], vec![]),
@@ -220,7 +219,7 @@
             entry("prefill-1", "near", Some(EngineStage::Prefill)),
             entry("prefill-2", "far", Some(EngineStage::Prefill)),
         ]);
-        let known = as_known(&engines, &case);
+        let known = host_view(&engines, &case);
         let (mut context, _directory) = site.context(engines);
         let (_sender, directory) = watch::channel(Arc::new(known));
         context.directory = directory;
@@ -229,10 +228,10 @@
         let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
         assert_eq!(answer.status().as_u16(), 200, "{}", case.name);
         let record = site.record.lock().unwrap();
-        let holds = record.holds.iter().map(|(backend, _tokens)| backend.as_str());
+        let reservations = record.reservations.iter().map(|(backend, _tokens)| backend.as_str());
         let sends = record.arrivals.iter().map(|arrival| arrival.backend.as_str());
         let prefills = record.prefills.iter().map(String::as_str);
-        for asked in holds.chain(sends).chain(prefills) {
+        for asked in reservations.chain(sends).chain(prefills) {
             let known = case.leaving.contains(&asked) || case.gone.contains(&asked);
             assert!(!known, "{}: {asked} was asked", case.name);
         }
--- a/crates/dillspool_forward/tests/ranks.rs
+++ b/crates/dillspool_forward/tests/priorities.rs
@@ -1,4 +1,4 @@
-//! Prompts whose answers are late anyway yield to those that can be in time.
+//! Prompts of responses that miss their objective anyway get a lower priority.
 
 mod common;
 
@@ -10,53 +10,53 @@
 use dillspool_io::read_response_body;
 use dillspool_routing::RequestKind;
 
-struct RankCase {
+struct PriorityCase {
     name: &'static str,
     spent_before_ms: u64,
     resume_after: Option<u64>,
     /// What the first decode engine does; the second one sends all events.
     first: Step,
-    ranks: &'static [WorkPriority],
+    priorities: &'static [WorkPriority],
 }
 
 #[test]
-fn a_prefill_names_its_rank() {
-    let whole = || Step::Stream(vec![ONE, TWO, THREE]);
+fn a_prefill_request_carries_its_priority() {
+    let complete = || Step::Stream(vec![ONE, TWO, THREE]);
     let cases = [
-        RankCase {
+        PriorityCase {
             name: "a first attempt",
             spent_before_ms: 0,
             resume_after: None,
-            first: whole(),
-            ranks: &[WorkPriority::Normal],
+            first: complete(),
+            priorities: &[WorkPriority::Normal],
         },
-        RankCase {
-            name: "a caller that came back within the objective",
+        PriorityCase {
+            name: "a retry within the objective",
             spent_before_ms: 250,
             resume_after: None,
-            first: whole(),
-            ranks: &[WorkPriority::Normal],
+            first: complete(),
+            priorities: &[WorkPriority::Normal],
         },
-        RankCase {
-            name: "a caller that came back behind the objective",
+        PriorityCase {
+            name: "a retry after the objective has passed",
             spent_before_ms: 4_000,
             resume_after: None,
-            first: whole(),
-            ranks: &[WorkPriority::Late],
+            first: complete(),
+            priorities: &[WorkPriority::Late],
         },
-        RankCase {
-            name: "a caller that goes on with a broken answer",
+        PriorityCase {
+            name: "a caller that resumes a broken stream",
             spent_before_ms: 0,
             resume_after: Some(1),
             first: Step::Stream(vec![TWO, THREE]),
-            ranks: &[WorkPriority::Late],
+            priorities: &[WorkPriority::Late],
         },
-        RankCase {
-            name: "an answer that breaks off under way",
+        PriorityCase {
+            name: "a stream that breaks off",
             spent_before_ms: 0,
             resume_after: None,
             first: Step::Broken(vec![ONE]),
-            ranks: &[WorkPriority::Normal, WorkPriority::Normal],
+            priorities: &[WorkPriority::Normal, WorkPriority::Normal],
         },
     ];
     for case in cases {
@@ -69,8 +69,8 @@
             routed.spent_before = Duration::from_millis(case.spent_before_ms);
             routed.resume_after = case.resume_after;
             let answer = handle_request(context, routed).await;
-            read_response_body(answer.into_body(), 10_000).await.expect("a whole stream");
-            assert_eq!(site.record.lock().unwrap().ranks, case.ranks, "{}", case.name);
+            read_response_body(answer.into_body(), 10_000).await.expect("a complete stream");
+            assert_eq!(site.record.lock().unwrap().priorities, case.priorities, "{}", case.name);
         });
     }
 }
--- a/crates/dillspool_forward/tests/refusing.rs
+++ b/crates/dillspool_forward/tests/refused_reservations.rs
@@ -1,4 +1,4 @@
-//! An engine that reserves memory and then refuses the request is left alone for a while.
+//! An engine that reserves memory and then refuses the request is excluded for a while.
 
 mod common;
 
@@ -8,18 +8,18 @@
 use dillspool_forward::{ForwardContext, handle_request};
 use dillspool_routing::RequestKind;
 
-struct RefusingCase {
+struct RefusalCase {
     name: &'static str,
-    /// What the engines do.
+    /// Behavior of the engines.
     first: Step,
     second: Step,
-    /// Requests one after another, a hundred milliseconds apart.
+    /// Number of sequential requests, 100 ms apart.
     requests: usize,
-    /// How many of them reach the first and the second engine.
+    /// How many of them the first and the second engine receive.
     arrivals: [usize; 2],
 }
 
-async fn ask(context: &ForwardContext) {
+async fn send(context: &ForwardContext) {
     let mut routed = request(RequestKind::Streaming, 2, false);
     routed.route = {
         let mut route = (*routed.route).clone();
@@ -31,25 +31,25 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_gets_requests_again_after_some_seconds() {
-    let whole = || Step::Stream(vec![ONE]);
+async fn a_refusing_engine_is_excluded_for_some_seconds() {
+    let complete = || Step::Stream(vec![ONE]);
     let cases = [
-        RefusingCase {
-            name: "one refuses: the second time, since the prefill's result may have been gone before",
+        RefusalCase {
+            name: "one refuses: excluded after the second refusal, since the first may be due to an expired prefill result",
             first: Step::NotRun(503),
-            second: whole(),
+            second: complete(),
             requests: 15,
             arrivals: [2, 15],
         },
-        RefusingCase {
-            name: "it refuses again after two seconds, and is left alone for longer",
+        RefusalCase {
+            name: "it refuses again after two seconds, and is excluded for longer",
             first: Step::NotRun(503),
-            second: whole(),
+            second: complete(),
             requests: 40,
             arrivals: [3, 40],
         },
-        RefusingCase {
-            name: "all refuse: that is not theirs, and they are asked as ever",
+        RefusalCase {
+            name: "all refuse: the engines are not at fault, so none is excluded",
             first: Step::NotRun(503),
             second: Step::NotRun(503),
             requests: 10,
@@ -62,7 +62,7 @@
         site.script("decode-2", [case.second]);
         let (context, _directory) = site.context(pool());
         for _request in 0..case.requests {
-            ask(&context).await;
+            send(&context).await;
         }
         let record = site.record.lock().unwrap();
         let count = |id| record.arrivals.iter().filter(|arrival| arrival.backend == id).count();
@@ -70,19 +70,19 @@
     }
 }
 
-/// Two rows claim one address: the backend server that is not there is left alone like one that cannot be
-/// reached or has no memory, and not asked again with each request.
+/// Two directory rows have the same address. The backend server that is not there is excluded like one that is
+/// unreachable or has no memory; without that each request asked it again.
 #[tokio::test(start_paused = true)]
-async fn an_engine_whose_address_is_anothers_is_left_alone() {
+async fn an_engine_whose_address_belongs_to_another_is_excluded() {
     let site = ScriptedSite::default();
     site.script("decode-2", [Step::Stream(vec![ONE])]);
     site.moved.lock().unwrap().push("decode-1".to_owned());
     let (context, _directory) = site.context(pool());
     for _request in 0..20 {
-        ask(&context).await;
+        send(&context).await;
     }
     let record = site.record.lock().unwrap();
-    let asked = record.hold_asks.iter().filter(|asked| *asked == "decode-1").count();
+    let asked = record.reservation_requests.iter().filter(|asked| *asked == "decode-1").count();
     assert_eq!(record.arrivals.len(), 20);
     assert!((1..=4).contains(&asked), "asked {asked} times in two seconds");
 }
--- a/crates/dillspool_forward/tests/restarts.rs
+++ b/crates/dillspool_forward/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! A backend server starts again under the id that it had, while something of this host is under way there.
+//! A backend server restarts under the same id while it processes requests of this host.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 const BEFORE: Option<BackendStart> = Some(BackendStart(9));
-/// The clock of a backend server may have gone back meanwhile.
+/// Lower than before, since the clock of a backend server may have been set back.
 const AFTER: Option<BackendStart> = Some(BackendStart(7));
 
 /// Two plain backend servers or, in a pool, two decode engines and two prefill engines.
@@ -30,10 +30,11 @@
     entries.map(|entry| BackendEntry { start: BEFORE, ..entry }).collect()
 }
 
-/// The same with some that have started again.
-fn restarted(entries: &[BackendEntry], again: &[&str]) -> DirectoryView {
-    let start =
-        |entry: &BackendEntry| if again.contains(&&*entry.id) { AFTER } else { entry.start };
+/// The same entries, of which some have restarted.
+fn restarted(entries: &[BackendEntry], restarted_ids: &[&str]) -> DirectoryView {
+    let start = |entry: &BackendEntry| {
+        if restarted_ids.contains(&&*entry.id) { AFTER } else { entry.start }
+    };
     view(entries.iter().map(|entry| BackendEntry { start: start(entry), ..entry.clone() }))
 }
 
@@ -42,19 +43,19 @@
     kind: RequestKind,
     attempts: u32,
     resumable: bool,
-    /// What both that answer do with what they get first; the second time they answer.
+    /// What the backend servers do with the first request they receive; they respond to the second one.
     step: Step,
-    /// Time that a prefill takes, in ms.
+    /// Duration of a prefill, in milliseconds.
     prefill_ms: u64,
-    /// Who starts again, and when, in ms after the request.
-    again: &'static [&'static str],
+    /// Which backend servers restart, and when, in milliseconds after the request.
+    restarted_ids: &'static [&'static str],
     at_ms: u64,
-    /// Status of the answer, and its body; none if it breaks.
+    /// Status and body of the response; no body if it breaks off.
     status: u16,
     body: Option<&'static str>,
-    /// By when the answer is there, in ms.
+    /// Latest time of the response, in milliseconds.
     within_ms: u64,
-    /// Sends that reached a backend server.
+    /// Number of requests that backend servers received.
     sends: usize,
 }
 
@@ -66,21 +67,21 @@
         resumable: false,
         step: Step::Silent,
         prefill_ms: 0,
-        again: &["one", "two"],
+        restarted_ids: &["one", "two"],
         at_ms: 100,
         status: 502,
         body: None,
         within_ms: 400,
         sends: 1,
     };
-    let stream = |name, again| RestartCase {
+    let stream = |name, restarted_ids| RestartCase {
         name,
         kind: RequestKind::Streaming,
         attempts: 2,
         resumable: true,
         step: Step::Stream(vec![ONE, TWO]),
         prefill_ms: 200,
-        again,
+        restarted_ids,
         at_ms: 100,
         status: 200,
         body: Some("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"),
@@ -88,18 +89,18 @@
         sends: 1,
     };
     vec![
-        plain("a call that may have run is not repeated", RequestKind::NonIdempotent, 2),
+        plain("a call that may have run is not retried", RequestKind::NonIdempotent, 2),
         RestartCase {
             status: 200,
             body: Some("ok"),
             sends: 2,
-            ..plain("a repeatable call goes on at once", RequestKind::Idempotent, 2)
+            ..plain("an idempotent call is retried at once", RequestKind::Idempotent, 2)
         },
         RestartCase {
             step: Step::Stalled(vec![ONE]),
             prefill_ms: 0,
             sends: 2,
-            ..stream("a stream goes on at once", &["one", "two"])
+            ..stream("a stream is resumed at once", &["one", "two"])
         },
         RestartCase {
             step: Step::Stalled(vec![ONE]),
@@ -107,25 +108,25 @@
             resumable: false,
             body: None,
             within_ms: 500,
-            ..stream("a stream that may not go on ends at once", &["one", "two"])
+            ..stream("a stream that may not be resumed ends at once", &["one", "two"])
         },
         RestartCase {
             step: Step::Paced(vec![(0, ONE), (200, TWO)]),
             prefill_ms: 0,
             within_ms: 300,
             ..stream(
-                "an engine that lives on beside its successor ends its stream",
+                "an engine that still runs beside its successor ends its stream",
                 &["one", "two"],
             )
         },
-        stream("a reservation is gone before its prompt is read", &["one", "two"]),
-        stream("a prompt is read by an engine that is gone", &["reader-1", "reader-2"]),
+        stream("a reservation is lost during the prefill", &["one", "two"]),
+        stream("the prefill engine restarts during the prefill", &["reader-1", "reader-2"]),
         stream("both", &["one", "two", "reader-1", "reader-2"]),
     ]
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_was_under_way_is_not_waited_for() {
+async fn responses_of_a_restarted_backend_server_are_not_awaited() {
     for case in cases() {
         let site = ScriptedSite::default();
         let is_pool = case.kind == RequestKind::Streaming;
@@ -142,7 +143,7 @@
         *site.prefill_takes.lock().unwrap() = Duration::from_millis(case.prefill_ms);
         let entries = started(is_pool);
         let (context, directory) = site.context(restarted(&entries, &[]));
-        let later = restarted(&entries, case.again);
+        let later = restarted(&entries, case.restarted_ids);
         let started = Instant::now();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(case.at_ms)).await;
@@ -162,25 +163,32 @@
         assert!(took <= Duration::from_millis(case.within_ms), "{}: {took:?}", case.name);
         let record = site.record.lock().unwrap();
         assert_eq!(record.arrivals.len(), case.sends, "{}: {:?}", case.name, record.arrivals);
-        // What a start before the last held is neither used nor given back.
+        // What the previous instance held is neither used nor released.
         for arrival in &record.arrivals {
             let sent_later = arrival.at - started >= Duration::from_millis(case.at_ms);
-            let reader =
+            let prefiller =
                 arrival.terms.prefilled.as_ref().map(|it| (&*it.engine.id, it.engine.start));
-            if let Some((id, start)) = reader
+            if let Some((id, start)) = prefiller
                 && sent_later
-                && case.again.contains(&id)
+                && case.restarted_ids.contains(&id)
             {
-                assert_eq!(start, AFTER, "{}: a prompt read by {id} before", case.name);
+                assert_eq!(
+                    start, AFTER,
+                    "{}: a prefill of the previous instance of {id}",
+                    case.name
+                );
             }
         }
     }
 }
 
-/// A caller leaves while its prompt is read, after its decode engine has started again or not.
+/// A caller disconnects during the prefill. Its reservation must not be released at a decode engine that has
+/// restarted, since the new instance does not hold it.
 #[tokio::test(start_paused = true)]
-async fn what_a_start_held_is_not_given_back_to_the_next() {
-    for (again, given_back) in [(&["one", "two"][..], 0), (&["reader-1"][..], 1), (&[][..], 1)] {
+async fn a_reservation_is_not_released_at_a_restarted_engine() {
+    for (restarted_ids, released) in
+        [(&["one", "two"][..], 0), (&["reader-1"][..], 1), (&[][..], 1)]
+    {
         let site = ScriptedSite::default();
         *site.prefill_takes.lock().unwrap() = Duration::from_millis(600);
         let entries = started(true);
@@ -191,13 +199,17 @@
             Box::pin(async {
                 let change = async {
                     tokio::time::sleep(Duration::from_millis(100)).await;
-                    directory.send_replace(Arc::new(restarted(&entries, again)));
+                    directory.send_replace(Arc::new(restarted(&entries, restarted_ids)));
                 };
                 tokio::join!(asking, change)
             }),
         );
-        assert!(left.await.is_err(), "{again:?}");
+        assert!(left.await.is_err(), "{restarted_ids:?}");
         tokio::time::sleep(Duration::from_secs(1)).await;
-        assert_eq!(site.record.lock().unwrap().released_holds.len(), given_back, "{again:?}");
+        assert_eq!(
+            site.record.lock().unwrap().released_reservations.len(),
+            released,
+            "{restarted_ids:?}"
+        );
     }
 }
--- a/crates/dillspool_forward/tests/rests.rs
+++ b/crates/dillspool_forward/tests/rests.rs
@@ -32,7 +32,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let (held, reader) = {
         let record = site.record.lock().unwrap();
-        (record.holds[0].0.clone(), record.prefills[0].clone())
+        (record.reservations[0].0.clone(), record.prefills[0].clone())
     };
     for engine in [&held, &reader] {
         ask_rest(&context, engine, REST);
@@ -42,9 +42,9 @@
     context.tasks.wait().await;
     let record = site.record.lock().unwrap();
     assert!(record.arrivals.iter().all(|arrival| arrival.backend != held), "sent to {held}");
-    assert!(!record.released_holds.contains(&held), "released at {held}");
+    assert!(!record.released_reservations.contains(&held), "released at {held}");
     assert!(record.released_prefills.is_empty(), "released at {reader}");
-    assert_eq!(record.holds.iter().filter(|(engine, _tokens)| *engine == held).count(), 1);
+    assert_eq!(record.reservations.iter().filter(|(engine, _tokens)| *engine == held).count(), 1);
 }
 
 struct RefusalCase {
--- a/crates/dillspool_forward/tests/stalls.rs
+++ b/crates/dillspool_forward/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! Streams whose engine falls silent or breaks: what the caller still gets, and from whom.
+//! Streams whose engine stalls or breaks off: what the caller receives, and from which engine.
 
 mod common;
 
@@ -16,79 +16,79 @@
     second: Step,
     /// How long a prefill takes, in milliseconds.
     prefill_ms: u64,
-    /// When the second engine gets room, in milliseconds after the request.
-    room_after_ms: u64,
-    /// Whether the whole stream reaches the caller.
-    whole: bool,
-    /// Requests that reached engines.
+    /// When the second engine gets free memory, in milliseconds after the request.
+    memory_after_ms: u64,
+    /// Whether the caller receives the complete stream.
+    is_complete: bool,
+    /// Number of requests that engines received.
     arrivals: usize,
-    /// Reservations that were given back without use.
-    given_back: usize,
+    /// Number of unused reservations that were released.
+    released: usize,
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_engine_is_left_only_for_one_that_can_go_on() {
+async fn a_stalled_engine_is_replaced_only_by_one_that_can_resume() {
     let late_end = vec![(0, ONE), (2_000, TWO), (0, THREE)];
     let cases = [
         StallCase {
-            name: "silent, and nobody else has memory: its events still come",
+            name: "stalled, and no other engine has memory: its late events are relayed",
             first: Step::Paced(late_end),
             second: Step::Stream(vec![TWO, THREE]),
             prefill_ms: 0,
-            room_after_ms: 60_000,
-            whole: true,
+            memory_after_ms: 60_000,
+            is_complete: true,
             arrivals: 1,
-            given_back: 0,
+            released: 0,
         },
         StallCase {
-            name: "silent for good: the stream goes on elsewhere",
+            name: "stalled for good: the stream resumes at another engine",
             first: Step::Stalled(vec![ONE]),
             second: Step::Stream(vec![TWO, THREE]),
             prefill_ms: 100,
-            room_after_ms: 0,
-            whole: true,
+            memory_after_ms: 0,
+            is_complete: true,
             arrivals: 2,
-            given_back: 0,
+            released: 0,
         },
         StallCase {
-            name: "it speaks again before another engine is prepared",
+            name: "it sends events again before another engine is prepared",
             first: Step::Paced(vec![(0, ONE), (1_500, TWO), (0, THREE)]),
             second: Step::Stream(vec![TWO, THREE]),
             prefill_ms: 500,
-            room_after_ms: 0,
-            whole: true,
+            memory_after_ms: 0,
+            is_complete: true,
             arrivals: 1,
-            given_back: 1,
+            released: 1,
         },
         StallCase {
-            name: "silent for good, and memory comes later",
+            name: "stalled for good, and memory becomes free later",
             first: Step::Stalled(vec![ONE]),
             second: Step::Stream(vec![TWO, THREE]),
             prefill_ms: 0,
-            room_after_ms: 3_000,
-            whole: true,
+            memory_after_ms: 3_000,
+            is_complete: true,
             arrivals: 2,
-            given_back: 0,
+            released: 0,
         },
         StallCase {
-            name: "broken, and memory comes before the caller gives up",
+            name: "broken, and memory becomes free before the caller gives up",
             first: Step::Broken(vec![ONE]),
             second: Step::Stream(vec![TWO, THREE]),
             prefill_ms: 0,
-            room_after_ms: 700,
-            whole: true,
+            memory_after_ms: 700,
+            is_complete: true,
             arrivals: 2,
-            given_back: 0,
+            released: 0,
         },
         StallCase {
-            name: "broken, and no memory comes",
+            name: "broken, and no memory becomes free",
             first: Step::Broken(vec![ONE]),
             second: Step::Stream(vec![TWO, THREE]),
             prefill_ms: 0,
-            room_after_ms: 60_000,
-            whole: false,
+            memory_after_ms: 60_000,
+            is_complete: false,
             arrivals: 1,
-            given_back: 0,
+            released: 0,
         },
     ];
     for case in cases {
@@ -101,30 +101,35 @@
     site.script("decode-1", [case.first]);
     site.script("decode-2", [case.second]);
     *site.prefill_takes.lock().unwrap() = Duration::from_millis(case.prefill_ms);
-    // The first engine alone has memory at the start.
+    // Only the first engine has memory at the start.
     site.full.lock().unwrap().push("decode-2".to_owned());
     let (context, _directory) = site.context(pool());
     let tasks = context.tasks.clone();
     let full = Arc::clone(&site.full);
-    let room = tokio::spawn(async move {
-        tokio::time::sleep(Duration::from_millis(case.room_after_ms)).await;
+    let freeing = tokio::spawn(async move {
+        tokio::time::sleep(Duration::from_millis(case.memory_after_ms)).await;
         full.lock().unwrap().clear();
     });
     let routed = request(RequestKind::Streaming, 2, true);
     let answer = handle_request(context, routed).await;
     let body = read_response_body(answer.into_body(), 10_000).await;
     let text = body.ok().map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
-    assert_eq!(text == Some(format!("{ONE}{TWO}{THREE}")), case.whole, "{}: {text:?}", case.name);
-    room.abort();
+    assert_eq!(
+        text == Some(format!("{ONE}{TWO}{THREE}")),
+        case.is_complete,
+        "{}: {text:?}",
+        case.name
+    );
+    freeing.abort();
     tasks.close();
     tasks.wait().await;
     let record = site.record.lock().unwrap();
     assert_eq!(record.arrivals.len(), case.arrivals, "{}", case.name);
-    assert_eq!(record.released_holds.len(), case.given_back, "{}", case.name);
+    assert_eq!(record.released_reservations.len(), case.released, "{}", case.name);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_failure_that_never_comes_whole_ends_at_the_time_limit() {
+async fn an_incomplete_failure_response_ends_at_the_deadline() {
     for kind in [RequestKind::Streaming, RequestKind::NonIdempotent] {
         let site = ScriptedSite::default();
         let stage = (kind == RequestKind::Streaming).then_some(EngineStage::Decode);
--- a/crates/dillspool_forward/tests/streams.rs
+++ b/crates/dillspool_forward/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Model requests: memory before the prefill, events once and in order, resumption.
+//! Model requests: memory is reserved before the prefill, events arrive once and in order, streams resume.
 
 mod common;
 
@@ -22,14 +22,14 @@
     resumable: bool,
     first: Step,
     second: Step,
-    /// The body, `None` when the answer must break off.
+    /// The body, or `None` if the response must break off.
     body: Option<String>,
     arrivals: usize,
 }
 
 #[tokio::test(start_paused = true)]
-async fn events_come_once_in_order_and_broken_answers_do_not_end() {
-    let whole = format!("{ONE}{TWO}{THREE}");
+async fn events_arrive_once_in_order_and_broken_streams_end_with_an_error() {
+    let complete = format!("{ONE}{TWO}{THREE}");
     let case = |name, resumable, first, second, body: Option<&str>, arrivals| StreamCase {
         name,
         resumable,
@@ -39,21 +39,28 @@
         arrivals,
     };
     let cases = [
-        case("whole", false, Step::Stream(vec![ONE, TWO, THREE]), Step::Lost, Some(&whole), 1),
         case(
-            "cut into odd parts",
+            "complete",
+            false,
+            Step::Stream(vec![ONE, TWO, THREE]),
+            Step::Lost,
+            Some(&complete),
+            1,
+        ),
+        case(
+            "split at odd places",
             false,
             Step::Stream(vec!["id: 1\nda", "ta: a\n\nid: 2\ndata: b\n", "\nid: 3\ndata: c\n\n"]),
             Step::Lost,
-            Some(&whole),
+            Some(&complete),
             1,
         ),
         case(
-            "broken, goes on behind the last whole event",
+            "broken, resumed after the last complete event",
             true,
             Step::Broken(vec![ONE, "id: 2\nda"]),
             Step::Stream(vec![TWO, THREE]),
-            Some(&whole),
+            Some(&complete),
             2,
         ),
         case("broken, not resumable", false, Step::Broken(vec![ONE]), Step::Lost, None, 1),
@@ -95,24 +102,24 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn memory_is_reserved_before_the_prefill_and_for_a_growing_answer() {
+async fn memory_is_reserved_before_the_prefill_and_for_a_growing_response() {
     let site = ScriptedSite::default();
     site.script("decode-1", [Step::Stream(vec![ONE])]);
     let (context, _directory) = site.context(pool());
     let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
     assert_eq!(body_of(answer).await.as_deref(), Ok(ONE));
     let record = site.record.lock().unwrap();
-    // Prompt 1,000 and the smallest answer of 500, since the hint is less.
-    assert_eq!(record.holds, [("decode-1".to_owned(), 1500)]);
+    // 1,000 for the prompt, and the minimum response of 500, since the estimate is lower.
+    assert_eq!(record.reservations, [("decode-1".to_owned(), 1500)]);
     assert_eq!(record.prefills, ["prefill-1"]);
     let sent = &record.arrivals[0].terms;
     assert_eq!(sent.reservation.as_deref(), Some("hold-1"));
     assert_eq!(sent.prefilled.as_ref().map(|it| &*it.handle), Some("handle"));
-    assert!(record.released_holds.is_empty() && record.released_prefills.is_empty());
+    assert!(record.released_reservations.is_empty() && record.released_prefills.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_memory_nothing_is_prefilled_and_the_caller_comes_back() {
+async fn without_memory_nothing_is_prefilled_and_the_caller_is_told_to_retry() {
     let site = ScriptedSite::default();
     site.full.lock().unwrap().extend(["decode-1".to_owned(), "decode-2".to_owned()]);
     let (context, _directory) = site.context(pool());
@@ -120,13 +127,13 @@
     let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
     assert_eq!(answer.status().as_u16(), 503);
     assert!(answer.headers().contains_key("retry-after"));
-    assert!(started.elapsed() < Duration::from_millis(75), "the refusal comes at once");
+    assert!(started.elapsed() < Duration::from_millis(75), "the refusal is immediate");
     let record = site.record.lock().unwrap();
     assert!(record.prefills.is_empty() && record.arrivals.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_prefill_the_decode_engine_reads_the_prompt_itself() {
+async fn without_a_prefill_the_decode_engine_prefills_the_prompt() {
     let site = ScriptedSite::default();
     site.script("decode-1", [Step::Stream(vec![ONE])]);
     *site.refuses_prefill.lock().unwrap() = true;
@@ -139,7 +146,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_request_holds_is_given_back_when_it_is_not_sent() {
+async fn reservation_and_prefill_are_released_when_the_request_is_not_sent() {
     let site = ScriptedSite::default();
     site.script("decode-1", [Step::Unreachable]);
     site.script("decode-2", [Step::Unreachable]);
@@ -150,21 +157,21 @@
     tasks.close();
     tasks.wait().await;
     let record = site.record.lock().unwrap();
-    assert_eq!(record.released_holds, ["hold-1", "hold-2"]);
+    assert_eq!(record.released_reservations, ["hold-1", "hold-2"]);
     assert_eq!(record.released_prefills.len(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stream_that_may_not_be_resumed_is_unrepeatable() {
-    struct UnclearCase {
+async fn a_stream_that_may_not_be_resumed_is_not_retried() {
+    struct AmbiguousCase {
         step: Step,
         status: u16,
     }
     let cases = [
-        UnclearCase { step: Step::Lost, status: 502 },
-        UnclearCase { step: Step::Silent, status: 504 },
-        UnclearCase { step: Step::Unsealed(200), status: 502 },
-        UnclearCase { step: Step::NotRun(503), status: 200 },
+        AmbiguousCase { step: Step::Lost, status: 502 },
+        AmbiguousCase { step: Step::Silent, status: 504 },
+        AmbiguousCase { step: Step::Unsealed(200), status: 502 },
+        AmbiguousCase { step: Step::NotRun(503), status: 200 },
     ];
     for case in cases {
         let site = ScriptedSite::default();
@@ -177,13 +184,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_returns_waits_a_moment_for_memory() {
+async fn a_retry_of_a_caller_waits_briefly_for_memory() {
     let site = ScriptedSite::default();
     site.script("decode-1", [Step::Stream(vec![ONE])]);
     site.full.lock().unwrap().extend(["decode-1".to_owned(), "decode-2".to_owned()]);
     let (context, _directory) = site.context(pool());
     let mut routed = request(RequestKind::Streaming, 1, false);
-    // It has used up a third of its time.
+    // A third of its time limit has passed.
     routed.spent_before = Duration::from_secs(5);
     routed.deadline = routed.deadline.saturating_sub(Duration::from_secs(5));
     let full = Arc::clone(&site.full);
@@ -196,7 +203,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn repeated_prefills_are_in_the_budget_too() {
+async fn repeated_prefills_count_against_the_retry_budget() {
     let site = ScriptedSite::default();
     site.script("decode-1", [Step::NotRun(503)]);
     site.script("decode-2", [Step::NotRun(503)]);
@@ -210,14 +217,14 @@
     }
     let record = site.record.lock().unwrap();
     let (repeats, prefills) = (record.arrivals.len() - 100, record.prefills.len());
-    // The ratio of 100 requests and this host's part of what is beyond it; a prefill engine whose
-    // results nobody takes gets few prompts.
+    // The ratio of 100 requests plus this host's share of the extra budget. A prefill engine whose results are
+    // not used receives few prompts.
     assert!((5..=21).contains(&repeats), "{repeats}");
     assert!(prefills + repeats <= 100 + 21, "{prefills} and {repeats}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_refused_a_prefill_is_not_asked_again_at_once() {
+async fn an_engine_that_refused_a_prefill_is_excluded_for_a_while() {
     let site = ScriptedSite::default();
     site.script("decode-1", [Step::Stream(vec![ONE])]);
     site.script("decode-2", [Step::Stream(vec![ONE])]);
--- a/crates/dillspool_forward/tests/suspects.rs
+++ b/crates/dillspool_forward/tests/suspects.rs
@@ -193,12 +193,16 @@
             assert_eq!(status, 502, "{kind:?}");
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
-        let before = site.record.lock().unwrap().hold_asks.len();
+        let before = site.record.lock().unwrap().reservation_requests.len();
         let asked = tokio::time::Instant::now();
         assert_eq!(answer(&context, kind).await, (503, false, true), "{kind:?}");
         assert_eq!(asked.elapsed(), Duration::ZERO, "{kind:?}");
         let record = site.record.lock().unwrap();
-        assert_eq!((record.arrivals.len(), record.hold_asks.len()), (3, before), "{kind:?}");
+        assert_eq!(
+            (record.arrivals.len(), record.reservation_requests.len()),
+            (3, before),
+            "{kind:?}"
+        );
     }
 }
 
--- a/crates/dillspool_forward/tests/suspended.rs
+++ b/crates/dillspool_forward/tests/suspended.rs
@@ -1,4 +1,4 @@
-//! The host is suspended while a request is under way: its steady clock stands still meanwhile.
+//! The host is suspended during a request, while its monotonic clock stands still.
 
 mod common;
 
@@ -11,17 +11,17 @@
 use dillspool_routing::{RequestKind, RoutedRequest};
 use tokio_util::sync::CancellationToken;
 
-/// Longer than any request of these tests has.
+/// Longer than the deadline of any request in these tests.
 const SUSPENDED: Duration = Duration::from_secs(20);
 
 /// When the host is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum When {
-    /// Before the request is looked at, as where its head was read and then nothing ran.
+    /// After the request's head was read and before it is processed.
     Arrived,
-    /// While its prompt is read.
+    /// During the prefill of its prompt.
     Prefilling,
-    /// While the first backend server has it.
+    /// While the first backend server processes it.
     Sent,
     /// Never.
     Never,
@@ -31,10 +31,10 @@
     name: &'static str,
     kind: RequestKind,
     when: When,
-    /// What the first backend server does; the second one answers.
+    /// What the first backend server does; the second one responds.
     first: Step,
     status: u16,
-    /// Sends that reach a backend server.
+    /// Number of requests that backend servers receive.
     sends: usize,
 }
 
@@ -52,19 +52,26 @@
     vec![
         case("call, awake", Idempotent, When::Never, Step::Lost, 200, 2),
         case("call, before it", Idempotent, When::Arrived, Step::Lost, 503, 0),
-        case("call, lost meanwhile", Idempotent, When::Sent, Step::Lost, 504, 1),
-        case("call, refused meanwhile", NonIdempotent, When::Sent, Step::NotRun(503), 503, 1),
-        case("call, its answer is there", Idempotent, When::Sent, Step::Answer(200, "ok"), 200, 1),
+        case("call, lost during it", Idempotent, When::Sent, Step::Lost, 504, 1),
+        case("call, refused during it", NonIdempotent, When::Sent, Step::NotRun(503), 503, 1),
+        case(
+            "call, its response has arrived",
+            Idempotent,
+            When::Sent,
+            Step::Answer(200, "ok"),
+            200,
+            1,
+        ),
         case("stream, awake", Streaming, When::Never, Step::Lost, 200, 2),
         case("stream, before it", Streaming, When::Arrived, stream(), 503, 0),
-        case("stream, while it is read", Streaming, When::Prefilling, stream(), 503, 0),
-        case("stream, lost meanwhile", Streaming, When::Sent, Step::Lost, 504, 1),
-        case("stream, its answer is there", Streaming, When::Sent, stream(), 200, 1),
+        case("stream, during the prefill", Streaming, When::Prefilling, stream(), 503, 0),
+        case("stream, lost during it", Streaming, When::Sent, Step::Lost, 504, 1),
+        case("stream, its response has arrived", Streaming, When::Sent, stream(), 200, 1),
     ]
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_sent_after_a_deadline_that_passed_meanwhile() {
+async fn nothing_is_sent_after_a_deadline_that_passed_during_a_suspension() {
     for case in cases() {
         let (site, jumps) = (ScriptedSite::default(), ClockJumps::default());
         let is_stream = case.kind == RequestKind::Streaming;
@@ -112,7 +119,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn repeats_are_counted_over_the_time_that_has_passed() {
+async fn the_retry_budget_window_includes_suspended_time() {
     let jumps = ClockJumps::default();
     let terms = BudgetSettings { ratio: 0.0, window: Duration::from_secs(10), extra: 4.0 };
     let budgets = RetryBudgets::new(terms, jumps.clock());
@@ -126,10 +133,10 @@
     assert!(budgets.try_withdraw(&service), "the window is over");
 }
 
-/// How long a host is away in the middle of a request, whose time is longer.
+/// Suspension in the middle of a request, shorter than the request's time limit.
 const SHORT_SUSPENSION: Duration = Duration::from_millis(1500);
-/// Time after the deadline by which the caller has its final answer: a host notes that it was suspended four
-/// times a second.
+/// Longest delay of the final response after the deadline: a host checks four times a second whether it was
+/// suspended.
 const LATEST_FINAL: Duration = Duration::from_millis(400);
 
 struct FinalCase {
@@ -140,20 +147,20 @@
     prefill_takes: Duration,
 }
 
-/// A timer that was set before a suspension wakes as much later, and the caller waited as much longer than it
-/// had said: a host that was away for a second and a half of a request kept it for as long after its deadline.
+/// A timer set before a suspension fires late by the length of the suspension, so a host that was suspended for
+/// 1.5 s in a request returned its final response 1.5 s after the deadline.
 #[tokio::test(start_paused = true)]
-async fn the_final_answer_comes_at_the_deadline_though_the_host_was_suspended() {
+async fn the_final_response_arrives_at_the_deadline_despite_a_suspension() {
     use RequestKind::{NonIdempotent, Streaming};
     let at_once = Duration::ZERO;
     let never = Duration::from_hours(1);
     let case = |name, kind, step, prefill_takes| FinalCase { name, kind, step, prefill_takes };
     let cases = [
-        case("a call without an answer", NonIdempotent, Step::Silent, at_once),
+        case("a call without a response", NonIdempotent, Step::Silent, at_once),
         case("a failure that stalls", Streaming, Step::StalledFailure(500), at_once),
         case("a stream without a head", Streaming, Step::Silent, at_once),
         case("a stream that stalls", Streaming, Step::Stalled(vec![ONE]), at_once),
-        case("a prefill without an answer", Streaming, Step::Silent, never),
+        case("a prefill without a response", Streaming, Step::Silent, never),
     ];
     for case in cases {
         let (site, jumps) = (ScriptedSite::default(), ClockJumps::default());
