--- a/crates/dillspool_calls/src/request.rs
+++ b/crates/dillspool_calls/src/request.rs
@@ -12,7 +12,7 @@
 /// A backend server that currently takes calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallServer {
-    /// The backend server, and which start of it.
+    /// The backend server instance.
     pub backend: BackendInstance,
     /// Its failure domain.
     pub failure_domain: Name,
--- a/crates/dillspool_calls/src/snapshot.rs
+++ b/crates/dillspool_calls/src/snapshot.rs
@@ -10,7 +10,7 @@
 /// State of one backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSnapshot {
-    /// The backend server, and which start of it.
+    /// The backend server instance.
     pub backend: BackendInstance,
     /// Calls that this queue may have in flight there.
     pub limit: u32,
--- a/crates/dillspool_roles/src/lease.rs
+++ b/crates/dillspool_roles/src/lease.rs
@@ -1,7 +1,7 @@
-//! The lease under which one host gives orders.
+//! The lease that lets one host send stage orders.
 //!
-//! The store may come back from a copy that shows an older row, or none; `docs/design/store_eras.md` has what
-//! follows.
+//! The store may be restored from a copy that has an older lease row, or none;
+//! `docs/design/store_eras.md` has the consequences.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, OnceLock};
@@ -16,30 +16,32 @@
 use dillspool_schema::Name;
 use serde::{Deserialize, Serialize};
 
-/// Key of the lease's row.
+/// Key of the lease row.
 const LEASE_KEY: &str = "orders/lease";
-/// Time after the write of a term within which its orders must be sent. Together with the wait
-/// of the next holder it keeps the orders of two holders apart.
-const TERM_LIFE: Duration = Duration::from_millis(1500);
-/// Factor by which another host waits longer than the platform asks for.
-const TAKE_OVER_FACTOR: u32 = 2;
+/// Time after the write of a term within which its orders must be sent. Together with the wait of
+/// the next holder it keeps the orders of two holders apart.
+const TERM_DURATION: Duration = Duration::from_millis(1500);
+/// Factor by which another host waits longer than the platform requires.
+const TAKEOVER_WAIT_FACTOR: u32 = 2;
 
-/// Engines that the row remembers at most, the newest: a pool is ordered some at a time, and a row
-/// may have 64 KB.
-const MOST_ORDERED: usize = 512;
+/// Number of the newest ordered engines that the row lists at most: a pool is ordered some engines
+/// at a time, and a row may have 64 KB.
+const MAX_ORDERED: usize = 512;
 
-/// The row that names the holder.
+/// The lease row, which names the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct LeaseRow {
-    /// Host that gives orders.
+    /// Host that may send orders.
     pub holder: Name,
     /// Fencing token of its newest term.
     pub fence: u64,
-    /// Tells this write from all others.
+    /// Distinguishes this write from all others.
     pub token: u64,
-    /// Engines that were ordered to change, each by its id and its start if it tells one, the newest last.
+    /// Engines that were ordered to change, each by its id and, if it reports one, its start; the
+    /// newest last.
     pub ordered: Vec<Name>,
-    /// Prefill engines that each pool keeps, by service; a fleet that starts anew begins with them.
+    /// Target number of prefill engines of each pool, by service; a fleet that starts again begins
+    /// with them.
     #[serde(default)]
     pub targets: BTreeMap<Name, usize>,
     /// Version of the store that its writer had read.
@@ -48,7 +50,7 @@
 }
 
 impl LeaseRow {
-    /// A row of nobody whose next term has the fence after this one.
+    /// A row without a holder; the fencing token of the next term is higher than `fence`.
     fn empty(fence: u64) -> Self {
         let holder = Name::from("");
         let (ordered, targets) = (Vec::new(), BTreeMap::new());
@@ -56,7 +58,7 @@
     }
 }
 
-/// The lease as the store shows it.
+/// The lease as read from the store.
 #[derive(Debug)]
 struct LeaseState {
     /// The row and its version.
@@ -75,43 +77,44 @@
     }
 }
 
-/// The right to send orders for a short time.
+/// A lease term: the right to send orders for a short time.
 #[derive(Clone, Debug)]
 pub struct OrderTerm {
     /// Fencing token of the orders.
     pub fence: u64,
-    ends: Moment,
+    expires_at: Moment,
     clock: HostClock,
 }
 
 impl OrderTerm {
     /// Whether orders may still be sent.
     pub fn is_valid(&self) -> bool {
-        self.clock.now() < self.ends
+        self.clock.now() < self.expires_at
     }
 }
 
-/// Takes terms of the lease.
+/// Acquires terms of the lease.
 #[derive(Clone, Debug)]
 pub struct OrderLease {
     store: TableStore,
     host: Name,
-    /// Time that must lie between the orders of two holders.
-    apart: Duration,
+    /// Minimum time between the orders of two holders.
+    handover_gap: Duration,
     clock: HostClock,
-    /// Whether the fleet starts for the first time, so that nobody had the lease before.
+    /// Whether the fleet starts for the first time, so that no host has had the lease before.
     is_first_start: bool,
     /// First era of the store that this host saw.
     first_era: Arc<OnceLock<StoreEra>>,
 }
 
 impl OrderLease {
-    /// A lease for a host; `apart` is the platform's time between two holders.
-    pub fn new(store: TableStore, host: Name, apart: Duration, clock: HostClock) -> Self {
-        Self { store, host, apart, clock, is_first_start: false, first_era: Arc::default() }
+    /// Creates the lease for a host; `handover_gap` is the platform's minimum time between two
+    /// holders.
+    pub fn new(store: TableStore, host: Name, handover_gap: Duration, clock: HostClock) -> Self {
+        Self { store, host, handover_gap, clock, is_first_start: false, first_era: Arc::default() }
     }
 
-    /// Lets a host of a fleet that starts for the first time begin at once.
+    /// Lets a host of a fleet that starts for the first time acquire the lease without a wait.
     #[must_use]
     pub fn with_first_start(self, is_first_start: bool) -> Self {
         Self { is_first_start, ..self }
@@ -133,8 +136,8 @@
         Ok(LeaseState { row: row.as_ref().map(parse), version: reply.version })
     }
 
-    /// Whether another host may have a term that goes on. After a restoration the row tells nothing of who had the
-    /// newest one.
+    /// Whether another host may have a term that has not expired. After a restore of the store, the
+    /// row does not show who had the newest term.
     fn may_be_held(&self, state: &LeaseState) -> bool {
         let era = state.version.era();
         match &state.row {
@@ -143,15 +146,16 @@
         }
     }
 
-    /// Takes a term to order changes of `engines` towards `targets`; `None` when another host has
+    /// Acquires a term to order changes of `engines` towards `targets`; `None` if another host has
     /// the lease.
     ///
-    /// A host that is not the holder, or cannot know it, waits until the row has rested for long enough.
+    /// A host that is not the holder, or cannot know whether it is, first waits until the row has
+    /// stayed unchanged for long enough.
     ///
     /// # Errors
     ///
-    /// [`PlatformError`] when the store does not answer; a write that may have been done gives
-    /// no term, and the next try finds its row.
+    /// [`PlatformError`] when the store does not answer. A write that may have been done gives no
+    /// term, and the next attempt finds its row.
     pub async fn acquire(
         &self,
         engines: &[Name],
@@ -160,39 +164,45 @@
     ) -> Result<Option<OrderTerm>, PlatformError> {
         let mut state = self.read_state().await?;
         if self.may_be_held(&state) {
-            tokio::time::sleep(self.apart * TAKE_OVER_FACTOR).await;
-            let now = self.read_state().await?;
-            let is_restored = now.version.era() != state.version.era();
-            if is_restored || now.row_version() != state.row_version() {
-                let by = now.holder().map_or("nobody", |holder| &**holder);
-                log::info!("event=lease_held holder={} by={by} store={}", self.host, now.version);
+            tokio::time::sleep(self.handover_gap * TAKEOVER_WAIT_FACTOR).await;
+            let current = self.read_state().await?;
+            let is_restored = current.version.era() != state.version.era();
+            if is_restored || current.row_version() != state.row_version() {
+                let by = current.holder().map_or("nobody", |holder| &**holder);
+                log::info!(
+                    "event=lease_held holder={} by={by} store={}",
+                    self.host,
+                    current.version
+                );
                 return Ok(None);
             }
-            state = now;
+            state = current;
         }
-        let started = self.clock.now();
+        let term_start = self.clock.now();
         let read_at = state.version;
-        let (expect, before) = match state.row {
+        let (expect, previous) = match state.row {
             Some((row, version)) => (RowExpect::Version(version), row),
             None => (RowExpect::Absent, LeaseRow::empty(0)),
         };
-        // Above all fences of earlier eras, and of rows that were written over by a condition that held by chance.
-        let fence = before.fence.max(read_at.into()) + 1;
-        let mut ordered = before.ordered;
-        let mut kept = before.targets;
-        kept.extend(targets.iter().map(|(service, engines)| (Name::clone(service), *engines)));
+        // Higher than all fencing tokens of earlier eras, and of rows that were overwritten because
+        // a condition held by chance.
+        let fence = previous.fence.max(read_at.into()) + 1;
+        let mut ordered = previous.ordered;
+        let mut all_targets = previous.targets;
+        all_targets
+            .extend(targets.iter().map(|(service, engines)| (Name::clone(service), *engines)));
         ordered.extend(engines.iter().cloned());
-        ordered.drain(..ordered.len().saturating_sub(MOST_ORDERED));
+        ordered.drain(..ordered.len().saturating_sub(MAX_ORDERED));
         let holder = Name::clone(&self.host);
-        let row = LeaseRow { holder, fence, token, ordered, targets: kept, read_at };
-        let Ok(text) = serde_json::to_string(&row) else { return Ok(None) };
-        let write = RowWrite { key: LEASE_KEY.into(), expect, value: Some(text) };
+        let row = LeaseRow { holder, fence, token, ordered, targets: all_targets, read_at };
+        let Ok(json) = serde_json::to_string(&row) else { return Ok(None) };
+        let write = RowWrite { key: LEASE_KEY.into(), expect, value: Some(json) };
         let request = CommitRequest { writes: vec![write], read_at: Some(read_at) };
         match (self.store.commit)(request).await? {
             CommitReply::Committed => {
                 log::info!("event=lease_taken holder={} fence={fence} store={read_at}", self.host);
-                let (ends, clock) = (started + TERM_LIFE, self.clock.clone());
-                Ok(Some(OrderTerm { fence, ends, clock }))
+                let (expires_at, clock) = (term_start + TERM_DURATION, self.clock.clone());
+                Ok(Some(OrderTerm { fence, expires_at, clock }))
             }
             CommitReply::Conflict(_keys) => {
                 log::info!("event=lease_lost holder={} fence={fence}", self.host);
@@ -206,8 +216,8 @@
     match serde_json::from_str(&row.value) {
         Ok(lease) => (lease, row.version),
         Err(error) => {
-            // Written over by the next term; the fence starts from its version, which is higher
-            // than any fence before it.
+            // The next term overwrites the row. Its fencing token starts from the row's version,
+            // which is higher than any token before it.
             log::warn!("event=lease_malformed version={} cause=\"{error}\"", row.version);
             (LeaseRow::empty(row.version.into()), row.version)
         }
--- a/crates/dillspool_roles/src/lib.rs
+++ b/crates/dillspool_roles/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which engines prefill and which decode, and the one host that orders it.
+//! Decides which engines of a pool prefill and which decode, and orders the changes from one host.
 //!
-//! How many of a pool prefill follows from what its requests ask (`dillspool_capacity`), unless
-//! the settings say it; see `docs/design/split.md`.
+//! The number of prefill engines of a pool follows from the demand of its requests
+//! (`dillspool_capacity`), unless the settings fix it; see `docs/design/split.md`.
 //!
-//! Orders come from the holder of a lease: a row of the store that is written under a condition
+//! Orders are sent by the holder of a lease: a row of the store that is written conditionally
 //! before each round of orders. See `docs/design/platform_site.md`.
 
 mod lease;
--- a/crates/dillspool_roles/src/plan.rs
+++ b/crates/dillspool_roles/src/plan.rs
@@ -1,29 +1,31 @@
-//! Which engines should change their part.
+//! Plans which engines of a pool should change their stage.
 
 use std::sync::Arc;
 
 use dillspool_routing::{BackendEntry, DirectoryView, EngineStage};
 
-/// Engines of a pool below which none is turned to prefill: the few that decode are needed more.
-const FEWEST_TO_TURN_BACK: usize = 4;
+/// Number of engines of a pool below which none is switched to prefill: the few that decode are
+/// needed more.
+const MIN_POOL_FOR_PREFILL_SWITCH: usize = 4;
 
-/// Part of an engine that the first part leaves to spare at least: rounding up by less would leave
-/// a small pool no margin, such as two engines for a part of 1.8 (`docs/design/split.md`).
-const LEAST_SPARE: f64 = 0.25;
-/// Part of a pool's decode engines that is turned to prefill at once: each is gone until its answers
-/// have ended and it has changed.
-const TURNED_AT_ONCE: f64 = 0.125;
+/// Margin of the initial number of prefill engines at least, as a fraction of an engine: rounding
+/// up by less would leave a small pool no margin, such as two engines for a share of 1.8
+/// (`docs/design/split.md`).
+const MIN_INITIAL_MARGIN: f64 = 0.25;
+/// Fraction of a pool's decode engines that is switched to prefill at once: each is unavailable
+/// until its responses have ended and it has switched.
+const MAX_SWITCHED_SHARE: f64 = 0.125;
 
-/// An engine that should change its part.
+/// An engine that should change its stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageChange {
     /// The engine.
     pub entry: Arc<BackendEntry>,
-    /// Its new part.
+    /// Its new stage.
     pub stage: EngineStage,
 }
 
-/// Prefill engines for a part of a pool of `engines`; at least one.
+/// Number of prefill engines for a share of a pool of `engines`; at least one.
 #[expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
@@ -31,12 +33,12 @@
     reason = "engines are counted in thousands and the share lies between 0 and 1"
 )]
 pub fn prefill_engines_for_share(engines: usize, share: f64) -> usize {
-    let part = (engines as f64 * share.clamp(0.0, 1.0)).ceil() as usize;
-    part.clamp(1, engines.max(1))
+    let count = (engines as f64 * share.clamp(0.0, 1.0)).ceil() as usize;
+    count.clamp(1, engines.max(1))
 }
 
-/// Prefill engines of a pool of `engines` before anything is observed: a part of it, rounded up with
-/// something to spare.
+/// Number of prefill engines of a pool of `engines` before any load is observed: its share, rounded
+/// up with a margin.
 #[expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
@@ -44,11 +46,12 @@
     reason = "engines are counted in thousands and the share lies between 0 and 1"
 )]
 pub fn initial_prefill_engines(engines: usize, share: f64) -> usize {
-    let part = (engines as f64 * share.clamp(0.0, 1.0) + LEAST_SPARE).ceil() as usize;
-    part.clamp(1, engines.max(1))
+    let count = (engines as f64 * share.clamp(0.0, 1.0) + MIN_INITIAL_MARGIN).ceil() as usize;
+    count.clamp(1, engines.max(1))
 }
 
-/// Engines of a pool that play a part and take requests: those that prefill, those that decode.
+/// The engines of a pool that have a stage and take requests: the prefill engines and the decode
+/// engines.
 pub fn pool_engines(
     view: &DirectoryView,
     service: &str,
@@ -57,27 +60,36 @@
     (in_stage(EngineStage::Prefill), in_stage(EngineStage::Decode))
 }
 
-/// Engines that should change their part so that `keep` prefill.
+/// The engines that should change their stage so that `prefill_target` engines prefill.
 ///
-/// An engine that decodes is turned only if enough others go on decoding; until it has changed,
-/// prompts beyond the prefill engines' pace are read at decode engines. The result is the same on
-/// every host with the same view.
-pub fn plan_stage_changes(view: &DirectoryView, service: &str, keep: usize) -> Vec<StageChange> {
+/// A decode engine is switched only if enough others go on decoding. Until it has switched, prompts
+/// beyond the capacity of the prefill engines are prefilled at decode engines. The result is the
+/// same on every host with the same view.
+pub fn plan_stage_changes(
+    view: &DirectoryView,
+    service: &str,
+    prefill_target: usize,
+) -> Vec<StageChange> {
     let (prefill, decode) = pool_engines(view, service);
-    if prefill.len() >= keep {
-        let spare = prefill.len() - keep;
-        return turn(prefill, spare, EngineStage::Decode);
+    if prefill.len() >= prefill_target {
+        let surplus = prefill.len() - prefill_target;
+        return change_first(prefill, surplus, EngineStage::Decode);
     }
-    if prefill.len() + decode.len() < FEWEST_TO_TURN_BACK {
+    if prefill.len() + decode.len() < MIN_POOL_FOR_PREFILL_SWITCH {
         return Vec::new();
     }
-    let short = keep - prefill.len();
-    let at_once = prefill_engines_for_share(decode.len(), TURNED_AT_ONCE);
-    turn(decode, short.min(at_once), EngineStage::Prefill)
+    let shortage = prefill_target - prefill.len();
+    let max_switched = prefill_engines_for_share(decode.len(), MAX_SWITCHED_SHARE);
+    change_first(decode, shortage.min(max_switched), EngineStage::Prefill)
 }
 
-/// The first `count` engines by domain and id, an order that is the same on every host.
-fn turn(mut engines: Vec<Arc<BackendEntry>>, count: usize, stage: EngineStage) -> Vec<StageChange> {
+/// Changes the first `count` engines by failure domain and id, an order that is the same on every
+/// host.
+fn change_first(
+    mut engines: Vec<Arc<BackendEntry>>,
+    count: usize,
+    stage: EngineStage,
+) -> Vec<StageChange> {
     engines.sort_by(|a, b| (&a.failure_domain, &a.id).cmp(&(&b.failure_domain, &b.id)));
     engines.into_iter().take(count).map(|entry| StageChange { entry, stage }).collect()
 }
--- a/crates/dillspool_roles/src/reconciler.rs
+++ b/crates/dillspool_roles/src/reconciler.rs
@@ -1,4 +1,4 @@
-//! Watches the pools and orders what the plan asks for.
+//! The reconciler: compares each pool with its plan and orders the stage changes that are due.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -18,28 +18,28 @@
 use crate::plan::{StageChange, plan_stage_changes, pool_engines};
 use crate::targets::PoolTargets;
 
-/// How stages are kept.
+/// Settings of the reconciler.
 pub struct ReconcilerSettings {
     /// This host.
     pub host: Name,
-    /// How pools are divided.
+    /// The target number of prefill engines of each pool.
     pub targets: PoolTargets,
-    /// Time that must lie between the orders of two holders.
+    /// Minimum time between the orders of two lease holders.
     pub handover_gap: Duration,
     /// Whether the fleet starts for the first time.
     pub is_first_start: bool,
-    /// The clock by which terms end.
+    /// The clock by which lease terms expire.
     pub clock: HostClock,
     /// Time before this host acts on a change that is due; see [`reconcile_stages`].
     pub delay: DelayFn,
-    /// Whether a start of an engine wants nothing from this host for now.
+    /// Whether an engine instance has asked this host to back off.
     pub is_backing_off: BackoffFn,
 }
 
-/// Time that a host waits before it acts, as things are now.
+/// Returns the time that a host currently waits before it acts.
 pub type DelayFn = Arc<dyn Fn() -> Duration + Send + Sync>;
 
-/// Whether a start of a backend server wants nothing from this host for now.
+/// Whether a backend server instance has asked this host to back off.
 pub type BackoffFn = Arc<dyn Fn(&BackendInstance) -> bool + Send + Sync>;
 
 impl fmt::Debug for ReconcilerSettings {
@@ -48,20 +48,23 @@
     }
 }
 
-/// Time after which an engine that was ordered and shows no change is ordered again; a late
-/// order may be carried out twelve seconds after it was sent.
-const ORDER_AGAIN: Duration = Duration::from_secs(20);
-/// Time for which a few prefill engines must be missing before decode engines take their place.
-const SHORT_SPAN: Duration = Duration::from_secs(30);
-/// Time between two looks at the pools.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// Looks in a row that must ask for the same change, so that one lapsed entry turns no engine.
-const STEADY_LOOKS: u32 = 2;
+/// Time after which an engine that was ordered and shows no change is ordered again; a late order
+/// may be carried out twelve seconds after it was sent.
+const ORDER_RETRY_AFTER: Duration = Duration::from_secs(20);
+/// Time for which a small shortage of prefill engines must last before decode engines take their
+/// place.
+const SHORTAGE_GRACE: Duration = Duration::from_secs(30);
+/// Time between two checks of the pools.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Consecutive checks that must find changes due, so that one lapsed directory entry switches no
+/// engine.
+const MIN_CONSECUTIVE_CHECKS: u32 = 2;
 
-/// Orders changes of stage until `cancel`.
+/// Runs the reconciler until `cancel`.
 ///
-/// Every host runs this. Each waits its own `delay` before it acts, least the one that schedules the
-/// pools, so mostly one tries for the lease; the lease alone decides.
+/// Every host runs it. Each host waits its own `delay` before it acts, and the host that schedules
+/// the pools waits least, so mostly only one host tries to acquire the lease. The lease alone
+/// decides.
 pub async fn reconcile_stages(
     settings: ReconcilerSettings,
     store: TableStore,
@@ -77,48 +80,48 @@
         settings.clock.clone(),
     )
     .with_first_start(settings.is_first_start);
-    let mut keeper = StageKeeper {
+    let mut reconciler = StageReconciler {
         settings,
         lease,
         calls,
         config,
         directory,
-        ordered: HashMap::new(),
-        seen_fence: 0,
-        short_since: HashMap::new(),
+        ordered_at: HashMap::new(),
+        adopted_fence: 0,
+        shortage_since: HashMap::new(),
     };
     tokio::select! {
-        () = keeper.run() => {}
+        () = reconciler.run() => {}
         () = cancel.cancelled() => {}
     }
 }
 
-struct StageKeeper {
+struct StageReconciler {
     settings: ReconcilerSettings,
     lease: OrderLease,
     calls: BackendCalls,
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     directory: watch::Receiver<Arc<DirectoryView>>,
-    /// When a start of an engine was ordered, by any host.
-    ordered: HashMap<BackendInstance, Instant>,
-    /// Fence of the newest row of the lease whose targets were taken.
-    seen_fence: u64,
-    /// Since when pools have had too few prefill engines.
-    short_since: HashMap<Name, Instant>,
+    /// When an engine instance was ordered to change, by any host.
+    ordered_at: HashMap<BackendInstance, Instant>,
+    /// Fencing token of the newest lease row whose targets were adopted.
+    adopted_fence: u64,
+    /// Since when a pool has had too few prefill engines.
+    shortage_since: HashMap<Name, Instant>,
 }
 
-impl StageKeeper {
+impl StageReconciler {
     async fn run(&mut self) {
-        let mut steady = 0;
+        let mut consecutive_due = 0;
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            let due = self.changes();
-            steady = if due.is_empty() { 0 } else { steady + 1 };
-            if steady < STEADY_LOOKS {
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            let due = self.due_changes();
+            consecutive_due = if due.is_empty() { 0 } else { consecutive_due + 1 };
+            if consecutive_due < MIN_CONSECUTIVE_CHECKS {
                 continue;
             }
             tokio::time::sleep((self.settings.delay)()).await;
-            let due = self.changes();
+            let due = self.due_changes();
             if !due.is_empty() {
                 log::info!(
                     "event=stage_changes_due count={} directory={}",
@@ -127,32 +130,32 @@
                 );
                 self.order(&due).await;
             }
-            steady = 0;
+            consecutive_due = 0;
         }
     }
 
-    /// Changes that are due now. An engine that was ordered and shows no change yet stays among
-    /// those that are picked, so that no other one is ordered in its place.
-    fn changes(&mut self) -> Vec<StageChange> {
+    /// Changes that are due now. An engine that was ordered and shows no change yet still counts
+    /// among the selected ones, so that no other engine is ordered in its place.
+    fn due_changes(&mut self) -> Vec<StageChange> {
         let mut due = Vec::new();
         let Some(config) = self.config.borrow().clone() else { return due };
         let view = Arc::clone(&self.directory.borrow());
         if view.subset.is_some() {
-            // How many of all engines prefill does not show in a part of them.
+            // A subset of the directory does not show how many of all engines prefill.
             return due;
         }
         let now = Instant::now();
         for service in config.services.values() {
             let Some(pool) = &service.engine else { continue };
-            let keep = self.settings.targets.update(&service.name, pool, &view, now);
-            if self.may_order(&service.name, &view, keep, now) {
-                due.extend(plan_stage_changes(&view, &service.name, keep));
+            let prefill_target = self.settings.targets.update(&service.name, pool, &view, now);
+            if self.may_order(&service.name, &view, prefill_target, now) {
+                due.extend(plan_stage_changes(&view, &service.name, prefill_target));
             }
         }
         due.retain(|change| {
             let engine = change.entry.instance();
             let was_ordered =
-                self.ordered.get(&engine).is_some_and(|at| at.elapsed() <= ORDER_AGAIN);
+                self.ordered_at.get(&engine).is_some_and(|at| at.elapsed() <= ORDER_RETRY_AFTER);
             !was_ordered && !(self.settings.is_backing_off)(&engine)
         });
         due
@@ -161,20 +164,20 @@
     async fn order(&mut self, due: &[StageChange]) {
         // Another host may have acted while this one waited.
         match self.lease.read().await {
-            Ok(Some((row, _version))) => self.take_over(&row, due),
+            Ok(Some((row, _version))) => self.adopt_lease_row(&row, due),
             Ok(None) => {}
             Err(error) => {
                 log::info!("event=lease_unreadable cause=\"{error}\"");
                 return;
             }
         }
-        let open = self.changes();
-        let is_open = |change: &&StageChange| open.contains(change);
-        let wanted: Vec<_> = due.iter().filter(is_open).collect();
-        if wanted.is_empty() {
+        let current = self.due_changes();
+        let is_still_due = |change: &&StageChange| current.contains(change);
+        let confirmed: Vec<_> = due.iter().filter(is_still_due).collect();
+        if confirmed.is_empty() {
             return;
         }
-        let engines = wanted.iter().map(|change| change.entry.instance().label());
+        let engines = confirmed.iter().map(|change| change.entry.instance().label());
         let engines: Vec<Name> = engines.collect();
         let (targets, token) = (self.settings.targets.decided(), write_token(&self.settings.host));
         let term = match self.lease.acquire(&engines, &targets, token).await {
@@ -186,52 +189,56 @@
             }
         };
         self.settings.targets.record_written(&targets);
-        self.seen_fence = term.fence;
-        for change in wanted {
-            self.send(change, &term).await;
+        self.adopted_fence = term.fence;
+        for change in confirmed {
+            self.send_order(change, &term).await;
         }
     }
 
-    /// Whether a pool's changes may be ordered. Decode engines are turned at once when half of the
-    /// prefill engines or fewer are left; otherwise only when that lasts, since a crashed engine
-    /// mostly returns sooner than another one has changed its part.
+    /// Whether the changes of a pool may be ordered. Decode engines are switched at once when half
+    /// of the prefill engines or fewer are left. A smaller shortage must last first, since a
+    /// crashed engine mostly returns sooner than another one has switched its stage.
     fn may_order(
         &mut self,
         service: &Name,
         view: &DirectoryView,
-        keep: usize,
+        prefill_target: usize,
         now: Instant,
     ) -> bool {
         let (prefill, _decode) = pool_engines(view, service);
-        if prefill.len() >= keep {
-            self.short_since.remove(service);
+        if prefill.len() >= prefill_target {
+            self.shortage_since.remove(service);
             return true;
         }
-        let since = *self.short_since.entry(Name::clone(service)).or_insert(now);
-        prefill.len() * 2 <= keep || now.saturating_duration_since(since) >= SHORT_SPAN
+        let since = *self.shortage_since.entry(Name::clone(service)).or_insert(now);
+        prefill.len() * 2 <= prefill_target
+            || now.saturating_duration_since(since) >= SHORTAGE_GRACE
     }
 
-    /// Takes what the lease's row says: what was ordered by whichever host, and, if another host
-    /// wrote it since, the targets.
-    fn take_over(&mut self, row: &LeaseRow, due: &[StageChange]) {
+    /// Adopts the lease row: the engines that any host has ordered, and the targets if another host
+    /// has written the row since.
+    fn adopt_lease_row(&mut self, row: &LeaseRow, due: &[StageChange]) {
         let now = Instant::now();
-        let started = due.iter().map(|change| change.entry.instance());
-        for backend in started.filter(|it| row.ordered.contains(&it.label())) {
-            self.ordered.entry(backend).or_insert(now);
+        let instances = due.iter().map(|change| change.entry.instance());
+        for backend in instances.filter(|it| row.ordered.contains(&it.label())) {
+            self.ordered_at.entry(backend).or_insert(now);
         }
-        if row.fence > self.seen_fence {
-            self.seen_fence = row.fence;
+        if row.fence > self.adopted_fence {
+            self.adopted_fence = row.fence;
             self.settings.targets.adopt(&row.targets);
         }
     }
 
-    async fn send(&mut self, change: &StageChange, term: &OrderTerm) {
+    async fn send_order(&mut self, change: &StageChange, term: &OrderTerm) {
         let id = &change.entry.id;
         if !term.is_valid() {
-            log::info!("event=order_dropped backend={id} fence={} cause=\"term over\"", term.fence);
+            log::info!(
+                "event=order_dropped backend={id} fence={} cause=\"the lease term has expired\"",
+                term.fence
+            );
             return;
         }
-        self.ordered.insert(change.entry.instance(), Instant::now());
+        self.ordered_at.insert(change.entry.instance(), Instant::now());
         let order = StageOrder {
             stage: change.stage,
             holder: Name::clone(&self.settings.host),
@@ -265,7 +272,7 @@
     }
 }
 
-/// Differs between hosts and between the tries of one host.
+/// A token that differs between hosts and between the attempts of one host.
 fn write_token(host: &str) -> u64 {
     let nanos = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
--- a/crates/dillspool_roles/src/targets.rs
+++ b/crates/dillspool_roles/src/targets.rs
@@ -1,4 +1,4 @@
-//! How many engines of each pool prefill, as this host knows it.
+//! The target number of prefill engines of each pool, as this host knows it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,25 +12,26 @@
 
 use crate::plan::{initial_prefill_engines, pool_engines, prefill_engines_for_share};
 
-/// Answers that a host must have seen end, and prompts come, before its readings count: the
+/// Completed responses and prompts that a host must have observed before its estimates count: the
 /// fewest from which lengths that vary by half of their mean give a mean within a fifth.
-const FEWEST_OBSERVED: f64 = 8.0;
+const MIN_OBSERVATIONS: f64 = 8.0;
 
-/// Engines that are turned from the part in which they were found before the load calls for more. An order costs
-/// an engine its work for seconds, so what a large pool does not need it does not turn.
-const MOST_UNCALLED_TURNS: usize = 16;
-/// Load of the part that would gain engines from which on it calls for them: in a burst of ten times as many
-/// requests it would be full.
-const CALLING_LOAD: f64 = 0.1;
+/// Number of engines that are switched from the stage in which they were found while the load does
+/// not require more. An order costs an engine its work for seconds, so a large pool switches no
+/// engines that it does not need.
+const MAX_SWITCHES_WITHOUT_LOAD: usize = 16;
+/// Load of the stage that would gain engines from which on it requires them: in a burst of ten
+/// times as many requests it would be full.
+const MIN_LOAD_FOR_SWITCHES: f64 = 0.1;
 
 /// What decides the number of prefill engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ShareRule {
-    /// The settings: always this part of a pool.
+    /// The settings: always this share of a pool.
     Fixed(f64),
-    /// What is observed.
+    /// The observed load.
     Observed {
-        /// Part of a pool that prefills before anything is known, beside a margin.
+        /// Share of a pool that prefills before any load is observed, without the margin.
         initial_share: f64,
     },
 }
@@ -40,59 +41,61 @@
 pub struct PoolTargets {
     rule: ShareRule,
     demand: DemandMeter,
-    learnt: HashMap<Name, LearntTarget>,
-    /// Most engines that each pool was seen to have: those that have crashed mostly return.
-    most_seen: HashMap<Name, usize>,
-    /// Most engines of each pool that were seen to prefill: as many as were found so, unless some were turned.
-    found: HashMap<Name, usize>,
+    learned: HashMap<Name, LearnedTarget>,
+    /// Highest number of engines seen in each pool: crashed engines mostly return.
+    max_engines_seen: HashMap<Name, usize>,
+    /// Highest number of prefill engines seen in each pool: as many as were found, unless some were
+    /// switched since.
+    found_prefill: HashMap<Name, usize>,
 }
 
 /// The target of one pool.
 #[derive(Debug)]
-struct LearntTarget {
+struct LearnedTarget {
     target: SplitTarget,
-    /// What the holders of the lease last agreed on, as far as this host knows.
+    /// The target that the lease holders last agreed on, as far as this host knows.
     agreed: Option<usize>,
-    /// Whether it was decided by observation, here or by another host. What follows from the first
-    /// part does not: a host that knows few engines yet would fix too low a number for all.
+    /// Whether it was decided by observation, here or by another host. A target that follows from
+    /// the initial share was not: a host that knows few engines yet would set too low a number for
+    /// all hosts.
     is_decided: bool,
 }
 
-impl LearntTarget {
-    /// The first part of a pool.
-    fn at_first(engines: usize) -> Self {
+impl LearnedTarget {
+    /// The initial target of a pool.
+    fn initial(engines: usize) -> Self {
         Self { target: SplitTarget::new(engines), agreed: None, is_decided: false }
     }
 
-    /// What another host wrote.
+    /// A target that another host wrote.
     fn adopted(engines: usize) -> Self {
         Self { target: SplitTarget::new(engines), agreed: Some(engines), is_decided: true }
     }
 }
 
-/// A pool as it is now.
+/// The current state of a pool.
 struct ObservedPool<'a> {
     service: &'a Name,
     engines: usize,
-    memory: EngineCapacity,
-    /// `None` while too little was seen.
-    reading: Option<DemandEstimate>,
+    capacity: EngineCapacity,
+    /// `None` while too little was observed.
+    estimate: Option<DemandEstimate>,
     view: &'a DirectoryView,
 }
 
 impl PoolTargets {
-    /// Targets without any knowledge.
+    /// Creates targets without any observations.
     pub fn new(rule: ShareRule, demand: DemandMeter) -> Self {
         Self {
             rule,
             demand,
-            learnt: HashMap::new(),
-            most_seen: HashMap::new(),
-            found: HashMap::new(),
+            learned: HashMap::new(),
+            max_engines_seen: HashMap::new(),
+            found_prefill: HashMap::new(),
         }
     }
 
-    /// Prefill engines that a pool keeps now, by what was observed until now.
+    /// The number of prefill engines that a pool should have now, from what was observed so far.
     pub fn update(
         &mut self,
         service: &Name,
@@ -106,86 +109,88 @@
             ShareRule::Fixed(share) => return prefill_engines_for_share(prefill + decode, share),
             ShareRule::Observed { initial_share } => initial_share,
         };
-        let found = self.found.entry(Name::clone(service)).or_default();
-        *found = prefill.max(*found);
-        let found = *found;
-        let reading = self.demand.estimate(service);
-        let known = reading.filter(|it| it.prompts.min(it.completed) >= FEWEST_OBSERVED);
-        let memory = EngineCapacity { memory_tokens: pool.memory_tokens, slots: pool.slots };
+        let found_prefill = self.found_prefill.entry(Name::clone(service)).or_default();
+        *found_prefill = prefill.max(*found_prefill);
+        let found_prefill = *found_prefill;
+        let estimate = self.demand.estimate(service);
+        let known = estimate.filter(|it| it.prompts.min(it.completed) >= MIN_OBSERVATIONS);
+        let capacity = EngineCapacity { memory_tokens: pool.memory_tokens, slots: pool.slots };
         let engines = prefill + decode;
-        let observed = ObservedPool { service, engines, memory, reading: known, view };
+        let observed = ObservedPool { service, engines, capacity, estimate: known, view };
         let target = self.target(&observed, share, now);
-        let loads = known.map(|reading| role_loads(&reading, memory, prefill, decode));
-        let calls = |load: fn(RoleLoads) -> f64| loads.is_some_and(|it| load(it) >= CALLING_LOAD);
-        let least = found.saturating_sub(MOST_UNCALLED_TURNS);
-        let most = found + MOST_UNCALLED_TURNS;
-        if target < least && !calls(|loads| loads.decode) {
-            least
-        } else if target > most && !calls(|loads| loads.prefill) {
-            most
+        let loads = known.map(|estimate| role_loads(&estimate, capacity, prefill, decode));
+        let requires_engines =
+            |load: fn(RoleLoads) -> f64| loads.is_some_and(|it| load(it) >= MIN_LOAD_FOR_SWITCHES);
+        let min_target = found_prefill.saturating_sub(MAX_SWITCHES_WITHOUT_LOAD);
+        let max_target = found_prefill + MAX_SWITCHES_WITHOUT_LOAD;
+        if target < min_target && !requires_engines(|loads| loads.decode) {
+            min_target
+        } else if target > max_target && !requires_engines(|loads| loads.prefill) {
+            max_target
         } else {
             target
         }
     }
 
-    /// Prefill engines that fit what a pool's requests ask, whatever their number.
+    /// The number of prefill engines that fits the mix of a pool's requests, regardless of their
+    /// rate.
     fn target(&mut self, pool: &ObservedPool<'_>, share: f64, now: Instant) -> usize {
-        let ObservedPool { service, engines, memory, reading, view } = *pool;
-        let most = self.most_seen.entry(Name::clone(service)).or_default();
-        *most = engines.max(*most);
-        let at_first = initial_prefill_engines(*most, share);
-        let Some(reading) = reading else {
-            let decided = self.learnt.get(service).filter(|learnt| learnt.is_decided);
-            return decided.map_or(at_first, |learnt| learnt.target.prefill_engines);
+        let ObservedPool { service, engines, capacity, estimate, view } = *pool;
+        let max_seen = self.max_engines_seen.entry(Name::clone(service)).or_default();
+        *max_seen = engines.max(*max_seen);
+        let initial = initial_prefill_engines(*max_seen, share);
+        let Some(estimate) = estimate else {
+            let decided = self.learned.get(service).filter(|learned| learned.is_decided);
+            return decided.map_or(initial, |learned| learned.target.prefill_engines);
         };
-        let need = required_prefill_engines(engines, &reading, memory);
-        let fresh = || LearntTarget::at_first(at_first);
-        let learnt = self.learnt.entry(Name::clone(service)).or_insert_with(fresh);
-        if !learnt.is_decided && learnt.target.prefill_engines != at_first {
-            *learnt = fresh();
+        let need = required_prefill_engines(engines, &estimate, capacity);
+        let new_target = || LearnedTarget::initial(initial);
+        let learned = self.learned.entry(Name::clone(service)).or_insert_with(new_target);
+        if !learned.is_decided && learned.target.prefill_engines != initial {
+            *learned = new_target();
         }
-        if let Some(change) = learnt.target.update(need, engines, now) {
-            learnt.is_decided = true;
+        if let Some(change) = learned.target.update(need, engines, now) {
+            learned.is_decided = true;
             log::info!(
                 "event=split_changed service={service} from={} to={} engines={engines} need={need:.2} read_ms={:.0} held_token_s={:.0} held_ms={:.0} prompts={:.0} ended={:.0} directory={}",
                 change.from,
                 change.to,
-                reading.prefill_s * 1000.0,
-                reading.held_token_s,
-                reading.held_s * 1000.0,
-                reading.prompts,
-                reading.completed,
+                estimate.prefill_s * 1000.0,
+                estimate.held_token_s,
+                estimate.held_s * 1000.0,
+                estimate.prompts,
+                estimate.completed,
                 view.version,
             );
         }
-        learnt.target.prefill_engines
+        learned.target.prefill_engines
     }
 
     /// The targets that were decided by observation.
     pub fn decided(&self) -> BTreeMap<Name, usize> {
-        let decided = self.learnt.iter().filter(|(_service, learnt)| learnt.is_decided);
+        let decided = self.learned.iter().filter(|(_service, learned)| learned.is_decided);
         decided
-            .map(|(service, learnt)| (Name::clone(service), learnt.target.prefill_engines))
+            .map(|(service, learned)| (Name::clone(service), learned.target.prefill_engines))
             .collect()
     }
 
-    /// Takes the targets that a holder of the lease wrote. Where it wrote another one than this
-    /// host knew of, what this host saw before counts no longer as a reason to change it.
+    /// Adopts the targets that a lease holder wrote. If one differs from what this host knew,
+    /// earlier observations of this host no longer count as a reason to change it.
     pub fn adopt(&mut self, targets: &BTreeMap<Name, usize>) {
         for (service, engines) in targets {
-            if self.learnt.get(service).is_some_and(|learnt| learnt.agreed == Some(*engines)) {
+            if self.learned.get(service).is_some_and(|learned| learned.agreed == Some(*engines)) {
                 continue;
             }
             log::info!("event=split_adopted service={service} to={engines}");
-            self.learnt.insert(Name::clone(service), LearntTarget::adopted(*engines));
+            self.learned.insert(Name::clone(service), LearnedTarget::adopted(*engines));
         }
     }
 
-    /// Notes that this host wrote its targets into the lease's row.
+    /// Records that this host wrote its targets into the lease row.
     pub fn record_written(&mut self, targets: &BTreeMap<Name, usize>) {
         for (service, engines) in targets {
-            if let Some(learnt) = self.learnt.get_mut(service) {
-                learnt.agreed = Some(*engines);
+            if let Some(learned) = self.learned.get_mut(service) {
+                learned.agreed = Some(*engines);
             }
         }
     }
--- a/crates/dillspool_roles/tests/lease.rs
+++ b/crates/dillspool_roles/tests/lease.rs
@@ -1,4 +1,4 @@
-//! One host gives orders: terms, take-over, lost answers, a holder that was paused.
+//! One host may send orders: terms, takeover, lost replies, a paused holder.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,14 +10,15 @@
 use dillspool_roles::{LeaseRow, OrderLease};
 use tokio::time::Instant;
 
-const APART: Duration = Duration::from_secs(3);
+const HANDOVER_GAP: Duration = Duration::from_secs(3);
 
 fn lease(table: &MemoryTable, host: &str) -> OrderLease {
-    OrderLease::new(table.store(), host.into(), APART, HostClock::steady()).with_first_start(true)
+    OrderLease::new(table.store(), host.into(), HANDOVER_GAP, HostClock::steady())
+        .with_first_start(true)
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_first_host_has_it_and_fences_rise() {
+async fn the_first_host_acquires_the_lease_and_fences_increase() {
     let table = MemoryTable::new();
     let a = lease(&table, "a");
     let first =
@@ -31,7 +32,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_host_takes_over_only_after_a_rest() {
+async fn another_host_takes_over_only_after_a_wait() {
     let table = MemoryTable::new();
     lease(&table, "a").acquire(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
     let started = Instant::now();
@@ -40,24 +41,24 @@
         .await
         .expect("an answer")
         .expect("a term");
-    assert!(started.elapsed() >= 2 * APART);
+    assert!(started.elapsed() >= 2 * HANDOVER_GAP);
     assert_eq!(term.fence, 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_goes_on_keeps_others_away() {
+async fn a_renewed_lease_is_not_taken_over() {
     let table = MemoryTable::new();
     let a = lease(&table, "a");
     a.acquire(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
     let b = lease(&table, "b");
     let waiting = tokio::spawn(async move { b.acquire(&[], &BTreeMap::new(), 2).await });
-    tokio::time::sleep(APART).await;
+    tokio::time::sleep(HANDOVER_GAP).await;
     a.acquire(&[], &BTreeMap::new(), 3).await.expect("an answer").expect("a term");
     assert!(waiting.await.expect("no panic").expect("an answer").is_none());
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_two_hosts_that_take_over_one_gets_it() {
+async fn only_one_of_two_hosts_takes_over() {
     let table = MemoryTable::new();
     lease(&table, "a").acquire(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
     let (b, c) = (lease(&table, "b"), lease(&table, "c"));
@@ -75,13 +76,13 @@
         .await
         .expect("an answer")
         .expect("a term");
-    // A paused holder wakes: its clock went on, so it sends nothing.
+    // A paused holder resumes: its clock went on, so it sends nothing.
     tokio::time::sleep(Duration::from_millis(5_999)).await;
     assert!(!term.is_valid());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_gives_no_term_and_the_fence_still_rises() {
+async fn a_lost_reply_gives_no_term_and_the_fence_still_increases() {
     let table = MemoryTable::new();
     table.fail_commits([StoreFault::LoseAnswer]);
     let a = lease(&table, "a");
@@ -121,7 +122,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_row_remembers_only_the_newest_orders() {
+async fn the_row_lists_only_the_newest_orders() {
     let table = MemoryTable::new();
     let a = lease(&table, "a");
     let ids = |round: u64| -> Vec<Arc<str>> {
@@ -156,12 +157,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_term_of_a_host_that_was_suspended_is_over() {
+async fn the_term_of_a_suspended_host_has_expired() {
     let (table, jumps) = (MemoryTable::new(), ClockJumps::default());
-    let lease = OrderLease::new(table.store(), "a".into(), APART, jumps.clock());
+    let lease = OrderLease::new(table.store(), "a".into(), HANDOVER_GAP, jumps.clock());
     let term = lease.acquire(&[], &BTreeMap::new(), 1).await.expect("an answer").expect("a term");
     assert!(term.is_valid());
-    // Long enough for another host to have the lease; no timer of this one has run meanwhile.
-    jumps.suspend(2 * APART);
+    // Long enough for another host to have the lease; no timer of this host has run meanwhile.
+    jumps.suspend(2 * HANDOVER_GAP);
     assert!(!term.is_valid());
 }
--- a/crates/dillspool_roles/tests/plan.rs
+++ b/crates/dillspool_roles/tests/plan.rs
@@ -1,11 +1,16 @@
-//! How many engines change their part, and which.
+//! How many engines change their stage, and which.
 
 use std::sync::Arc;
 
 use dillspool_roles::{initial_prefill_engines, plan_stage_changes, prefill_engines_for_share};
 use dillspool_routing::{BackendEntry, BackendState, DirectoryView, EngineStage};
 
-fn engine(id: String, domain: &str, part: EngineStage, state: BackendState) -> Arc<BackendEntry> {
+fn engine(
+    id: String,
+    domain: &str,
+    engine_stage: EngineStage,
+    state: BackendState,
+) -> Arc<BackendEntry> {
     Arc::new(BackendEntry {
         id: id.into(),
         start: None,
@@ -13,7 +18,7 @@
         address: ([127, 0, 0, 1], 9).into(),
         failure_domain: domain.into(),
         state,
-        stage: Some(part),
+        stage: Some(engine_stage),
         slots: None,
     })
 }
@@ -29,29 +34,29 @@
     draining: usize,
     decode: usize,
     share: f64,
-    turned: usize,
+    switched: usize,
 }
 
 #[test]
 fn prefill_engines_beyond_the_share_decode() {
-    let case = |name, prefill, draining, decode, share, turned| PlanCase {
+    let case = |name, prefill, draining, decode, share, switched| PlanCase {
         name,
         prefill,
         draining,
         decode,
         share,
-        turned,
+        switched,
     };
     let cases = [
         case("four of nine, a fifth stays", 4, 0, 5, 0.2, 2),
         case("as planned", 2, 0, 7, 0.2, 0),
-        case("fewer than planned: one turns back", 1, 0, 8, 0.2, 1),
-        case("none is left: two turn back, an eighth at once", 0, 0, 9, 0.2, 2),
-        case("of many an eighth turns back at once", 0, 0, 80, 0.5, 10),
+        case("fewer than planned: one switches back", 1, 0, 8, 0.2, 1),
+        case("none is left: two switch back, an eighth at once", 0, 0, 9, 0.2, 2),
+        case("an eighth of a large pool switches at once", 0, 0, 80, 0.5, 10),
         case("a small pool keeps decoding", 0, 0, 3, 0.2, 0),
         case("one always stays", 3, 0, 0, 0.0, 2),
         case("the whole pool may prefill", 3, 0, 0, 1.0, 0),
-        case("those that leave do not count", 3, 1, 6, 0.2, 1),
+        case("draining engines do not count", 3, 1, 6, 0.2, 1),
         case("an empty pool", 0, 0, 0, 0.2, 0),
         case("twelve of 36", 12, 0, 24, 0.2, 4),
     ];
@@ -64,17 +69,17 @@
             .map(|at| part(at + 50, EngineStage::Prefill, BackendState::Draining));
         let decode = (0..case.decode).map(|at| part(at, EngineStage::Decode, ready));
         let view = view(prefill.chain(leaving).chain(decode));
-        let keep = prefill_engines_for_share(case.prefill + case.decode, case.share);
-        let changes = plan_stage_changes(&view, "pool", keep);
-        assert_eq!(changes.len(), case.turned, "{}", case.name);
-        let short = case.prefill < keep;
+        let prefill_target = prefill_engines_for_share(case.prefill + case.decode, case.share);
+        let changes = plan_stage_changes(&view, "pool", prefill_target);
+        assert_eq!(changes.len(), case.switched, "{}", case.name);
+        let short = case.prefill < prefill_target;
         let stage = if short { EngineStage::Prefill } else { EngineStage::Decode };
         assert!(changes.iter().all(|change| change.stage == stage), "{}", case.name);
     }
 }
 
 #[test]
-fn the_first_part_leaves_something_to_spare() {
+fn the_initial_number_has_a_margin() {
     let cases = [(1, 1), (3, 1), (6, 2), (9, 3), (13, 3), (36, 8), (90, 19), (2_700, 541)];
     for (engines, prefill) in cases {
         assert_eq!(initial_prefill_engines(engines, 0.2), prefill, "of {engines}");
--- a/crates/dillspool_roles/tests/keeper.rs
+++ b/crates/dillspool_roles/tests/reconciler.rs
@@ -1,4 +1,4 @@
-//! Which orders a fleet of hosts gives as engines come, crash and stay away.
+//! Which orders the hosts of a fleet send as engines join, crash and stay away.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -47,12 +47,12 @@
     }
 }
 
-/// A pool of `prefill` engines named `p0` and on, and `decode` ones named `d0` and on.
+/// A pool of `prefill` engines named `p0` and on, and `decode` engines named `d0` and on.
 fn view(prefill: usize, decode: usize) -> Arc<DirectoryView> {
     view_since(None, prefill, decode)
 }
 
-/// The same, of engines that tell their start.
+/// The same, with engines that report their start.
 fn view_since(start: Option<u64>, prefill: usize, decode: usize) -> Arc<DirectoryView> {
     let named = |count, prefix: &'static str, stage| {
         (0..count).map(move |at| (format!("{prefix}{at}"), stage))
@@ -83,7 +83,7 @@
     CallError::Refused { status: StatusCode::NOT_FOUND }
 }
 
-/// Calls of which orders alone are taken and noted.
+/// Backend calls of which only orders succeed; these are recorded.
 fn calls(orders: &Arc<Mutex<Vec<String>>>) -> BackendCalls {
     let orders = Arc::clone(orders);
     BackendCalls {
@@ -100,15 +100,15 @@
     }
 }
 
-/// Keepers of all hosts over one table, each with a delay of its own.
-fn start_keepers(
+/// Starts the reconcilers of all hosts over one table, each with a delay of its own.
+fn start_reconcilers(
     table: &MemoryTable,
     orders: &Arc<Mutex<Vec<String>>>,
     config: &watch::Receiver<Option<Arc<RoutingConfig>>>,
     listed: &watch::Receiver<Arc<DirectoryView>>,
     cancel: &CancellationToken,
 ) {
-    start_keepers_with(
+    start_reconcilers_with(
         table,
         orders,
         config,
@@ -118,13 +118,13 @@
     );
 }
 
-/// The same, of engines of which some want nothing for now.
-fn start_keepers_with(
+/// The same, with engines of which some have asked the hosts to back off.
+fn start_reconcilers_with(
     table: &MemoryTable,
     orders: &Arc<Mutex<Vec<String>>>,
     config: &watch::Receiver<Option<Arc<RoutingConfig>>>,
     listed: &watch::Receiver<Arc<DirectoryView>>,
-    rests: &BackoffFn,
+    is_backing_off: &BackoffFn,
     cancel: &CancellationToken,
 ) {
     for host in 0..HOSTS {
@@ -135,7 +135,7 @@
             is_first_start: true,
             clock: HostClock::steady(),
             delay: Arc::new(move || Duration::from_secs(host)),
-            is_backing_off: Arc::clone(rests),
+            is_backing_off: Arc::clone(is_backing_off),
         };
         tokio::spawn(reconcile_stages(
             settings,
@@ -148,13 +148,13 @@
     }
 }
 
-struct KeeperCase {
+struct ReconcilerCase {
     name: &'static str,
     /// Engines that prefill and decode at first, and later.
-    at_first: (usize, usize),
+    initial: (usize, usize),
     later: (usize, usize),
-    /// Orders within 15 s of the start, and within so many seconds of the change.
-    ordered_at_first: &'static [&'static str],
+    /// Orders within 15 s of the start, and within `seconds` of the change.
+    ordered_initially: &'static [&'static str],
     seconds: u64,
     ordered_later: &'static [&'static str],
 }
@@ -162,43 +162,43 @@
 #[tokio::test(start_paused = true)]
 async fn one_host_orders_what_the_pool_lacks() {
     let cases = [
-        KeeperCase {
-            name: "a pool that is as it should be",
-            at_first: (3, 6),
+        ReconcilerCase {
+            name: "the pool matches its target",
+            initial: (3, 6),
             later: (3, 6),
-            ordered_at_first: &[],
+            ordered_initially: &[],
             seconds: 100,
             ordered_later: &[],
         },
-        KeeperCase {
+        ReconcilerCase {
             name: "one prefill engine too many, once",
-            at_first: (4, 5),
+            initial: (4, 5),
             later: (3, 6),
-            ordered_at_first: &["p0 Decode"],
+            ordered_initially: &["p0 Decode"],
             seconds: 100,
             ordered_later: &[],
         },
-        KeeperCase {
-            name: "one of three has crashed: it may return",
-            at_first: (3, 6),
+        ReconcilerCase {
+            name: "one of three has crashed and may return",
+            initial: (3, 6),
             later: (2, 6),
-            ordered_at_first: &[],
+            ordered_initially: &[],
             seconds: 25,
             ordered_later: &[],
         },
-        KeeperCase {
+        ReconcilerCase {
             name: "one of three stays away",
-            at_first: (3, 6),
+            initial: (3, 6),
             later: (2, 6),
-            ordered_at_first: &[],
+            ordered_initially: &[],
             seconds: 45,
             ordered_later: &["d0 Prefill"],
         },
-        KeeperCase {
+        ReconcilerCase {
             name: "one of three is left: at once",
-            at_first: (3, 6),
+            initial: (3, 6),
             later: (1, 6),
-            ordered_at_first: &[],
+            ordered_initially: &[],
             seconds: 15,
             ordered_later: &["d0 Prefill"],
         },
@@ -207,12 +207,12 @@
         let table = MemoryTable::new();
         let orders = Arc::default();
         let (_config, config) = watch::channel(Some(Arc::new(config())));
-        let (directory, listed) = watch::channel(view(case.at_first.0, case.at_first.1));
+        let (directory, listed) = watch::channel(view(case.initial.0, case.initial.1));
         let cancel = CancellationToken::new();
-        start_keepers(&table, &orders, &config, &listed, &cancel);
+        start_reconcilers(&table, &orders, &config, &listed, &cancel);
         tokio::time::sleep(Duration::from_secs(15)).await;
         let taken = || std::mem::take(&mut *orders.lock().unwrap());
-        assert_eq!(taken(), case.ordered_at_first, "{}", case.name);
+        assert_eq!(taken(), case.ordered_initially, "{}", case.name);
         directory.send_replace(view(case.later.0, case.later.1));
         tokio::time::sleep(Duration::from_secs(case.seconds)).await;
         assert_eq!(taken(), case.ordered_later, "{}", case.name);
@@ -220,16 +220,17 @@
     }
 }
 
-/// An engine that was ordered and starts again before it has changed knows nothing of the order.
+/// An engine that was ordered and starts again before it has switched does not know of the order,
+/// so it must be ordered again.
 #[tokio::test(start_paused = true)]
-async fn a_start_is_ordered_anew() {
+async fn a_restarted_engine_is_ordered_again() {
     let starts = [(Some(9), Some(7), 2), (Some(9), Some(9), 1), (None, None, 1)];
     for (before, after, ordered) in starts {
         let (table, orders) = (MemoryTable::new(), Arc::default());
         let (_config, config) = watch::channel(Some(Arc::new(config())));
         let (directory, listed) = watch::channel(view_since(before, 4, 5));
         let cancel = CancellationToken::new();
-        start_keepers(&table, &orders, &config, &listed, &cancel);
+        start_reconcilers(&table, &orders, &config, &listed, &cancel);
         tokio::time::sleep(Duration::from_secs(5)).await;
         assert_eq!(orders.lock().unwrap().len(), 1, "{before:?}");
         directory.send_replace(view_since(after, 4, 5));
@@ -239,18 +240,19 @@
     }
 }
 
-/// An engine that has asked for rest is ordered when that is over, and no other one in its place.
+/// An engine that has asked for a backoff is ordered when that is over, and no other engine in its
+/// place.
 #[tokio::test(start_paused = true)]
-async fn an_engine_is_not_ordered_in_a_rest() {
+async fn an_engine_is_not_ordered_during_its_backoff() {
     let (table, orders) = (MemoryTable::new(), Arc::default());
     let (_config, config) = watch::channel(Some(Arc::new(config())));
     let (_directory, listed) = watch::channel(view(4, 5));
     let cancel = CancellationToken::new();
-    let rested = tokio::time::Instant::now() + Duration::from_secs(20);
-    let rests: BackoffFn =
-        Arc::new(move |engine| &*engine.id == "p0" && tokio::time::Instant::now() < rested);
-    start_keepers_with(&table, &orders, &config, &listed, &rests, &cancel);
-    tokio::time::sleep_until(rested).await;
+    let backoff_end = tokio::time::Instant::now() + Duration::from_secs(20);
+    let is_backing_off: BackoffFn =
+        Arc::new(move |engine| &*engine.id == "p0" && tokio::time::Instant::now() < backoff_end);
+    start_reconcilers_with(&table, &orders, &config, &listed, &is_backing_off, &cancel);
+    tokio::time::sleep_until(backoff_end).await;
     assert_eq!(*orders.lock().unwrap(), [""; 0]);
     tokio::time::sleep(Duration::from_secs(10)).await;
     assert_eq!(*orders.lock().unwrap(), ["p0 Decode"]);
--- a/crates/dillspool_roles/tests/restored_lease.rs
+++ b/crates/dillspool_roles/tests/restored_lease.rs
@@ -1,4 +1,4 @@
-//! The lease's row comes back from a copy: terms that it does not show any more still count.
+//! The lease row is restored from a copy: terms that it no longer shows still count.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -11,24 +11,24 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
 
-/// Time that must lie between the orders of two holders.
-const APART: Duration = Duration::from_secs(3);
+/// Minimum time between the orders of two holders.
+const HANDOVER_GAP: Duration = Duration::from_secs(3);
 
 fn lease(table: &MemoryTable, host: &str) -> OrderLease {
-    OrderLease::new(table.store(), host.into(), APART, HostClock::steady())
+    OrderLease::new(table.store(), host.into(), HANDOVER_GAP, HostClock::steady())
 }
 
-async fn take(lease: &OrderLease) -> Option<OrderTerm> {
+async fn acquire(lease: &OrderLease) -> Option<OrderTerm> {
     lease.acquire(&[], &BTreeMap::new(), 1).await.ok().flatten()
 }
 
 struct RestoredCase {
     name: &'static str,
-    /// Hosts that take a term each before the copy,
+    /// Hosts that acquire a term each before the copy,
     before: &'static [&'static str],
-    /// and between the copy and the restoration.
+    /// and between the copy and the restore.
     lost: &'static [&'static str],
-    /// Who takes the next term.
+    /// The host that acquires the next term.
     next: &'static str,
 }
 
@@ -41,14 +41,14 @@
 ];
 
 struct RestoredLease {
-    /// Newest term before the restoration.
+    /// Newest term before the restore.
     last: OrderTerm,
     next: OrderTerm,
     /// Time between the two.
     waited: Duration,
 }
 
-async fn play(case: &RestoredCase) -> RestoredLease {
+async fn run_case(case: &RestoredCase) -> RestoredLease {
     let table = MemoryTable::new();
     let mut leases = BTreeMap::new();
     for host in ["a", "b", "c"] {
@@ -58,38 +58,39 @@
     }
     let mut last = None;
     for host in case.before {
-        last = take(&leases[host]).await;
+        last = acquire(&leases[host]).await;
     }
     let copy = table.copy();
     for host in case.lost {
-        last = take(&leases[host]).await;
+        last = acquire(&leases[host]).await;
     }
     let taken_at = Instant::now();
     table.restore(&copy);
-    let next = take(&leases[case.next]).await.expect("nobody else wants it");
+    let next = acquire(&leases[case.next]).await.expect("nobody else wants it");
     RestoredLease { last: last.expect("a term"), next, waited: taken_at.elapsed() }
 }
 
-/// A fencing token that a lost row named was given out again.
+/// Guards against a fencing token that is given out again because its row was lost in a restore.
 #[tokio::test(start_paused = true)]
-async fn a_restored_store_gave_a_fence_to_two_terms() {
+async fn a_restored_store_gives_no_fence_to_two_terms() {
     for case in &CASES {
-        let RestoredLease { last, next, .. } = play(case).await;
+        let RestoredLease { last, next, .. } = run_case(case).await;
         assert!(next.fence > last.fence, "{}: {} after {}", case.name, next.fence, last.fence);
     }
 }
 
-/// A host that found no row, or its own older one, gave orders while the term of the last holder went on.
+/// Guards against a host that finds no row, or its own older one, and sends orders while the last
+/// holder's term is still valid.
 #[tokio::test(start_paused = true)]
-async fn a_restored_store_let_two_holders_give_orders() {
+async fn a_restored_store_lets_no_two_holders_send_orders() {
     for case in CASES.iter().filter(|case| case.lost != [case.next]) {
-        let RestoredLease { waited, .. } = play(case).await;
-        assert!(waited >= 2 * APART, "{}: after {waited:?}", case.name);
+        let RestoredLease { waited, .. } = run_case(case).await;
+        assert!(waited >= 2 * HANDOVER_GAP, "{}: after {waited:?}", case.name);
     }
 }
 
-/// Terms of three hosts under a seed, with restorations from copies at any moment.
-async fn play_seed(seed: u64) -> Vec<(Instant, &'static str, u64)> {
+/// Terms of three hosts under a seed, with restores from copies at random times.
+async fn run_seed(seed: u64) -> Vec<(Instant, &'static str, u64)> {
     let table = MemoryTable::new();
     let terms = Arc::new(Mutex::new(Vec::new()));
     let hosts = ["a", "b", "c"].map(|host| {
@@ -98,7 +99,7 @@
         tokio::spawn(async move {
             for _round in 0..12 {
                 tokio::time::sleep(Duration::from_millis(random.random_range(1..9_000))).await;
-                if let Some(term) = take(&lease).await {
+                if let Some(term) = acquire(&lease).await {
                     let term = (Instant::now(), host, term.fence);
                     terms.lock().expect("no panic").push(term);
                 }
@@ -106,17 +107,17 @@
         })
     });
     let mut random = SmallRng::seed_from_u64(seed);
-    let restorations = async {
+    let restores = async {
         for _round in 0..6 {
             let mut pause = || Duration::from_millis(random.random_range(1..7_000));
-            let (apart, age) = (pause(), pause());
-            tokio::time::sleep(apart).await;
+            let (interval, age) = (pause(), pause());
+            tokio::time::sleep(interval).await;
             let copy = table.copy();
             tokio::time::sleep(age).await;
             table.restore(&copy);
         }
     };
-    restorations.await;
+    restores.await;
     for host in hosts {
         host.await.expect("no panic");
     }
@@ -126,18 +127,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn fences_rise_and_holders_keep_apart_whenever_the_store_is_restored() {
+async fn fences_increase_and_holders_keep_the_handover_gap_whenever_the_store_is_restored() {
     let mut faults = Vec::new();
     let mut taken = 0;
     for seed in 0..200 {
-        let terms = play_seed(seed).await;
+        let terms = run_seed(seed).await;
         taken += terms.len();
         for pair in terms.windows(2) {
             let [(before, one, fence), (after, other, next)] = pair else { continue };
             if next <= fence {
                 faults.push(format!("seed {seed}: fence {next} of {other} after {fence} of {one}"));
             }
-            if one != other && *after - *before < APART {
+            if one != other && *after - *before < HANDOVER_GAP {
                 faults.push(format!("seed {seed}: {other} {:?} after {one}", *after - *before));
             }
         }
