--- a/crates/dillspool_calls/tests/holders.rs
+++ b/crates/dillspool_calls/tests/holders.rs
@@ -34,7 +34,7 @@
 struct RunningCall {
     server: usize,
     started_at: u64,
-    ends: u64,
+    ends_at: u64,
     by: Decider,
 }
 
@@ -49,8 +49,8 @@
 
 /// A message on a link; it is lost when the link is.
 struct Message {
-    at: u64,
-    sent: u64,
+    arrives_at: u64,
+    sent_at: u64,
     host: usize,
     holder: u64,
     id: u64,
@@ -79,10 +79,10 @@
     holders: BTreeMap<u64, CallQueue>,
     messages: Vec<Message>,
     /// Calls of each holder that wait or were decided, with their hosts.
-    asked: BTreeMap<(u64, u64), usize>,
-    ids: u64,
+    calls_by_holder: BTreeMap<(u64, u64), usize>,
+    last_id: u64,
     /// Highest limit that a holder has had for a server.
-    limit: u32,
+    max_limit: u32,
 }
 
 fn moment(now: u64) -> Moment {
@@ -134,22 +134,22 @@
             hosts: (0..HOSTS).map(host).collect(),
             holders: BTreeMap::new(),
             messages: Vec::new(),
-            asked: BTreeMap::new(),
-            ids: 0,
-            limit: SLOTS,
+            calls_by_holder: BTreeMap::new(),
+            last_id: 0,
+            max_limit: SLOTS,
         };
         simulation.add_holder();
         simulation
     }
 
     fn add_holder(&mut self) {
-        self.ids += 1;
-        self.holders.insert(self.ids, queue(1.0, self.ids, self.now));
+        self.last_id += 1;
+        self.holders.insert(self.last_id, queue(1.0, self.last_id, self.now));
     }
 
     fn send(&mut self, host: usize, holder: u64, id: u64, kind: MessageKind) {
-        let at = self.now + LATENCY_MS;
-        self.messages.push(Message { at, sent: self.now, host, holder, id, kind });
+        let arrives_at = self.now + LATENCY_MS;
+        self.messages.push(Message { arrives_at, sent_at: self.now, host, holder, id, kind });
     }
 
     /// Ends a host's link; its holder, if it still runs, forgets the host's calls.
@@ -157,14 +157,15 @@
         let Decider::Holder(holder) = self.hosts[host].decider else { return };
         self.messages.retain(|message| message.host != host);
         let of_host = |&(&(of, _id), &at): &(&(u64, u64), &usize)| of == holder && at == host;
-        let ids: Vec<_> = self.asked.iter().filter(of_host).map(|(key, _host)| *key).collect();
+        let ids: Vec<_> =
+            self.calls_by_holder.iter().filter(of_host).map(|(key, _host)| *key).collect();
         for key in ids {
-            self.asked.remove(&key);
+            self.calls_by_holder.remove(&key);
             if let Some(queue) = self.holders.get_mut(&holder) {
                 queue.forget(CallId(key.1), moment(self.now));
             }
         }
-        let mut own_queue = queue(OWN_SHARE, self.ids, self.now);
+        let mut own_queue = queue(OWN_SHARE, self.last_id, self.now);
         report(&self.hosts[host], &mut own_queue, self.now);
         self.hosts[host].own_queue = own_queue;
         self.hosts[host].decider = Decider::Host(host);
@@ -178,7 +179,7 @@
             let (holder, queue) = self.holders.iter_mut().nth(which).expect("counted");
             report(&self.hosts[host], queue, self.now);
             for id in self.hosts[host].calls.keys() {
-                self.asked.insert((*holder, *id), host);
+                self.calls_by_holder.insert((*holder, *id), host);
             }
             self.hosts[host].decider = Decider::Holder(*holder);
         }
@@ -210,7 +211,7 @@
             4 => {
                 self.disconnect(host);
                 self.hosts[host].calls.clear();
-                self.hosts[host].own_queue = queue(OWN_SHARE, self.ids, self.now);
+                self.hosts[host].own_queue = queue(OWN_SHARE, self.last_id, self.now);
             }
             _ => {
                 let time = self.random.random_range(50..1000);
@@ -224,15 +225,15 @@
     }
 
     fn run(&mut self, host: usize, id: u64, server: usize, by: Decider) {
-        let ends = self.now + self.random.random_range(10..60);
-        let call = RunningCall { server, started_at: self.now, ends, by };
+        let ends_at = self.now + self.random.random_range(10..60);
+        let call = RunningCall { server, started_at: self.now, ends_at, by };
         self.hosts[host].calls.insert(id, call);
     }
 
     /// A call arrives at a host.
     fn submit(&mut self, host: usize) {
-        self.ids += 1;
-        let id = self.ids;
+        self.last_id += 1;
+        let id = self.last_id;
         if self.approach == Approach::Plain {
             let own = |server: &usize| {
                 self.hosts[host].calls.values().filter(|call| call.server == *server).count()
@@ -260,10 +261,10 @@
 
     /// Sends a holder's decision to the host.
     fn send_decision(&mut self, holder: u64, id: u64, decision: &CallDecision) {
-        let Some(host) = self.asked.get(&(holder, id)).copied() else { return };
+        let Some(host) = self.calls_by_holder.get(&(holder, id)).copied() else { return };
         match decision {
             CallDecision::Wait => {}
-            CallDecision::Reject { .. } => drop(self.asked.remove(&(holder, id))),
+            CallDecision::Reject { .. } => drop(self.calls_by_holder.remove(&(holder, id))),
             CallDecision::Send { backend } => {
                 let server = backend.id.parse().expect("a number");
                 self.send(host, holder, id, MessageKind::Decided { server });
@@ -277,21 +278,23 @@
         match message.kind {
             MessageKind::Submit => {
                 let Some(queue) = self.holders.get_mut(&holder) else { return };
-                self.asked.insert((holder, id), host);
+                self.calls_by_holder.insert((holder, id), host);
                 let decision = queue.submit(CallId(id), request(), now);
                 self.send_decision(holder, id, &decision);
             }
-            MessageKind::Decided { server } if self.now - message.sent <= MAX_DECISION_AGE_MS => {
+            MessageKind::Decided { server }
+                if self.now - message.sent_at <= MAX_DECISION_AGE_MS =>
+            {
                 self.run(host, id, server, Decider::Holder(holder));
             }
             MessageKind::Decided { .. } => {
                 self.send(host, holder, id, MessageKind::Ended { took: 0 });
             }
             MessageKind::Ended { took } => {
-                self.asked.remove(&(holder, id));
+                self.calls_by_holder.remove(&(holder, id));
                 let Some(queue) = self.holders.get_mut(&holder) else { return };
-                let end = if took > 0 { CallOutcome::Answered } else { CallOutcome::Abandoned };
-                queue.complete(CallId(id), end, Duration::from_millis(took), now);
+                let outcome = if took > 0 { CallOutcome::Answered } else { CallOutcome::Abandoned };
+                queue.complete(CallId(id), outcome, Duration::from_millis(took), now);
             }
         }
     }
@@ -299,9 +302,9 @@
     /// Ends the calls of a running host that are over.
     fn end_calls(&mut self, host: usize) {
         let now = self.now;
-        let over = self.hosts[host].calls.extract_if(.., |_id, call| call.ends <= now);
+        let over = self.hosts[host].calls.extract_if(.., |_id, call| call.ends_at <= now);
         for (id, call) in over.collect::<Vec<_>>() {
-            let took = call.ends - call.started_at;
+            let took = call.ends_at - call.started_at;
             match self.hosts[host].decider {
                 Decider::Holder(holder) => self.send(host, holder, id, MessageKind::Ended { took }),
                 Decider::Host(_host) => {
@@ -326,7 +329,7 @@
         let due = |message: &mut Message| {
             let waits = matches!(message.kind, MessageKind::Decided { .. })
                 && self.hosts[message.host].frozen_until > now;
-            message.at <= now && !waits
+            message.arrives_at <= now && !waits
         };
         for message in self.messages.extract_if(.., due).collect::<Vec<_>>() {
             self.deliver(&message);
@@ -353,7 +356,7 @@
         let mut decided = Vec::new();
         for (holder, queue) in &mut self.holders {
             let limits = queue.snapshot(moment(now)).servers.into_iter().map(|server| server.limit);
-            self.limit = limits.fold(self.limit, u32::max);
+            self.max_limit = limits.fold(self.max_limit, u32::max);
             let polled = queue.poll(moment(now)).into_iter();
             decided.extend(polled.map(|(id, decision)| (*holder, id.0, decision)));
         }
@@ -367,11 +370,11 @@
     fn excess(&self) -> usize {
         let excess = |server| {
             let calls = self.hosts.iter().flat_map(|host| host.calls.values());
-            let here = calls.filter(|call| call.server == server && call.ends > self.now);
+            let here = calls.filter(|call| call.server == server && call.ends_at > self.now);
             let deciders: std::collections::BTreeSet<Decider> =
                 here.clone().map(|call| call.by).collect();
             let allowed = deciders.iter().map(|decider| match decider {
-                Decider::Holder(_term) => usize::try_from(self.limit).expect("a small limit"),
+                Decider::Holder(_term) => usize::try_from(self.max_limit).expect("a small limit"),
                 Decider::Host(_host) => 1,
             });
             here.count().saturating_sub(allowed.sum())
@@ -383,8 +386,8 @@
 /// Reports the calls that a host has in flight.
 fn report(host: &ModelHost, queue: &mut CallQueue, now: u64) {
     for (id, call) in &host.calls {
-        let ran = Duration::from_millis(now - call.started_at);
-        queue.adopt(CallId(*id), request(), backend(call.server), ran, moment(now));
+        let elapsed = Duration::from_millis(now - call.started_at);
+        queue.adopt(CallId(*id), request(), backend(call.server), elapsed, moment(now));
     }
 }
 
@@ -408,7 +411,7 @@
 /// Guards against servers that get more calls than their limits while hosts change the host that
 /// decides. `CALL_SCHEDULES=1000` runs more schedules.
 #[test]
-fn changes_of_holders_keep_to_the_limits() {
+fn limits_hold_while_the_holder_changes() {
     let schedules = std::env::var("CALL_SCHEDULES").ok().and_then(|it| it.parse().ok());
     let schedules = schedules.unwrap_or(100);
     let (plain, queue) =
--- a/crates/dillspool_calls/tests/loads.rs
+++ b/crates/dillspool_calls/tests/loads.rs
@@ -115,7 +115,7 @@
 
 /// Guards against a backlog that outlasts its surge, and a surge during which all answers are late.
 #[test]
-fn a_surge_is_over_when_it_ends() {
+fn a_surge_leaves_no_backlog() {
     let rate = |second: f64| if (2.0..5.0).contains(&second) { 2100.0 } else { 420.0 };
     let case = LoadCase { retries: true, ..first_deployment(3, rate, 8.0) };
     let calm = LoadCase { rate: |_second| 420.0, ..case.clone() };
--- a/crates/dillspool_calls/tests/model/mod.rs
+++ b/crates/dillspool_calls/tests/model/mod.rs
@@ -95,7 +95,7 @@
     }
 }
 
-#[expect(clippy::cast_precision_loss, reason = "a result has some millions of microseconds")]
+#[expect(clippy::cast_precision_loss, reason = "a simulation lasts some millions of microseconds")]
 pub fn ms(us: u64) -> f64 {
     us as f64 / 1000.0
 }
