--- a/crates/dillspool_admission/src/lib.rs
+++ b/crates/dillspool_admission/src/lib.rs
@@ -1,17 +1,18 @@
-//! Where a model request runs, how long it waits for that, and when it is turned away.
+//! Admission control and placement of model requests: which engines run a request, how long it may
+//! queue, and when it is rejected.
 //!
-//! These are decisions over readings and a clock that is passed in: no input or output, no task,
-//! no log. Who knows more decides better with the same code: one host with its own streams, or the
-//! scheduler of a pool with those of all hosts. `docs/design/admission.md` names the load pattern
-//! that each decision answers.
+//! The decisions are pure functions of observations and of a clock that the caller passes in: no
+//! I/O, no tasks, no logging. The same code runs on a single host, which knows its own streams
+//! only, and in the scheduler of a pool, which knows those of all hosts and therefore decides
+//! better. `docs/design/admission.md` names the load pattern that each decision answers.
 
-mod decode_book;
+mod breaker;
+mod decode_state;
 mod lifetime;
 mod planner;
-mod prefill_book;
+mod prefill_state;
+mod queue;
 mod request;
-mod shut;
-mod waiting;
 
 pub use lifetime::LifetimeModel;
 pub use planner::{PoolPlanner, PoolSnapshot};
--- a/crates/dillspool_admission/src/lifetime.rs
+++ b/crates/dillspool_admission/src/lifetime.rs
@@ -1,165 +1,176 @@
-//! How long answers hold their memory, against what their callers guessed.
+//! Models how long answers hold memory, given their estimated length.
 //!
-//! A guess is right in the middle and often far off, so what an engine's streams will need is a
-//! matter of chances. They are learnt from the answers of the last seconds, in the time that
-//! answers live: that needs no knowledge of the model, and follows the engines' pace.
+//! The estimates are right in the median but often far off, so the memory that an engine's streams
+//! will need is a random variable. Its distribution is learnt from recently completed answers and
+//! expressed in time, not tokens: this needs no knowledge of the model and follows the speed of the
+//! engines.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use dillspool_survival::{LifetimeSample, SurvivalCurve};
 
-/// Answers kept; some seconds' worth of a large pool, a minute's of a small one.
-const KEPT_ANSWERS: usize = 256;
-/// Answers from which on the assumptions below count no more.
-const FEWEST_ANSWERS: usize = 8;
-/// Seconds a token that are assumed before answers were seen.
-const ASSUMED_PACE_S: f64 = 0.001;
-/// Mean life that is assumed before answers were seen.
-const ASSUMED_LIFE: Duration = Duration::from_secs(2);
-/// Spread of the logarithm of life over guess that is assumed, from the callers' word that the
-/// guess is right in the middle and often far off.
-const ASSUMED_SPREAD: f64 = 0.5;
-/// Points of the curve that is assumed.
-const ASSUMED_POINTS: u32 = 64;
-/// Answers noted until the curve is worked out anew.
-const REFRESH_EVERY: usize = 8;
-/// Time that a stream goes on that has outlived all known ones, as a part of its age.
-const TAIL_PART: f64 = 0.25;
-/// Weight of the assumption that lives are in proportion to guesses, in answers whose guesses vary
-/// by a factor of e.
-const PROPORTION_WEIGHT: f64 = 8.0;
-/// Powers of the guess with which lives may grow.
-const POWERS: std::ops::RangeInclusive<f64> = 0.2..=1.2;
-
-/// An answer that ended, in logarithms of tokens and seconds.
+/// Number of answers kept: those of some seconds in a large pool, of a minute in a small one.
+const MAX_SAMPLES: usize = 256;
+/// Number of answers from which on the defaults below are no longer used.
+const MIN_SAMPLES: usize = 8;
+/// Time per token assumed before any answer has completed.
+const DEFAULT_SECONDS_PER_TOKEN: f64 = 0.001;
+/// Mean lifetime assumed before any answer has completed.
+const DEFAULT_LIFETIME: Duration = Duration::from_secs(2);
+/// Default standard deviation of the logarithm of lifetime over estimate; callers report that their
+/// estimates are right in the median and often far off.
+const DEFAULT_LOG_SPREAD: f64 = 0.5;
+/// Number of points of the default curve.
+const DEFAULT_CURVE_POINTS: u32 = 64;
+/// Number of new answers after which the curve is recomputed.
+const REFRESH_INTERVAL: usize = 8;
+/// Mean remaining lifetime of a stream older than all known lifetimes, as a fraction of its age.
+const TAIL_FRACTION: f64 = 0.25;
+/// Weight of the prior that lifetimes are proportional to estimates, in answers whose estimates
+/// vary by a factor of e.
+const PRIOR_WEIGHT: f64 = 8.0;
+/// Range of the exponent with which lifetimes grow with the estimate.
+const EXPONENT_RANGE: std::ops::RangeInclusive<f64> = 0.2..=1.2;
+
+/// A completed answer, in logarithms of tokens and seconds.
 #[derive(Clone, Copy, Debug)]
-struct EndedAnswer {
-    guess: f64,
-    life: f64,
+struct CompletedAnswer {
+    log_tokens: f64,
+    log_lifetime: f64,
 }
 
-/// The chance of a life, learnt from answers that ended and those that still run.
+/// Distribution of answer lifetimes, learnt from completed answers and from those in progress.
 #[derive(Clone, Debug)]
 pub struct LifetimeModel {
-    /// The newest last.
-    ended: VecDeque<EndedAnswer>,
-    /// Answers noted since the curve was worked out.
-    noted: usize,
-    /// Logarithm of the life that goes with a guess of one token, and the power of the guess with
-    /// which it grows. Long guesses are mostly too long and short ones too short, so the power is
-    /// less than one.
-    base: f64,
-    power: f64,
-    token_s: f64,
-    mean_life: Duration,
-    /// Of lives over the life that goes with the guess.
+    /// Completed answers, newest last.
+    samples: VecDeque<CompletedAnswer>,
+    /// Answers recorded since the curve was computed.
+    new_samples: usize,
+    /// Logarithm of the lifetime for an estimate of one token, and the exponent with which the
+    /// lifetime grows with the estimate. Large estimates tend to be too large and small ones too
+    /// small, so the exponent is usually less than one.
+    intercept: f64,
+    exponent: f64,
+    seconds_per_token: f64,
+    mean_lifetime: Duration,
+    /// Survival curve of lifetimes relative to the typical lifetime for the estimate.
     curve: SurvivalCurve,
 }
 
 impl Default for LifetimeModel {
     fn default() -> Self {
         Self {
-            ended: VecDeque::new(),
-            noted: 0,
-            base: ASSUMED_PACE_S.ln(),
-            power: 1.0,
-            token_s: ASSUMED_PACE_S,
-            mean_life: ASSUMED_LIFE,
-            curve: assumed_curve(),
+            samples: VecDeque::new(),
+            new_samples: 0,
+            intercept: DEFAULT_SECONDS_PER_TOKEN.ln(),
+            exponent: 1.0,
+            seconds_per_token: DEFAULT_SECONDS_PER_TOKEN,
+            mean_lifetime: DEFAULT_LIFETIME,
+            curve: default_curve(),
         }
     }
 }
 
 impl LifetimeModel {
-    /// Notes an answer that ended well after this life.
-    pub fn note(&mut self, guess_tokens: u64, life: Duration) {
-        if life.is_zero() {
+    /// Records an answer that completed successfully after `lifetime`.
+    pub fn record(&mut self, estimated_tokens: u64, lifetime: Duration) {
+        if lifetime.is_zero() {
             return;
         }
-        if self.ended.len() >= KEPT_ANSWERS {
-            self.ended.pop_front();
+        if self.samples.len() >= MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        self.ended
-            .push_back(EndedAnswer { guess: ln(guess_tokens), life: life.as_secs_f64().ln() });
-        self.noted += 1;
+        self.samples.push_back(CompletedAnswer {
+            log_tokens: ln(estimated_tokens),
+            log_lifetime: lifetime.as_secs_f64().ln(),
+        });
+        self.new_samples += 1;
     }
 
-    /// Whether enough answers were noted since the curve was worked out.
+    /// Whether enough answers were recorded since the curve was computed.
     pub fn is_stale(&self) -> bool {
-        self.noted >= REFRESH_EVERY
+        self.new_samples >= REFRESH_INTERVAL
     }
 
-    /// Works the curve out anew; `running` are guesses and ages of streams under way.
+    /// Recomputes the curve; `running` holds the estimates and ages of streams in progress.
     pub fn refresh(&mut self, running: &[(u64, Duration)]) {
-        self.noted = 0;
-        if self.ended.len() < FEWEST_ANSWERS {
+        self.new_samples = 0;
+        if self.samples.len() < MIN_SAMPLES {
             return;
         }
         self.fit();
-        let ended = self.ended.iter().map(|answer| {
-            let usual = self.base + self.power * answer.guess;
-            LifetimeSample { lifetime: (answer.life - usual).exp(), has_ended: true }
+        let completed = self.samples.iter().map(|answer| {
+            let typical = self.intercept + self.exponent * answer.log_tokens;
+            LifetimeSample { lifetime: (answer.log_lifetime - typical).exp(), has_ended: true }
         });
-        let running = running.iter().map(|(guess, age)| LifetimeSample {
-            lifetime: self.part_of_life(*guess, *age),
+        let running = running.iter().map(|(estimated_tokens, age)| LifetimeSample {
+            lifetime: self.relative_age(*estimated_tokens, *age),
             has_ended: false,
         });
-        // Streams under way count, or short answers, which end first, would stand for all.
-        self.curve = SurvivalCurve::estimate(ended.chain(running).collect());
+        // Streams in progress count as censored samples; otherwise short answers, which complete
+        // first, would be overrepresented.
+        self.curve = SurvivalCurve::estimate(completed.chain(running).collect());
     }
 
-    /// The line through the logarithms of guesses and lives that is closest to them.
+    /// Fits a line through the logarithms of estimates and lifetimes by least squares.
     #[expect(clippy::cast_precision_loss, reason = "some hundred answers")]
     fn fit(&mut self) {
-        let count = self.ended.len() as f64;
-        let guess = self.ended.iter().map(|answer| answer.guess).sum::<f64>() / count;
-        let life = self.ended.iter().map(|answer| answer.life).sum::<f64>() / count;
-        let (mut together, mut spread) = (PROPORTION_WEIGHT, PROPORTION_WEIGHT);
-        for answer in &self.ended {
-            together += (answer.guess - guess) * (answer.life - life);
-            spread += (answer.guess - guess).powi(2);
+        let count = self.samples.len() as f64;
+        let mean_tokens = self.samples.iter().map(|answer| answer.log_tokens).sum::<f64>() / count;
+        let mean_lifetime =
+            self.samples.iter().map(|answer| answer.log_lifetime).sum::<f64>() / count;
+        let (mut covariance, mut variance) = (PRIOR_WEIGHT, PRIOR_WEIGHT);
+        for answer in &self.samples {
+            covariance += (answer.log_tokens - mean_tokens) * (answer.log_lifetime - mean_lifetime);
+            variance += (answer.log_tokens - mean_tokens).powi(2);
         }
-        self.power = (together / spread).clamp(*POWERS.start(), *POWERS.end());
-        self.base = life - self.power * guess;
-        self.token_s = (life - guess).exp();
-        let lives = self.ended.iter().map(|answer| answer.life.exp());
-        self.mean_life = Duration::from_secs_f64(lives.sum::<f64>() / count);
+        self.exponent =
+            (covariance / variance).clamp(*EXPONENT_RANGE.start(), *EXPONENT_RANGE.end());
+        self.intercept = mean_lifetime - self.exponent * mean_tokens;
+        self.seconds_per_token = (mean_lifetime - mean_tokens).exp();
+        let lifetimes = self.samples.iter().map(|answer| answer.log_lifetime.exp());
+        self.mean_lifetime = Duration::from_secs_f64(lifetimes.sum::<f64>() / count);
     }
 
-    /// The life that mostly goes with a guess.
-    pub fn usual_life(&self, guess_tokens: u64) -> Duration {
-        Duration::from_secs_f64((self.base + self.power * ln(guess_tokens)).exp())
+    /// The typical lifetime for an estimate.
+    pub fn typical_lifetime(&self, estimated_tokens: u64) -> Duration {
+        Duration::from_secs_f64((self.intercept + self.exponent * ln(estimated_tokens)).exp())
     }
 
-    /// Tokens that an answer mostly has that goes with a guess.
-    pub fn usual_tokens(&self, guess_tokens: u64) -> f64 {
-        self.usual_life(guess_tokens).as_secs_f64() / self.token_s
+    /// The typical number of tokens of an answer for an estimate.
+    pub fn typical_tokens(&self, estimated_tokens: u64) -> f64 {
+        self.typical_lifetime(estimated_tokens).as_secs_f64() / self.seconds_per_token
     }
 
-    fn part_of_life(&self, guess_tokens: u64, age: Duration) -> f64 {
-        age.as_secs_f64() / self.usual_life(guess_tokens).as_secs_f64().max(f64::EPSILON)
+    fn relative_age(&self, estimated_tokens: u64, age: Duration) -> f64 {
+        age.as_secs_f64() / self.typical_lifetime(estimated_tokens).as_secs_f64().max(f64::EPSILON)
     }
 
-    /// Chance that a stream of this age goes on for a time.
-    pub fn lives_on(&self, guess_tokens: u64, age: Duration, time: Duration) -> f64 {
-        let now = self.curve.survival_at(self.part_of_life(guess_tokens, age));
-        if now > 0.0 {
-            return self.curve.survival_at(self.part_of_life(guess_tokens, age + time)) / now;
+    /// Probability that a stream of the given age continues for `further`.
+    pub fn survival_probability(
+        &self,
+        estimated_tokens: u64,
+        age: Duration,
+        further: Duration,
+    ) -> f64 {
+        let surviving = self.curve.survival_at(self.relative_age(estimated_tokens, age));
+        if surviving > 0.0 {
+            return self.curve.survival_at(self.relative_age(estimated_tokens, age + further))
+                / surviving;
         }
-        let tail = (TAIL_PART * age.as_secs_f64()).max(f64::EPSILON);
-        (-time.as_secs_f64() / tail).exp()
+        let tail = (TAIL_FRACTION * age.as_secs_f64()).max(f64::EPSILON);
+        (-further.as_secs_f64() / tail).exp()
     }
 
-    /// Seconds in which an engine makes a token, by lives over guesses: those are right in the
-    /// middle.
-    pub fn token_s(&self) -> f64 {
-        self.token_s
+    /// Time per token, from lifetimes over estimates, which are right in the median.
+    pub fn seconds_per_token(&self) -> f64 {
+        self.seconds_per_token
     }
 
-    /// Mean life of an answer.
-    pub fn mean_life(&self) -> Duration {
-        self.mean_life
+    /// Mean lifetime of an answer.
+    pub fn mean_lifetime(&self) -> Duration {
+        self.mean_lifetime
     }
 }
 
@@ -168,16 +179,17 @@
     (tokens.max(1) as f64).ln()
 }
 
-/// The curve before any answers are known.
-fn assumed_curve() -> SurvivalCurve {
-    let part = |point| f64::from(point) / f64::from(ASSUMED_POINTS);
-    let step = |part: f64| ((ASSUMED_SPREAD * normal_quantile(part)).exp(), 1.0 - part);
-    SurvivalCurve::from_steps((1..ASSUMED_POINTS).map(part).map(step).collect())
+/// The survival curve before any answers are known.
+fn default_curve() -> SurvivalCurve {
+    let quantile = |point| f64::from(point) / f64::from(DEFAULT_CURVE_POINTS);
+    let step =
+        |quantile: f64| ((DEFAULT_LOG_SPREAD * normal_quantile(quantile)).exp(), 1.0 - quantile);
+    SurvivalCurve::from_steps((1..DEFAULT_CURVE_POINTS).map(quantile).map(step).collect())
 }
 
-/// Quantile of the normal distribution, by the logistic curve that is closest to it.
-fn normal_quantile(part: f64) -> f64 {
-    /// Scale of the logistic distribution whose quartiles are those of the normal one.
+/// Approximates the normal quantile by that of the logistic distribution closest to it.
+fn normal_quantile(quantile: f64) -> f64 {
+    /// Scale of the logistic distribution with the same quartiles as the normal distribution.
     const SCALE: f64 = 0.614;
-    SCALE * (part / (1.0 - part)).ln()
+    SCALE * (quantile / (1.0 - quantile)).ln()
 }
--- a/crates/dillspool_admission/src/planner.rs
+++ b/crates/dillspool_admission/src/planner.rs
@@ -1,11 +1,11 @@
-//! Places the requests of one pool, lets them wait, or turns them away.
+//! Places, queues or rejects the requests of one pool.
 //!
-//! [`choose`] decides where, [`wait`] how long and whether, by what [`notes`] takes in; this file keeps what
-//! they rest on.
+//! [`choose`] selects engines, [`wait`] decides whether and how long a request is queued, and
+//! [`events`] records the results. This file holds the state that they share.
 
 mod choose;
 mod completion;
-mod notes;
+mod events;
 mod wait;
 
 use std::collections::{BTreeMap, HashMap};
@@ -17,149 +17,147 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::decode_book::{DecodeBook, StreamRecord};
+use crate::decode_state::{DecodeState, StreamRecord};
 use crate::lifetime::LifetimeModel;
-use crate::prefill_book::{PrefillBook, ReadPace};
+use crate::prefill_state::{PrefillRate, PrefillState};
+use crate::queue::WaitQueue;
 use crate::request::{
     AdmissionPolicy, EngineCapacity, PlacementDecision, PlacementRejection, PlacementRequest,
     PoolEngine, StreamPlacement, TicketId, WorkClass,
 };
-use crate::waiting::WaitingLine;
 
-/// Tokens reserved for an answer at least.
-const SMALLEST_ANSWER: u64 = 500;
-/// Time beside the reading of a prompt until its first event: calls, the move, the first token.
-const OPENING: Duration = Duration::from_millis(40);
-/// Wait for a prefill beyond which a late answer is not begun: its memory would be held for nothing.
-const LATE_PREFILL_WAIT: Duration = Duration::from_millis(250);
-/// When to come back after several engines refused what they were believed to have.
-const REFUSED_COME_BACK_MS: std::ops::Range<u64> = 100..400;
+/// Minimum number of tokens reserved for an answer.
+const MIN_ANSWER_TOKENS: u64 = 500;
+/// Time to the first event beyond the prefill itself: calls, transfer of the KV cache and the first
+/// token.
+const FIRST_TOKEN_OVERHEAD: Duration = Duration::from_millis(40);
+/// Maximum prefill wait of a late answer; a longer one would hold decode memory without using it.
+const MAX_LATE_PREFILL_WAIT: Duration = Duration::from_millis(250);
+/// Retry delay after several engines refused reservations for which they appeared to have memory.
+const REFUSED_RETRY_AFTER_MS: std::ops::Range<u64> = 100..400;
 
-/// What the planner believes at a moment, for the log.
+/// The planner's view of a pool, for logging.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolSnapshot {
-    /// Decode engines that take requests.
+    /// Decode engines that accept requests.
     pub decode_engines: usize,
-    /// Prefill engines that take prompts.
+    /// Prefill engines that accept prompts.
     pub prefill_engines: usize,
-    /// Streams at all decode engines.
+    /// Streams on all decode engines.
     pub streams: usize,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: usize,
-    /// How long the first of them has waited.
+    /// Wait of the oldest queued request.
     pub longest_wait: Duration,
-    /// Tokens of memory that are foreseen to be given back a second.
+    /// Forecast rate at which memory is released, in tokens per second.
     pub released_tokens_per_s: f64,
-    /// Shortest wait at a prefill engine.
+    /// Shortest queue wait of any prefill engine.
     pub min_prefill_wait: Duration,
 }
 
-/// Where a ticket's work is.
+/// The engines that hold work of a request.
 #[derive(Clone, Debug)]
-struct PlacedRecord {
-    decode: Name,
-    /// Engine that is to read its prompt, or reads it.
-    prefill: Option<Name>,
-    /// Engine that has read its prompt.
-    read_by: Option<Name>,
+struct PlacementRecord {
+    decode_engine: Name,
+    /// Engine whose queue holds the prompt, or that is prefilling it.
+    prefill_engine: Option<Name>,
+    /// Engine that completed the prefill.
+    prefilled_by: Option<Name>,
 }
 
 /// Why a request cannot be placed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PlaceLack {
-    Engine,
-    /// No engine has room; it may come to have some.
-    Memory,
-    /// Its prompt cannot be read in time.
-    Prefill,
-    /// Its answer would most likely not be whole at its deadline.
-    Time,
+enum PlacementBlocker {
+    NoEngine,
+    /// No engine has enough memory; memory may become free later.
+    NoMemory,
+    /// The prompt cannot be prefilled in time.
+    SlowPrefill,
+    /// The answer would most likely not complete before its deadline.
+    Deadline,
 }
 
-/// The decisions of one pool.
+/// Decides on the requests of one pool.
 #[derive(Debug)]
 pub struct PoolPlanner {
-    terms: EngineCapacity,
+    engine_capacity: EngineCapacity,
     policy: AdmissionPolicy,
-    decode: BTreeMap<Name, DecodeBook>,
-    prefill: BTreeMap<Name, PrefillBook>,
-    placed: HashMap<TicketId, PlacedRecord>,
-    line: WaitingLine,
-    lengths: LifetimeModel,
-    pace: ReadPace,
-    /// Average gap between two events of a stream.
+    decode_engines: BTreeMap<Name, DecodeState>,
+    prefill_engines: BTreeMap<Name, PrefillState>,
+    placements: HashMap<TicketId, PlacementRecord>,
+    queue: WaitQueue,
+    lifetimes: LifetimeModel,
+    prefill_rate: PrefillRate,
+    /// Moving average of the time between two events of a stream.
     event_gap: Option<Duration>,
-    random: SmallRng,
+    rng: SmallRng,
 }
 
 impl PoolPlanner {
-    /// A planner that knows no engine; `seed` spreads its choices among equals.
-    pub fn new(terms: EngineCapacity, policy: AdmissionPolicy, seed: u64) -> Self {
+    /// Creates a planner without engines; `seed` randomizes the choice among equal engines.
+    pub fn new(capacity: EngineCapacity, policy: AdmissionPolicy, seed: u64) -> Self {
         Self {
-            terms,
+            engine_capacity: capacity,
             policy,
-            decode: BTreeMap::new(),
-            prefill: BTreeMap::new(),
-            placed: HashMap::new(),
-            line: WaitingLine::default(),
-            lengths: LifetimeModel::default(),
-            pace: ReadPace::default(),
+            decode_engines: BTreeMap::new(),
+            prefill_engines: BTreeMap::new(),
+            placements: HashMap::new(),
+            queue: WaitQueue::default(),
+            lifetimes: LifetimeModel::default(),
+            prefill_rate: PrefillRate::default(),
             event_gap: None,
-            random: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Takes what the engines have in common, as the configuration says it now.
-    pub fn set_engine_capacity(&mut self, terms: EngineCapacity) {
-        self.terms = terms;
+    /// Applies a changed engine capacity.
+    pub fn set_engine_capacity(&mut self, capacity: EngineCapacity) {
+        self.engine_capacity = capacity;
     }
 
-    /// Takes the engines that take requests now. One that has started again holds nothing of before, and
-    /// nothing that it did counts any more.
+    /// Replaces the set of engines that accept requests. A restarted engine holds no earlier
+    /// streams, and its faults before the restart no longer count.
     pub fn set_engines(&mut self, engines: impl Iterator<Item = PoolEngine>) {
         let (mut decode, mut prefill) = (BTreeMap::new(), BTreeMap::new());
-        for PoolEngine {
-            backend: BackendInstance { id, start },
-            failure_domain: domain,
-            is_prefill: prefills,
-        } in engines
+        for PoolEngine { backend: BackendInstance { id, start }, failure_domain, is_prefill } in
+            engines
         {
-            if BackendStart::are_different(self.start_of(&id), start) {
-                self.leave_engine(&id);
+            if BackendStart::are_different(self.engine_start(&id), start) {
+                self.remove_engine(&id);
             }
-            if prefills {
-                let book = self.prefill.remove(&id);
-                let mut book = book.unwrap_or_else(|| PrefillBook::new(domain, start));
-                book.start = start.or(book.start);
-                prefill.insert(id, book);
+            if is_prefill {
+                let state = self.prefill_engines.remove(&id);
+                let mut state = state.unwrap_or_else(|| PrefillState::new(failure_domain, start));
+                state.start = start.or(state.start);
+                prefill.insert(id, state);
             } else {
-                let book = self.decode.remove(&id);
-                let mut book = book.unwrap_or_else(|| DecodeBook::new(domain, start));
-                book.start = start.or(book.start);
-                decode.insert(id, book);
+                let state = self.decode_engines.remove(&id);
+                let mut state = state.unwrap_or_else(|| DecodeState::new(failure_domain, start));
+                state.start = start.or(state.start);
+                decode.insert(id, state);
             }
         }
-        (self.decode, self.prefill) = (decode, prefill);
+        (self.decode_engines, self.prefill_engines) = (decode, prefill);
     }
 
-    /// The start that is known of an engine; `None` where none was told.
-    fn start_of(&self, engine: &Name) -> Option<BackendStart> {
-        let decode = self.decode.get(engine).and_then(|book| book.start);
-        decode.or_else(|| self.prefill.get(engine).and_then(|book| book.start))
+    /// The last known start of an engine, if any was reported.
+    fn engine_start(&self, engine: &Name) -> Option<BackendStart> {
+        let decode = self.decode_engines.get(engine).and_then(|state| state.start);
+        decode.or_else(|| self.prefill_engines.get(engine).and_then(|state| state.start))
     }
 
-    /// Forgets all about an engine; requests that were there have lost it.
-    fn leave_engine(&mut self, engine: &Name) {
-        self.decode.remove(engine);
-        self.prefill.remove(engine);
-        self.placed.retain(|_ticket, placed| placed.decode != *engine);
-        for placed in self.placed.values_mut() {
-            placed.prefill.take_if(|prefill| prefill == engine);
-            placed.read_by.take_if(|reader| reader == engine);
+    /// Removes all state of an engine; its requests lose their placement there.
+    fn remove_engine(&mut self, engine: &Name) {
+        self.decode_engines.remove(engine);
+        self.prefill_engines.remove(engine);
+        self.placements.retain(|_ticket, placement| placement.decode_engine != *engine);
+        for placement in self.placements.values_mut() {
+            placement.prefill_engine.take_if(|prefill| prefill == engine);
+            placement.prefilled_by.take_if(|prefiller| prefiller == engine);
         }
     }
 
-    /// Decides on a request; one that was placed before leaves its old place.
+    /// Decides on a request; an earlier placement of the same request is released first.
     pub fn decide(
         &mut self,
         ticket: TicketId,
@@ -167,38 +165,36 @@
         now: Moment,
     ) -> PlacementDecision {
         self.remove(ticket);
-        self.refresh(now);
-        let request = self.with_true_class(request);
+        self.refresh_lifetimes(now);
+        let request = self.with_achievable_class(request);
         if request.refusals >= self.policy.most_refusals {
-            let come_back = Duration::from_millis(self.random.random_range(REFUSED_COME_BACK_MS));
-            return PlacementDecision::Reject {
-                cause: PlacementRejection::Refused,
-                retry_after: come_back,
-            };
+            let retry_after = Duration::from_millis(self.rng.random_range(REFUSED_RETRY_AFTER_MS));
+            return PlacementDecision::Reject { cause: PlacementRejection::Refused, retry_after };
         }
         match self.choose(&request, now) {
             Ok(placement) => self.place(ticket, &request, placement, now),
-            Err(cause) => self.wait_or_turn_away(ticket, request, cause, now),
+            Err(blocker) => self.queue_or_reject(ticket, request, blocker, now),
         }
     }
 
-    /// Chooses another prefill engine for a request that has its memory; `None` when its decode
-    /// engine should read the prompt.
+    /// Chooses another prefill engine for a request that has decode memory; `None` if its decode
+    /// engine should prefill the prompt.
     pub fn choose_prefill(
         &mut self,
         ticket: TicketId,
         request: &PlacementRequest,
         now: Moment,
     ) -> Option<Name> {
-        let decode = Name::clone(&self.placed.get(&ticket)?.decode);
-        self.leave_prefill(ticket);
-        let domain = self.decode.get(&decode).map(|book| Name::clone(&book.domain));
+        let decode = Name::clone(&self.placements.get(&ticket)?.decode_engine);
+        self.dequeue_prefill(ticket);
+        let domain =
+            self.decode_engines.get(&decode).map(|state| Name::clone(&state.failure_domain));
         let domain = domain.unwrap_or_else(|| Name::clone(&request.failure_domain));
-        let (prefill, wait) = self.best_prefill(request, &domain, now)?;
-        if wait > request.objective_left.max(LATE_PREFILL_WAIT) {
+        let (prefill, wait) = self.shortest_prefill_queue(request, &domain, now)?;
+        if wait > request.objective_left.max(MAX_LATE_PREFILL_WAIT) {
             return None;
         }
-        self.enter_prefill(ticket, &prefill, request.prompt_tokens, now);
+        self.enqueue_prefill(ticket, &prefill, request.prompt_tokens, now);
         Some(prefill)
     }
 
@@ -213,74 +209,84 @@
         self.remove(ticket);
         let decode = Name::clone(&placement.decode_engine);
         self.place(ticket, request, placement, now);
-        if let Some(book) = self.decode.get_mut(&decode) {
-            // When its prompt was read, if here, is not known.
-            book.note_read(ticket);
+        if let Some(state) = self.decode_engines.get_mut(&decode) {
+            // It is not known when the decode engine prefilled the prompt, if it did.
+            state.record_prefill_done(ticket);
         }
     }
 
-    /// Serves those that wait, and turns away those for whom it is too late.
+    /// Decides on queued requests: places those for which an engine is available and rejects those
+    /// whose wait has expired.
     pub fn poll(&mut self, now: Moment) -> Vec<(TicketId, PlacementDecision)> {
-        let mut decided = Vec::new();
-        self.refresh(now);
-        for ticket in self.line.tickets() {
-            let Some(record) = self.line.get(ticket).cloned() else { continue };
-            let request = record.request_at(now);
+        let mut decisions = Vec::new();
+        self.refresh_lifetimes(now);
+        for ticket in self.queue.tickets() {
+            let Some(queued) = self.queue.get(ticket).cloned() else { continue };
+            let request = queued.request_at(now);
             let decision = match self.choose(&request, now) {
                 Ok(placement) => self.place(ticket, &request, placement, now),
-                Err(cause) if now >= record.give_up || cause == PlaceLack::Time => {
-                    self.turn_away(&record.request, cause)
+                Err(blocker)
+                    if now >= queued.expires_at || blocker == PlacementBlocker::Deadline =>
+                {
+                    self.reject(&queued.request, blocker)
                 }
-                Err(_cause) => continue,
+                Err(_blocker) => continue,
             };
-            self.line.remove(ticket);
-            decided.push((ticket, decision));
+            self.queue.remove(ticket);
+            decisions.push((ticket, decision));
         }
-        decided
+        decisions
     }
 
-    /// Whether anybody waits.
+    /// Whether any requests are queued.
     pub fn has_queued(&self) -> bool {
-        !self.line.is_empty()
+        !self.queue.is_empty()
     }
 
-    /// Takes a request off, wherever it is.
+    /// Removes a request from the queue and from its engines.
     pub fn remove(&mut self, ticket: TicketId) {
-        let _stream = self.take_off(ticket);
+        let _stream = self.detach(ticket);
     }
 
-    fn take_off(&mut self, ticket: TicketId) -> Option<StreamRecord> {
-        self.line.remove(ticket);
-        self.leave_prefill(ticket);
-        let placed = self.placed.remove(&ticket)?;
-        self.decode.get_mut(&placed.decode)?.remove(ticket)
+    fn detach(&mut self, ticket: TicketId) -> Option<StreamRecord> {
+        self.queue.remove(ticket);
+        self.dequeue_prefill(ticket);
+        let placement = self.placements.remove(&ticket)?;
+        self.decode_engines.get_mut(&placement.decode_engine)?.remove(ticket)
     }
 
-    /// What is believed now.
+    /// Returns the current view of the pool.
     pub fn snapshot(&self, now: Moment) -> PoolSnapshot {
-        let pace_s = self.pace.token_s();
-        let open = self.prefill.values().filter(|book| !book.shut.is_shut(now));
+        let seconds_per_token = self.prefill_rate.seconds_per_token();
+        let available = self.prefill_engines.values().filter(|state| !state.breaker.is_open(now));
         PoolSnapshot {
-            decode_engines: self.decode.values().filter(|book| !book.shut.is_shut(now)).count(),
-            prefill_engines: open.clone().count(),
-            streams: self.decode.values().map(|book| book.streams.len()).sum(),
-            queued: self.line.len(),
-            longest_wait: self.line.longest_wait(now),
-            released_tokens_per_s: self.released_per_s(now),
-            min_prefill_wait: open.map(|book| book.wait(now, pace_s)).min().unwrap_or_default(),
+            decode_engines: self
+                .decode_engines
+                .values()
+                .filter(|state| !state.breaker.is_open(now))
+                .count(),
+            prefill_engines: available.clone().count(),
+            streams: self.decode_engines.values().map(|state| state.streams.len()).sum(),
+            queued: self.queue.len(),
+            longest_wait: self.queue.longest_wait(now),
+            released_tokens_per_s: self.released_tokens_per_s(now),
+            min_prefill_wait: available
+                .map(|state| state.queue_wait(now, seconds_per_token))
+                .min()
+                .unwrap_or_default(),
         }
     }
 
-    /// Works the lives of answers out anew when enough have ended.
-    fn refresh(&mut self, now: Moment) {
-        if !self.lengths.is_stale() {
+    /// Refits the lifetime model once enough answers have completed.
+    fn refresh_lifetimes(&mut self, now: Moment) {
+        if !self.lifetimes.is_stale() {
             return;
         }
-        let streams = self.decode.values().flat_map(|book| &book.streams);
-        let running = streams.filter(|stream| stream.started.is_some());
+        let streams = self.decode_engines.values().flat_map(|state| &state.streams);
+        let running = streams.filter(|stream| stream.started_at.is_some());
         let running: Vec<_> =
-            running.map(|stream| (stream.guess_tokens, stream.age(now))).collect();
-        self.lengths.refresh(&running);
+            running.map(|stream| (stream.estimated_tokens, stream.age(now))).collect();
+        self.lifetimes.refresh(&running);
     }
 
     fn place(
@@ -290,46 +296,50 @@
         placement: StreamPlacement,
         now: Moment,
     ) -> PlacementDecision {
-        let mut stream = self.stream_of(ticket, request);
+        let mut stream = self.stream_record(ticket, request);
         stream.reserve_tokens = placement.reserve_tokens;
-        stream.read_since = placement.prefill_engine.is_none().then_some(now);
-        if let Some(book) = self.decode.get_mut(&placement.decode_engine) {
-            book.add(stream);
+        stream.prefill_since = placement.prefill_engine.is_none().then_some(now);
+        if let Some(state) = self.decode_engines.get_mut(&placement.decode_engine) {
+            state.add(stream);
         }
         let decode = Name::clone(&placement.decode_engine);
-        self.placed.insert(ticket, PlacedRecord { decode, prefill: None, read_by: None });
+        self.placements.insert(
+            ticket,
+            PlacementRecord { decode_engine: decode, prefill_engine: None, prefilled_by: None },
+        );
         if let Some(prefill) = &placement.prefill_engine {
-            self.enter_prefill(ticket, prefill, request.prompt_tokens, now);
+            self.enqueue_prefill(ticket, prefill, request.prompt_tokens, now);
         }
         PlacementDecision::Place(placement)
     }
 
-    fn enter_prefill(&mut self, ticket: TicketId, engine: &Name, tokens: u64, now: Moment) {
-        if let Some(book) = self.prefill.get_mut(engine) {
-            book.add(ticket, tokens, now);
+    fn enqueue_prefill(&mut self, ticket: TicketId, engine: &Name, tokens: u64, now: Moment) {
+        if let Some(state) = self.prefill_engines.get_mut(engine) {
+            state.add(ticket, tokens, now);
         }
-        if let Some(placed) = self.placed.get_mut(&ticket) {
-            placed.prefill = Some(Name::clone(engine));
+        if let Some(placement) = self.placements.get_mut(&ticket) {
+            placement.prefill_engine = Some(Name::clone(engine));
         }
     }
 
-    fn leave_prefill(&mut self, ticket: TicketId) {
-        let engine = self.placed.get_mut(&ticket).and_then(|placed| placed.prefill.take());
-        if let Some(book) = engine.and_then(|engine| self.prefill.get_mut(&engine)) {
-            let _tokens = book.remove(ticket);
+    fn dequeue_prefill(&mut self, ticket: TicketId) {
+        let engine =
+            self.placements.get_mut(&ticket).and_then(|placement| placement.prefill_engine.take());
+        if let Some(state) = engine.and_then(|engine| self.prefill_engines.get_mut(&engine)) {
+            let _tokens = state.remove(ticket);
         }
     }
 
-    /// A stream as it would be at an engine.
-    fn stream_of(&self, ticket: TicketId, request: &PlacementRequest) -> StreamRecord {
+    /// The stream that a request would become on a decode engine.
+    fn stream_record(&self, ticket: TicketId, request: &PlacementRequest) -> StreamRecord {
         StreamRecord {
             ticket,
             prompt_tokens: request.prompt_tokens,
-            guess_tokens: request.estimated_tokens,
-            most_tokens: request.max_tokens,
-            reserve_tokens: self.reserve_tokens(request),
-            started: None,
-            read_since: None,
+            estimated_tokens: request.estimated_tokens,
+            max_tokens: request.max_tokens,
+            reserve_tokens: self.reservation_tokens(request),
+            started_at: None,
+            prefill_since: None,
         }
     }
 
@@ -338,16 +348,17 @@
         clippy::cast_sign_loss,
         reason = "tokens are far below 2^52 and not negative"
     )]
-    fn reserve_tokens(&self, request: &PlacementRequest) -> u64 {
-        let usual = self.lengths.usual_tokens(request.estimated_tokens);
-        let part = (usual * self.policy.reserved_part) as u64;
-        request.prompt_tokens + part.max(SMALLEST_ANSWER).min(request.max_tokens.max(1))
+    fn reservation_tokens(&self, request: &PlacementRequest) -> u64 {
+        let typical = self.lifetimes.typical_tokens(request.estimated_tokens);
+        let estimate = (typical * self.policy.reserved_part) as u64;
+        request.prompt_tokens + estimate.max(MIN_ANSWER_TOKENS).min(request.max_tokens.max(1))
     }
 
-    /// A request that cannot be in time even where nothing waits is late whatever happens; to turn
-    /// it away for that would gain its caller nothing.
-    fn with_true_class(&self, mut request: PlacementRequest) -> PlacementRequest {
-        if request.class == WorkClass::InTime && !self.is_soon_enough(&request, Duration::ZERO) {
+    /// Downgrades a request that cannot meet its objective even without queueing: rejecting it for
+    /// that would gain its caller nothing.
+    fn with_achievable_class(&self, mut request: PlacementRequest) -> PlacementRequest {
+        if request.class == WorkClass::InTime && !self.is_prefill_in_time(&request, Duration::ZERO)
+        {
             request.class = WorkClass::Late;
         }
         request
--- a/crates/dillspool_admission/src/request.rs
+++ b/crates/dillspool_admission/src/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of the planner, and what it decides.
+//! Input and output types of the planner.
 
 use std::time::Duration;
 
@@ -6,82 +6,84 @@
 use dillspool_routing::BackendInstance;
 use dillspool_schema::Name;
 
-/// Names a request with the planner; unique among those under way.
+/// Identifies a request to the planner; unique among the requests in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(pub u64);
 
-/// An engine that takes requests now.
+/// An engine that accepts requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolEngine {
-    /// Which one, and of which start.
+    /// The engine's backend server and its start.
     pub backend: BackendInstance,
-    /// Its failure domain.
+    /// The engine's failure domain.
     pub failure_domain: Name,
-    /// Whether it prefills; else it decodes.
+    /// Whether the engine runs prefills; otherwise it decodes.
     pub is_prefill: bool,
 }
 
-/// How much an answer is worth to its caller, most first.
+/// What an answer is worth to its caller, in descending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WorkClass {
-    /// An answer that has begun and must go on elsewhere; its caller leaves within seconds.
+    /// The answer has begun and must be resumed elsewhere; its caller gives up within seconds.
     UnderWay,
-    /// An answer whose first event can still be in time.
+    /// The first event can still meet the objective.
     InTime,
-    /// An answer that is late whatever happens, as of a caller that was refused before.
+    /// The answer misses the objective in any case, for example because its caller was rejected
+    /// before.
     Late,
 }
 
 /// A model request that needs an engine.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// What it is worth.
+    /// What the answer is worth.
     pub class: WorkClass,
-    /// Rank of its workspace, before that of its route; 0 is the highest.
+    /// Priority of the workspace, which precedes that of the route; 0 is the highest.
     pub workspace_priority: u32,
-    /// Rank of its route; 0 is the highest.
+    /// Priority of the route; 0 is the highest.
     pub priority: u32,
-    /// Failure domain of the host that has the caller.
+    /// Failure domain of the host to which the caller is connected.
     pub failure_domain: Name,
-    /// Tokens to read before the first event, those of a broken answer included.
+    /// Tokens to prefill before the first event, including those of an interrupted answer.
     pub prompt_tokens: u64,
-    /// The caller's guess of the answer's tokens.
+    /// The caller's estimate of the answer's length.
     pub estimated_tokens: u64,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the answer.
     pub max_tokens: u64,
-    /// Time in which the first event is in time; zero when it is late anyway.
+    /// Time left for the first event to meet the objective; zero if the objective is missed
+    /// already.
     pub objective_left: Duration,
-    /// Longest that it may wait for an engine, whatever comes of it.
+    /// Maximum time to wait for an engine, regardless of the outcome.
     pub max_wait: Duration,
     /// Time until the caller gives up.
     pub time_left: Duration,
-    /// Longest pause between two events of an answer that is in time.
+    /// Maximum time between two events of an answer that counts as in time.
     pub max_event_gap: Option<Duration>,
-    /// Engines that it must not go to again.
+    /// Engines that must not be tried again.
     pub excluded: Vec<Name>,
-    /// Engines that have refused it a place until now.
+    /// Number of engines that have refused a reservation for this request.
     pub refusals: usize,
-    /// The engines that its host knows; `None` for all.
+    /// The engines that the request's host knows; `None` for all.
     pub subset: Option<ClassSubset>,
 }
 
-/// The place of a request among those that wait; the least goes first.
+/// The priority of a queued request; the lowest value is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct RequestRank {
+pub(crate) struct QueuePriority {
     class: WorkClass,
     workspace_priority: u32,
     priority: u32,
 }
 
 impl PlacementRequest {
-    /// Whether it may go to an engine, as far as its host is concerned.
-    pub(crate) fn may_go_to(&self, engine: &Name) -> bool {
+    /// Whether the request's host allows placing it on the engine.
+    pub(crate) fn allows_engine(&self, engine: &Name) -> bool {
         !self.excluded.contains(engine) && self.subset.is_none_or(|part| part.contains(engine))
     }
 
-    /// Its place among those that wait: what it is worth, then who asks, then for what.
-    pub(crate) fn rank(&self) -> RequestRank {
-        RequestRank {
+    /// The queue priority: class first, then workspace, then route.
+    pub(crate) fn queue_priority(&self) -> QueuePriority {
+        QueuePriority {
             class: self.class,
             workspace_priority: self.workspace_priority,
             priority: self.priority,
@@ -89,116 +91,116 @@
     }
 }
 
-/// Where a request runs.
+/// The engines that run a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamPlacement {
     /// Engine that decodes.
     pub decode_engine: Name,
-    /// Tokens of memory to reserve there.
+    /// Tokens of memory to reserve on the decode engine.
     pub reserve_tokens: u64,
-    /// Engine that reads the prompt; `None` when the decode engine reads it itself.
+    /// Engine that prefills the prompt; `None` if the decode engine does.
     pub prefill_engine: Option<Name>,
 }
 
-/// Why a request was turned away.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementRejection {
-    /// No engine takes requests.
+    /// No engine accepts requests.
     NoEngine,
-    /// No engine will have memory for it in time.
+    /// No engine will have enough memory in time.
     NoMemory,
-    /// No engine will have read its prompt in time.
+    /// No engine will have prefilled the prompt in time.
     NoPrefill,
-    /// So many engines refused it that what is believed of them cannot be right.
+    /// Too many engines refused the request, so the planner's view of them must be wrong.
     Refused,
 }
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlacementDecision {
-    /// It runs there.
+    /// Run the request on these engines.
     Place(StreamPlacement),
-    /// It waits; a later look at the line decides.
+    /// The request is queued; a later poll decides.
     Wait,
-    /// It is refused at once.
+    /// The request is rejected.
     Reject {
         /// Why.
         cause: PlacementRejection,
-        /// When its caller should come back.
+        /// Delay after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// What an engine did other than expected.
+/// An unexpected result from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineFault {
-    /// It had no memory for a reservation.
+    /// The engine had no memory for a reservation.
     NoMemory,
-    /// It refused a prefill.
+    /// The engine refused a prefill.
     PrefillRefused,
-    /// It refused a request for which it had reserved memory.
+    /// The engine refused a request for which it had reserved memory.
     ReservedRequestRefused,
-    /// It gave no connection.
+    /// No connection could be made.
     Unreachable,
-    /// It gave no proper answer.
+    /// No valid response arrived.
     NoResponse,
-    /// It answered with a failure of its own.
+    /// The engine responded with an error of its own.
     Failed,
 }
 
-/// How a stream left its engine.
+/// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamEnd {
-    /// Whether its answer is whole, so that its life tells of others.
+    /// Whether the answer is complete; only then its lifetime is a sample for other answers.
     pub is_complete: bool,
-    /// Mean time between two of its events, if it had some.
+    /// Mean time between two events, if there were at least two.
     pub event_gap: Option<Duration>,
 }
 
-/// What the engines of a pool have in common.
+/// Capacity of each engine of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineCapacity {
-    /// Tokens that fit into an engine's memory.
+    /// Tokens that fit into the memory of an engine.
     pub memory_tokens: u64,
-    /// Requests that an engine runs at once.
+    /// Requests that an engine runs concurrently.
     pub slots: u32,
 }
 
-/// The limits by which the planner decides; `docs/design/admission.md` has the run behind each.
+/// Settings of the planner's decisions; `docs/design/admission.md` has the runs behind each.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionPolicy {
-    /// Part of the guess that is reserved at the engine.
+    /// Fraction of the estimated answer that is reserved on the decode engine.
     pub reserved_part: f64,
-    /// Standard deviations of an engine's foreseen memory that must fit beside its mean.
+    /// Standard deviations of an engine's forecast memory that must fit in addition to its mean.
     pub memory_deviations: f64,
-    /// Part of an engine's memory that must be left beside a late answer.
+    /// Fraction of an engine's memory that must stay free next to a late answer.
     pub late_margin: f64,
-    /// Longest wait of a late answer for memory, as a part of the mean life of an answer.
+    /// Maximum wait of a late answer for memory, as a fraction of the mean lifetime of an answer.
     pub late_wait: f64,
-    /// Whether, among equals in rank, requests that take little memory for a short time go first, in
-    /// place of those that came first.
+    /// Whether requests of equal priority are ordered by memory times expected lifetime, lowest
+    /// first, instead of by arrival.
     pub by_cost: bool,
-    /// When a refused caller should come back at the earliest, as a part of the time that it has left.
+    /// Earliest retry of a rejected caller, as a fraction of the time it has left.
     pub come_back_from: f64,
-    /// Chance that a late answer is whole at its deadline below which it is not begun; half of it
-    /// for others, 0 to begin all.
+    /// Minimum probability that a late answer completes before its deadline for it to be started;
+    /// half of this for other answers, 0 to start all.
     pub completion_chance: f64,
-    /// Whether prompts may be read at decode engines.
+    /// Whether decode engines may prefill prompts.
     pub reads_at_decode: bool,
-    /// Engines that may refuse one request before it is turned away.
+    /// Number of engines that may refuse a request before it is rejected.
     pub most_refusals: usize,
-    /// Failures in a row after which an engine is left alone; 0 for never.
+    /// Consecutive failures after which an engine's circuit breaker opens; 0 disables this.
     pub failures_before_shut: u32,
-    /// Room that an engine counts as having less that takes twice as long as usual, as a part of its
-    /// memory; 0 where the engines' paces are not told apart.
+    /// Penalty in ranking for an engine that takes twice as long per token as usual, as a fraction
+    /// of its memory; 0 ignores the speed of engines.
     pub slow_weight: f64,
-    /// Room that an engine whose requests all fail counts as having less, as a part of its memory.
+    /// Penalty in ranking for an engine whose requests all fail, as a fraction of its memory.
     pub failure_weight: f64,
 }
 
 impl EngineCapacity {
-    /// Of engines that the configuration says nothing of: nothing is foreseen to run out, and their
-    /// own refusals decide.
+    /// Capacity of engines without a configured capacity: no shortage is forecast, and only
+    /// refusals by the engines limit them.
     pub const UNLIMITED: Self = Self { memory_tokens: u32::MAX as u64, slots: u32::MAX };
 }
 
--- a/crates/dillspool_admission/tests/deadlines.rs
+++ b/crates/dillspool_admission/tests/deadlines.rs
@@ -1,4 +1,5 @@
-//! A stream that cannot be whole at its caller's deadline is not begun, and holds no memory for nothing.
+//! A stream that is unlikely to complete before its caller's deadline is not started, so it holds
+//! no memory in vain.
 
 use std::time::Duration;
 
@@ -12,56 +13,68 @@
 struct DeadlineCase {
     name: &'static str,
     class: WorkClass,
-    /// Time that the caller has left; an answer of its guess mostly takes 2,000 ms.
+    /// Time left to the caller; an answer of the estimated length typically takes 2,000 ms.
     left_ms: u64,
     chance: f64,
-    begins: bool,
+    is_started: bool,
 }
 
 const CASES: [DeadlineCase; 8] = [
-    DeadlineCase { name: "off", class: WorkClass::Late, left_ms: 500, chance: 0.0, begins: true },
-    DeadlineCase { name: "late", class: WorkClass::Late, left_ms: 500, chance: 0.7, begins: false },
+    DeadlineCase {
+        name: "off",
+        class: WorkClass::Late,
+        left_ms: 500,
+        chance: 0.0,
+        is_started: true,
+    },
+    DeadlineCase {
+        name: "late",
+        class: WorkClass::Late,
+        left_ms: 500,
+        chance: 0.7,
+        is_started: false,
+    },
     DeadlineCase {
         name: "new",
         class: WorkClass::InTime,
         left_ms: 950,
         chance: 0.7,
-        begins: false,
+        is_started: false,
     },
     DeadlineCase {
         name: "resumed",
         class: WorkClass::UnderWay,
         left_ms: 500,
         chance: 0.7,
-        begins: false,
+        is_started: false,
     },
     DeadlineCase {
         name: "an even chance, late",
         class: WorkClass::Late,
         left_ms: 2_400,
         chance: 0.7,
-        begins: false,
+        is_started: false,
     },
     DeadlineCase {
         name: "an even chance, new",
         class: WorkClass::InTime,
         left_ms: 2_400,
         chance: 0.7,
-        begins: true,
+        is_started: true,
     },
     DeadlineCase {
-        name: "enough for most",
+        name: "enough time for most answers",
         class: WorkClass::Late,
         left_ms: 6_000,
         chance: 0.7,
-        begins: true,
+        is_started: true,
     },
     DeadlineCase {
-        name: "enough for the longest",
+        name: "enough time for the longest answer",
         class: WorkClass::Late,
         left_ms: 5_300,
         chance: 1.0,
-        begins: true,
+        is_started: true,
     },
 ];
 
@@ -95,11 +108,11 @@
 }
 
 #[test]
-fn a_stream_is_begun_only_if_it_can_be_whole() {
+fn streams_start_only_if_likely_to_complete() {
     for case in CASES {
         let decision = decide(&case);
-        let begins = matches!(decision, PlacementDecision::Place(_));
-        assert_eq!(begins, case.begins, "{}: {decision:?}", case.name);
+        let is_started = matches!(decision, PlacementDecision::Place(_));
+        assert_eq!(is_started, case.is_started, "{}: {decision:?}", case.name);
         assert_ne!(decision, PlacementDecision::Wait, "{}", case.name);
     }
 }
--- a/crates/dillspool_admission/tests/model/world.rs
+++ b/crates/dillspool_admission/tests/model/simulation.rs
@@ -1,4 +1,4 @@
-//! The engines and callers of the model, moment by moment.
+//! The event loop of the simulation.
 
 #![expect(
     clippy::cast_precision_loss,
@@ -18,68 +18,68 @@
 use dillspool_routing::BackendInstance;
 use dillspool_schema::Name;
 
-use super::engines::{Decode, Run, is_slow};
+use super::engines::{DecodeEngine, RunningStream, is_slow};
 use super::{Arrival, Outcome, PoolModel};
 
-/// Time between two looks at everything.
+/// Simulation step.
 pub(super) const TICK_MS: u64 = 2;
-/// Time between two looks at those who wait.
-const LOOK_MS: u64 = 10;
-/// Time for which a refusal for want of memory says that memory binds.
-const BINDS_MS: u64 = 200;
-/// Prompt tokens that a prefill engine reads in a millisecond.
-pub(super) const READ_TOKENS_A_MS: f64 = 55.6;
-/// Calls, the move and the first token.
-pub(super) const OPENING_MS: u64 = 8;
-pub(super) const PAUSE_MS: u64 = 300;
+/// Interval at which the planner's queue is polled.
+const POLL_INTERVAL_MS: u64 = 10;
+/// Period after a rejection for lack of memory in which memory counts as scarce.
+const MEMORY_SHORTAGE_MS: u64 = 200;
+/// Prompt tokens that a prefill engine processes per millisecond.
+pub(super) const PREFILL_TOKENS_PER_MS: f64 = 55.6;
+/// Calls, transfer of the KV cache and the first token.
+pub(super) const FIRST_TOKEN_OVERHEAD_MS: u64 = 8;
+pub(super) const MAX_EVENT_GAP_MS: u64 = 300;
 const DEADLINE_MS: u64 = 14_000;
-/// Objectives for which a caller waits for its first event.
-const SILENCE_OBJECTIVES: u64 = 4;
+/// Number of objectives for which a caller waits for its first event.
+const MAX_WAIT_OBJECTIVES: u64 = 4;
 
 /// A prompt at a prefill engine.
 #[derive(Clone, Copy, Debug)]
 struct Prompt {
     number: u64,
-    asked_ms: u64,
+    queued_ms: u64,
     ready_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Caller {
     arrival: Arrival,
-    /// When it came for the first time, and this time.
+    /// Times of the first and of the current attempt.
     first_ms: u64,
     at_ms: u64,
-    returned: bool,
+    is_retry: bool,
     refusals: usize,
     placement: Option<StreamPlacement>,
 }
 
-/// All that the model knows.
-struct World {
+/// State of the simulation.
+struct Simulation {
     pool: PoolModel,
     planner: PoolPlanner,
-    decode: BTreeMap<Name, Decode>,
+    decode: BTreeMap<Name, DecodeEngine>,
     prefill: BTreeMap<Name, VecDeque<Prompt>>,
     callers: BTreeMap<u64, Caller>,
     outcome: Outcome,
-    /// Tokens of an answer from which on it is in the largest tenth.
-    large_from: u64,
-    /// When a caller was last refused for want of memory.
-    refused_ms: Option<u64>,
+    /// Minimum tokens of an answer in the largest tenth.
+    large_answer_tokens: u64,
+    /// When a caller was last rejected for lack of memory.
+    last_rejected_ms: Option<u64>,
     now: u64,
 }
 
-fn moment(ms: u64) -> Moment {
+fn at_ms(ms: u64) -> Moment {
     Moment::after_origin(Duration::from_millis(ms))
 }
 
-/// Engines of a pool that tell no start.
+/// Engines of a pool that report no start.
 fn pool_engines(decode: &[Name], prefill: &[Name]) -> impl Iterator<Item = PoolEngine> {
-    let engine = |name: &Name, prefills| PoolEngine {
+    let engine = |name: &Name, is_prefill| PoolEngine {
         backend: started(name),
         failure_domain: "domain".into(),
-        is_prefill: prefills,
+        is_prefill,
     };
     let decode: Vec<_> = decode.iter().map(|name| engine(name, false)).collect();
     decode.into_iter().chain(prefill.iter().map(move |name| engine(name, true)).collect::<Vec<_>>())
@@ -89,35 +89,35 @@
     BackendInstance { id: Name::clone(name), start: None }
 }
 
-/// Plays a load against a pool until everybody has an answer.
-pub fn play(pool: PoolModel, policy: AdmissionPolicy, load: &[Arrival]) -> Outcome {
+/// Simulates a load on a pool until every caller has a result.
+pub fn simulate(pool: PoolModel, policy: AdmissionPolicy, load: &[Arrival]) -> Outcome {
     let terms = EngineCapacity { memory_tokens: pool.memory, slots: pool.slots };
     let mut planner = PoolPlanner::new(terms, policy, pool.seed);
     let decode: Vec<Name> = (0..pool.decode).map(|at| format!("decode-{at:02}").into()).collect();
     let prefill: Vec<Name> =
         (0..pool.prefill).map(|at| format!("prefill-{at:02}").into()).collect();
     planner.set_engines(pool_engines(&decode, &prefill));
-    let mut sizes: Vec<u64> = load.iter().map(|arrival| arrival.made).collect();
+    let mut sizes: Vec<u64> = load.iter().map(|arrival| arrival.answer_tokens).collect();
     sizes.sort_unstable();
-    let large_from = sizes[sizes.len() * 9 / 10];
-    let mut world = World {
+    let large_answer_tokens = sizes[sizes.len() * 9 / 10];
+    let mut simulation = Simulation {
         pool,
         planner,
-        decode: decode.into_iter().map(|name| (name, Decode::default())).collect(),
-        refused_ms: None,
+        decode: decode.into_iter().map(|name| (name, DecodeEngine::default())).collect(),
+        last_rejected_ms: None,
         prefill: prefill.into_iter().map(|name| (name, VecDeque::new())).collect(),
         callers: BTreeMap::new(),
         outcome: Outcome::default(),
-        large_from,
+        large_answer_tokens,
         now: 0,
     };
-    world.run(load);
-    world.outcome
+    simulation.run(load);
+    simulation.outcome
 }
 
-impl World {
+impl Simulation {
     fn run(&mut self, load: &[Arrival]) {
-        let mut coming: VecDeque<(u64, Caller)> = load
+        let mut arrivals: VecDeque<(u64, Caller)> = load
             .iter()
             .enumerate()
             .map(|(number, arrival)| {
@@ -125,32 +125,32 @@
                     arrival: *arrival,
                     first_ms: arrival.at_ms,
                     at_ms: arrival.at_ms,
-                    returned: false,
+                    is_retry: false,
                     refusals: 0,
                     placement: None,
                 };
                 (number as u64, caller)
             })
             .collect();
-        while !coming.is_empty() || !self.callers.is_empty() {
-            while coming.front().is_some_and(|(_number, caller)| caller.at_ms <= self.now) {
-                let (number, caller) = coming.pop_front().unwrap();
-                if caller.arrival.made >= self.large_from && !caller.returned {
+        while !arrivals.is_empty() || !self.callers.is_empty() {
+            while arrivals.front().is_some_and(|(_number, caller)| caller.at_ms <= self.now) {
+                let (number, caller) = arrivals.pop_front().unwrap();
+                if caller.arrival.answer_tokens >= self.large_answer_tokens && !caller.is_retry {
                     self.outcome.largest.0 += 1;
                 }
-                self.outcome.returned.0 += usize::from(caller.returned);
-                if !caller.returned {
+                self.outcome.retried.0 += usize::from(caller.is_retry);
+                if !caller.is_retry {
                     self.outcome.by_priority[caller.arrival.priority as usize].0 += 1;
                     self.outcome.by_workspace[caller.arrival.workspace].0 += 1;
                 }
                 self.callers.insert(number, caller);
-                self.ask(number, &mut coming);
+                self.ask(number, &mut arrivals);
             }
-            self.lose_engines(&mut coming);
-            self.expire();
-            if self.now.is_multiple_of(LOOK_MS) {
-                for (ticket, decision) in self.planner.poll(moment(self.now)) {
-                    self.take(ticket.0, decision, &mut coming);
+            self.lose_engines(&mut arrivals);
+            self.expire_callers();
+            if self.now.is_multiple_of(POLL_INTERVAL_MS) {
+                for (ticket, decision) in self.planner.poll(at_ms(self.now)) {
+                    self.apply(ticket.0, decision, &mut arrivals);
                 }
             }
             self.prefill_step();
@@ -164,7 +164,7 @@
         let spent = self.now - caller.first_ms;
         let arrival = &caller.arrival;
         let late = spent > arrival.objective_ms;
-        let silence_ms = arrival.objective_ms * SILENCE_OBJECTIVES;
+        let silence_ms = arrival.objective_ms * MAX_WAIT_OBJECTIVES;
         let time_left = Duration::from_millis(DEADLINE_MS.saturating_sub(spent));
         let waited = (self.now - caller.at_ms).min(silence_ms);
         PlacementRequest {
@@ -172,99 +172,99 @@
             workspace_priority: 0,
             priority: arrival.priority,
             failure_domain: "domain".into(),
-            prompt_tokens: arrival.prompt,
-            estimated_tokens: arrival.guess.min(10_880),
+            prompt_tokens: arrival.prompt_tokens,
+            estimated_tokens: arrival.estimated_tokens.min(10_880),
             max_tokens: 10_880,
             objective_left: Duration::from_millis(arrival.objective_ms.saturating_sub(spent)),
             max_wait: Duration::from_millis(silence_ms - waited).min(time_left),
             time_left,
-            max_event_gap: Some(Duration::from_millis(PAUSE_MS)),
+            max_event_gap: Some(Duration::from_millis(MAX_EVENT_GAP_MS)),
             excluded: Vec::new(),
             refusals: caller.refusals,
             subset: None,
         }
     }
 
-    fn ask(&mut self, number: u64, coming: &mut VecDeque<(u64, Caller)>) {
+    fn ask(&mut self, number: u64, arrivals: &mut VecDeque<(u64, Caller)>) {
         let request = self.request(&self.callers[&number]);
-        let decision = self.planner.decide(TicketId(number), request, moment(self.now));
+        let decision = self.planner.decide(TicketId(number), request, at_ms(self.now));
         if decision != PlacementDecision::Wait {
-            self.take(number, decision, coming);
+            self.apply(number, decision, arrivals);
         }
     }
 
-    fn take(
+    fn apply(
         &mut self,
         number: u64,
         decision: PlacementDecision,
-        coming: &mut VecDeque<(u64, Caller)>,
+        arrivals: &mut VecDeque<(u64, Caller)>,
     ) {
         match decision {
-            PlacementDecision::Place(placement) => self.reserve(number, placement, coming),
-            PlacementDecision::Reject { cause, retry_after: come_back } => {
+            PlacementDecision::Place(placement) => self.reserve(number, placement, arrivals),
+            PlacementDecision::Reject { cause, retry_after } => {
                 if cause == PlacementRejection::NoMemory {
-                    self.refused_ms = Some(self.now);
+                    self.last_rejected_ms = Some(self.now);
                 }
-                self.refuse(number, come_back, coming);
+                self.reject(number, retry_after, arrivals);
             }
             PlacementDecision::Wait => {}
         }
     }
 
-    fn refuse(&mut self, number: u64, after: Duration, coming: &mut VecDeque<(u64, Caller)>) {
+    fn reject(&mut self, number: u64, after: Duration, arrivals: &mut VecDeque<(u64, Caller)>) {
         let caller = self.callers.remove(&number).unwrap();
         let held = self.now - caller.at_ms;
-        self.outcome.longest_held = self.outcome.longest_held.max(held);
-        if caller.returned {
-            self.outcome.refused_twice += 1;
+        self.outcome.longest_rejected_wait_ms = self.outcome.longest_rejected_wait_ms.max(held);
+        if caller.is_retry {
+            self.outcome.rejected_twice += 1;
             return;
         }
-        self.outcome.refused_once += 1;
-        // Callers obey up to a third of the time that they have left.
+        self.outcome.rejected_once += 1;
+        // Callers follow a retry delay up to a third of the time they have left.
         let third = DEADLINE_MS.saturating_sub(self.now - caller.first_ms) / 3;
         let at_ms = self.now + u64::try_from(after.as_millis()).unwrap().min(third);
-        let caller = Caller { at_ms, returned: true, refusals: 0, ..caller };
-        let place = coming.partition_point(|(_number, other)| other.at_ms <= at_ms);
-        coming.insert(place, (number, caller));
+        let caller = Caller { at_ms, is_retry: true, refusals: 0, ..caller };
+        let index = arrivals.partition_point(|(_number, other)| other.at_ms <= at_ms);
+        arrivals.insert(index, (number, caller));
     }
 
     fn reserve(
         &mut self,
         number: u64,
         placement: StreamPlacement,
-        coming: &mut VecDeque<(u64, Caller)>,
+        arrivals: &mut VecDeque<(u64, Caller)>,
     ) {
         let memory = self.pool.memory;
         let engine = self.decode.get_mut(&placement.decode_engine);
         let free = engine.as_ref().map_or(0, |engine| memory.saturating_sub(engine.taken()));
         let Some(engine) = engine.filter(|_engine| free >= placement.reserve_tokens) else {
             let (ticket, decode) = (TicketId(number), &placement.decode_engine);
-            let now = moment(self.now);
+            let now = at_ms(self.now);
             self.planner.record_fault(ticket, &started(decode), EngineFault::NoMemory, now);
             self.callers.get_mut(&number).unwrap().refusals += 1;
-            self.ask(number, coming);
+            self.ask(number, arrivals);
             return;
         };
         engine.reserved.insert(number, placement.reserve_tokens);
         let caller = self.callers.get_mut(&number).unwrap();
-        let takes = caller.arrival.prompt as f64 / READ_TOKENS_A_MS;
+        let takes = caller.arrival.prompt_tokens as f64 / PREFILL_TOKENS_PER_MS;
         let prefill = placement.prefill_engine.clone();
         caller.placement = Some(placement);
         if let Some(prefill) = prefill {
             let queue = self.prefill.get_mut(&prefill).unwrap();
             let free_ms = queue.back().map_or(self.now, |last| last.ready_ms.max(self.now));
             let ready_ms = free_ms + (takes * self.pool.slow_prefill) as u64;
-            queue.push_back(Prompt { number, asked_ms: self.now, ready_ms });
+            queue.push_back(Prompt { number, queued_ms: self.now, ready_ms });
         } else {
-            engine.reads_until = engine.reads_until.max(self.now) + (2.0 * takes) as u64;
+            engine.prefill_until = engine.prefill_until.max(self.now) + (2.0 * takes) as u64;
             self.start(number);
         }
     }
 
     fn prefill_step(&mut self) {
         let now = self.now;
-        let is_short = self.refused_ms.is_some_and(|at| now - at < BINDS_MS);
-        if is_short || self.planner.has_queued() {
+        let is_memory_short = self.last_rejected_ms.is_some_and(|at| now - at < MEMORY_SHORTAGE_MS);
+        if is_memory_short || self.planner.has_queued() {
             let idle = self.prefill.values().filter(|queue| queue.is_empty()).count() as u64;
             self.outcome.idle_prefill_ms += idle * TICK_MS;
         }
@@ -275,7 +275,7 @@
             }
         }
         for prompt in done {
-            let took = Duration::from_millis(now - prompt.asked_ms);
+            let took = Duration::from_millis(now - prompt.queued_ms);
             self.planner.record_prefilled(TicketId(prompt.number), took);
             self.start(prompt.number);
         }
@@ -284,9 +284,9 @@
     /// Whether the engine fails the request.
     fn fails(&self, decode: &Name, number: u64) -> bool {
         let Some(failing) = self.pool.failing else { return false };
-        let place = self.decode.keys().position(|name| name == decode);
+        let index = self.decode.keys().position(|name| name == decode);
         let is_time = (failing.from_ms..failing.until_ms).contains(&self.now);
-        let is_one = place.is_some_and(|place| place < failing.engines);
+        let is_one = index.is_some_and(|index| index < failing.engines);
         is_time && is_one && number.is_multiple_of(failing.every)
     }
 
@@ -296,7 +296,7 @@
             if let Some(engine) = self.decode.get_mut(&decode) {
                 engine.reserved.remove(&number);
             }
-            let now = moment(self.now);
+            let now = at_ms(self.now);
             self.planner.record_fault(
                 TicketId(number),
                 &started(&decode),
@@ -313,25 +313,25 @@
         let placement = caller.placement.as_ref().unwrap();
         let Some(engine) = self.decode.get_mut(&placement.decode_engine) else { return };
         let reserve = engine.reserved.remove(&number).unwrap();
-        engine.runs.push(Run {
+        engine.runs.push(RunningStream {
             ticket: number,
             reserve,
-            tokens: caller.arrival.prompt as f64,
-            left: caller.arrival.made as f64,
-            part: 0.0,
+            tokens: caller.arrival.prompt_tokens as f64,
+            remaining_tokens: caller.arrival.answer_tokens as f64,
+            event_tokens: 0.0,
             events: 0,
             last_event: self.now,
             first_event: None,
-            paused: false,
-            waits: false,
+            is_stalled: false,
+            is_preempted: false,
         });
-        self.planner.record_started(TicketId(number), moment(self.now));
+        self.planner.record_started(TicketId(number), at_ms(self.now));
     }
 
     fn decode_step(&mut self) {
         let mut ended = Vec::new();
-        for (place, engine) in self.decode.values_mut().enumerate() {
-            let is_slow = self.pool.slow.filter(|slow| is_slow(slow, place, self.now));
+        for (index, engine) in self.decode.values_mut().enumerate() {
+            let is_slow = self.pool.slow.filter(|slow| is_slow(slow, index, self.now));
             let pace = is_slow.map_or(1.0, |slow| 1.0 / slow.factor);
             ended.extend(engine.step(&self.pool, pace, self.now, &mut self.outcome));
         }
@@ -340,23 +340,23 @@
         }
     }
 
-    fn end(&mut self, run: &Run) {
+    fn end(&mut self, run: &RunningStream) {
         let caller = self.callers.remove(&run.ticket).unwrap();
         let first = run.first_event.unwrap();
         let gap_ms = run.last_event.saturating_sub(first) / run.events.max(1);
         let event_gap = Some(Duration::from_millis(gap_ms));
         let end = StreamEnd { is_complete: true, event_gap };
-        self.planner.record_ended(TicketId(run.ticket), end, moment(self.now));
-        if first - caller.at_ms > caller.arrival.objective_ms * SILENCE_OBJECTIVES {
-            self.outcome.left += 1;
+        self.planner.record_ended(TicketId(run.ticket), end, at_ms(self.now));
+        if first - caller.at_ms > caller.arrival.objective_ms * MAX_WAIT_OBJECTIVES {
+            self.outcome.abandoned += 1;
             return;
         }
-        self.outcome.paused += usize::from(run.paused);
-        if caller.arrival.made >= self.large_from {
+        self.outcome.stalled += usize::from(run.is_stalled);
+        if caller.arrival.answer_tokens >= self.large_answer_tokens {
             self.outcome.largest.1 += 1;
         }
-        self.outcome.returned.1 += usize::from(caller.returned);
-        if first - caller.first_ms <= caller.arrival.objective_ms && !run.paused {
+        self.outcome.retried.1 += usize::from(caller.is_retry);
+        if first - caller.first_ms <= caller.arrival.objective_ms && !run.is_stalled {
             self.outcome.in_time += 1;
             self.outcome.by_priority[caller.arrival.priority as usize].1 += 1;
             self.outcome.by_workspace[caller.arrival.workspace].1 += 1;
@@ -365,8 +365,8 @@
         }
     }
 
-    /// Callers leave at their deadline, and their streams end.
-    fn expire(&mut self) {
+    /// Callers leave at their deadline, which ends their streams.
+    fn expire_callers(&mut self) {
         let now = self.now;
         let is_due = |caller: &&Caller| now >= caller.first_ms + DEADLINE_MS;
         let due = self.callers.iter().filter(|(_number, caller)| is_due(caller));
@@ -379,23 +379,23 @@
             }
             self.prefill.values_mut().for_each(|queue| queue.retain(|it| it.number != number));
             let end = StreamEnd { is_complete: false, event_gap: None };
-            self.planner.record_ended(TicketId(number), end, moment(now));
+            self.planner.record_ended(TicketId(number), end, at_ms(now));
             match caller.placement {
                 Some(_placement) => self.outcome.expired += 1,
-                None => self.outcome.refused_twice += 1,
+                None => self.outcome.rejected_twice += 1,
             }
         }
     }
 
-    /// Engines crash with what runs on them; their callers come back at once.
-    fn lose_engines(&mut self, coming: &mut VecDeque<(u64, Caller)>) {
+    /// Engines crash with all their streams; the callers retry shortly after.
+    fn lose_engines(&mut self, arrivals: &mut VecDeque<(u64, Caller)>) {
         let Some((count, at_ms)) = self.pool.lost else { return };
         if self.now >= self.pool.back_ms && self.decode.len() < self.pool.decode {
             let names = (0..self.pool.decode).map(|at| format!("decode-{at:02}").into());
             for name in names {
                 self.decode.entry(name).or_default();
             }
-            self.tell_engines();
+            self.update_engines();
         }
         let is_past = self.now < at_ms || self.now >= self.pool.back_ms;
         if is_past || self.decode.len() <= self.pool.decode - count {
@@ -405,7 +405,7 @@
         for name in &lost {
             self.decode.remove(name);
         }
-        self.tell_engines();
+        self.update_engines();
         let broken: Vec<u64> = self
             .callers
             .iter()
@@ -420,18 +420,18 @@
                 queue.retain(|prompt| prompt.number != number);
             }
             let caller = self.callers.remove(&number).unwrap();
-            if caller.returned {
-                self.outcome.refused_twice += 1;
+            if caller.is_retry {
+                self.outcome.rejected_twice += 1;
                 continue;
             }
             let at_ms = self.now + 50;
-            let caller = Caller { at_ms, returned: true, placement: None, ..caller };
-            let place = coming.partition_point(|(_number, other)| other.at_ms <= at_ms);
-            coming.insert(place, (number, caller));
+            let caller = Caller { at_ms, is_retry: true, placement: None, ..caller };
+            let index = arrivals.partition_point(|(_number, other)| other.at_ms <= at_ms);
+            arrivals.insert(index, (number, caller));
         }
     }
 
-    fn tell_engines(&mut self) {
+    fn update_engines(&mut self) {
         let decode: Vec<Name> = self.decode.keys().cloned().collect();
         let prefill: Vec<Name> = self.prefill.keys().cloned().collect();
         self.planner.set_engines(pool_engines(&decode, &prefill));
--- a/crates/dillspool_admission/tests/restarts.rs
+++ b/crates/dillspool_admission/tests/restarts.rs
@@ -1,4 +1,5 @@
-//! An engine that starts again under its id holds nothing of before, and is not judged by it.
+//! An engine that restarts under the same id holds no earlier streams, and earlier faults do not
+//! count against it.
 
 use std::time::Duration;
 
@@ -47,20 +48,20 @@
 
 struct RestartCase {
     name: &'static str,
-    /// Starts that are told before and after.
+    /// Start reported before and after.
     starts: [Option<u64>; 2],
-    /// Whether it counts as another start.
+    /// Whether it counts as a restart.
     restarted: bool,
 }
 
 const CASES: [RestartCase; 4] = [
     RestartCase { name: "another start", starts: [Some(7), Some(9)], restarted: true },
-    RestartCase { name: "its clock went back", starts: [Some(9), Some(7)], restarted: true },
+    RestartCase { name: "an earlier start time", starts: [Some(9), Some(7)], restarted: true },
     RestartCase { name: "the same start", starts: [Some(7), Some(7)], restarted: false },
-    RestartCase { name: "no start is told", starts: [None, None], restarted: false },
+    RestartCase { name: "no start is reported", starts: [None, None], restarted: false },
 ];
 
-/// A planner whose one decode engine is full of streams; room is for one only.
+/// A planner whose only decode engine has room for one stream, which is taken.
 fn full_pool(start: Option<u64>) -> PoolPlanner {
     let terms = EngineCapacity { memory_tokens: 10_000, slots: 24 };
     let mut planner = PoolPlanner::new(terms, AdmissionPolicy::default(), 1);
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn memory_and_queues_of_before_are_free() {
+fn a_restart_frees_memory_and_queues() {
     for case in CASES {
         let mut planner = full_pool(case.starts[0]);
         planner.set_engines(engines(case.starts[1]).into_iter());
@@ -81,49 +82,55 @@
         let placed = matches!(decision, PlacementDecision::Place(_));
         assert_eq!(placed, case.restarted, "{}: {decision:?}", case.name);
         assert_eq!(planner.snapshot(at(200)).streams, 1, "{}", case.name);
-        // The end of a stream that was lost frees nothing of the new start.
+        // The end of a stream lost in the restart must not free memory of the new start.
         planner.remove(TicketId(1));
         let left = usize::from(case.restarted);
         assert_eq!(planner.snapshot(at(200)).streams, left, "{}", case.name);
     }
 }
 
-/// Faults of a start, told before or after the scheduler knows the next one.
+/// A fault of one start, reported before or after the planner knows the next start.
 struct FaultCase {
     name: &'static str,
     fault: EngineFault,
-    /// Starts: of the engine that is known, and of the one that the fault is told of.
+    /// The start that the planner knows, and the one for which the fault is reported.
     known: Option<u64>,
-    told: Option<u64>,
-    shut: bool,
+    reported: Option<u64>,
+    is_open: bool,
 }
 
 #[test]
-fn a_start_is_not_blamed_for_another() {
+fn faults_of_another_start_are_ignored() {
     let faults = [EngineFault::Unreachable, EngineFault::ReservedRequestRefused];
     let starts = [
-        ("the one before", Some(9), Some(7), false),
-        ("its successor, which is not known yet", Some(7), Some(9), false),
-        ("itself", Some(9), Some(9), true),
-        ("one that tells no start", Some(9), None, true),
-        ("no start is told at all", None, None, true),
+        ("the previous start", Some(9), Some(7), false),
+        ("the next start, not known yet", Some(7), Some(9), false),
+        ("the same start", Some(9), Some(9), true),
+        ("a fault without a start", Some(9), None, true),
+        ("no start is ever reported", None, None, true),
     ];
     let cases = faults.into_iter().flat_map(|fault| {
-        starts.map(|(name, known, told, shut)| FaultCase { name, fault, known, told, shut })
+        starts.map(|(name, known, reported, is_open)| FaultCase {
+            name,
+            fault,
+            known,
+            reported,
+            is_open,
+        })
     });
     for case in cases {
         let mut planner = full_pool(case.known);
         for ticket in 10..12 {
-            let (ticket, engine) = (TicketId(ticket), backend("decode", case.told));
+            let (ticket, engine) = (TicketId(ticket), backend("decode", case.reported));
             planner.record_fault(ticket, &engine, case.fault, at(300));
         }
-        let open = planner.snapshot(at(301)).decode_engines;
-        assert_eq!(open, usize::from(!case.shut), "{} {:?}", case.name, case.fault);
+        let available = planner.snapshot(at(301)).decode_engines;
+        assert_eq!(available, usize::from(!case.is_open), "{} {:?}", case.name, case.fault);
     }
 }
 
 #[test]
-fn a_shut_engine_is_open_after_its_restart() {
+fn a_restart_closes_the_circuit_breaker() {
     for case in CASES {
         let mut planner = full_pool(case.starts[0]);
         let engine = backend("decode", case.starts[0]);
--- a/crates/dillspool_admission/tests/paces.rs
+++ b/crates/dillspool_admission/tests/slow_engines.rs
@@ -1,4 +1,5 @@
-//! An engine that takes longer than others for its tokens gets less, and is believed again in time.
+//! An engine that needs more time per token than others gets fewer requests until its measurement
+//! has decayed.
 
 use std::time::Duration;
 
@@ -14,14 +15,14 @@
     slow_weight: f64,
     /// Time since the last answers ended.
     later_s: u64,
-    /// Whether the slow engine, which holds nothing, is chosen before one with a stream.
+    /// Whether the slow engine, which is empty, is chosen over one with a stream.
     is_chosen: bool,
 }
 
 const CASES: [PaceCase; 3] = [
-    PaceCase { name: "not told apart", slow_weight: 0.0, later_s: 0, is_chosen: true },
+    PaceCase { name: "speed ignored", slow_weight: 0.0, later_s: 0, is_chosen: true },
     PaceCase { name: "slow", slow_weight: 0.3, later_s: 0, is_chosen: false },
-    PaceCase { name: "slow long ago", slow_weight: 0.3, later_s: 60, is_chosen: true },
+    PaceCase { name: "measurement decayed", slow_weight: 0.3, later_s: 60, is_chosen: true },
 ];
 
 fn at(ms: u64) -> Moment {
@@ -52,7 +53,7 @@
     }
 }
 
-/// An answer at an engine with a gap between its events, over when it returns.
+/// Runs an answer with the given event gap to completion on an engine.
 fn answer(planner: &mut PoolPlanner, ticket: u64, engine: &str, gap_ms: u64) {
     let placement = StreamPlacement {
         decode_engine: engine.into(),
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn slow_engines_get_less() {
+fn slow_engines_get_fewer_requests() {
     for case in CASES {
         let policy =
             AdmissionPolicy { slow_weight: case.slow_weight, ..AdmissionPolicy::default() };
--- a/crates/dillspool_admission/tests/surges/mod.rs
+++ b/crates/dillspool_admission/tests/surges/mod.rs
@@ -1,72 +1,74 @@
-//! Surges upon the pools of the two deployments, on days that are made from seeds.
+//! Surges on the pools of the two deployments, with generated workloads.
 //!
-//! Each case names a policy that lacks the decision it is about, with which the same days must miss
-//! the case's bounds.
+//! Each case names a policy without the decision that it tests, with which the same workloads must
+//! miss the case's bounds.
 
 use dillspool_admission::AdmissionPolicy;
 
-use super::model::{Arrival, DayTerms, Outcome, PoolModel, day, load, play};
+use super::model::{
+    Arrival, Outcome, PoolModel, WorkloadParams, generate_workload, parse_trace, simulate,
+};
 
-/// Days of a case.
+/// Seeds of the workloads of a case.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// What the days of a case must come to, as parts of all callers.
+/// Bounds on the results, as fractions of all callers.
 struct Bounds {
     score: f64,
-    /// Streams that ran into their deadline at most.
+    /// Maximum fraction of streams that reach their deadline.
     expired: f64,
 }
 
 struct SurgeCase {
     name: &'static str,
     pool: PoolModel,
-    day: fn(u64) -> DayTerms,
+    day: fn(u64) -> WorkloadParams,
     policy: AdmissionPolicy,
-    without: AdmissionPolicy,
+    without_feature: AdmissionPolicy,
     bounds: Bounds,
 }
 
-/// What became of the callers of some days.
+/// Results over several workloads.
 #[derive(Debug)]
 struct DaySum {
     score: f64,
     expired: f64,
 }
 
-fn usual() -> AdmissionPolicy {
+fn default_policy() -> AdmissionPolicy {
     AdmissionPolicy::default()
 }
 
-fn long_answers(seed: u64) -> DayTerms {
-    DayTerms { events: 140.0, per_s: 18.0, ..DayTerms::of_23_hosts(seed) }
+fn long_answers(seed: u64) -> WorkloadParams {
+    WorkloadParams { events: 140.0, per_s: 18.0, ..WorkloadParams::for_23_hosts(seed) }
 }
 
 fn cases() -> Vec<SurgeCase> {
-    let pool = PoolModel::of_23_hosts();
-    let unforeseen = AdmissionPolicy { memory_deviations: 0.0, ..usual() };
+    let pool = PoolModel::for_23_hosts();
+    let no_variance = AdmissionPolicy { memory_deviations: 0.0, ..default_policy() };
     vec![
         SurgeCase {
-            name: "long answers of callers that came back run into their deadlines",
+            name: "long answers of retrying callers reach their deadlines",
             pool,
             day: long_answers,
-            policy: AdmissionPolicy { completion_chance: 0.7, ..usual() },
-            without: usual(),
+            policy: AdmissionPolicy { completion_chance: 0.7, ..default_policy() },
+            without_feature: default_policy(),
             bounds: Bounds { score: 0.45, expired: 0.06 },
         },
         SurgeCase {
-            name: "a fifth of the engines is gone for five seconds of a surge",
+            name: "a fifth of the engines is lost for five seconds during a surge",
             pool: PoolModel { lost: Some((5, 18_000)), back_ms: 23_000, ..pool },
-            day: DayTerms::of_23_hosts,
-            policy: usual(),
-            without: unforeseen,
+            day: WorkloadParams::for_23_hosts,
+            policy: default_policy(),
+            without_feature: no_variance,
             bounds: Bounds { score: 0.75, expired: 0.01 },
         },
         SurgeCase {
             name: "one workspace at twelve times its load",
-            pool: PoolModel::of_83_hosts(),
-            day: |seed| DayTerms { per_s: 44.0, ..DayTerms::of_83_hosts(seed, 12.0) },
-            policy: usual(),
-            without: unforeseen,
+            pool: PoolModel::for_83_hosts(),
+            day: |seed| WorkloadParams { per_s: 44.0, ..WorkloadParams::for_83_hosts(seed, 12.0) },
+            policy: default_policy(),
+            without_feature: no_variance,
             bounds: Bounds { score: 0.9, expired: 0.01 },
         },
     ]
@@ -74,7 +76,7 @@
 
 #[expect(clippy::cast_precision_loss, reason = "some thousand callers")]
 fn sum(pool: PoolModel, policy: AdmissionPolicy, loads: &[Vec<Arrival>]) -> DaySum {
-    let outcomes: Vec<Outcome> = loads.iter().map(|load| play(pool, policy, load)).collect();
+    let outcomes: Vec<Outcome> = loads.iter().map(|load| simulate(pool, policy, load)).collect();
     let each = outcomes.iter().zip(loads);
     let score = each.map(|(outcome, load)| outcome.score(load.len())).sum::<f64>();
     let expired = outcomes.iter().map(|outcome| outcome.expired).sum::<usize>();
@@ -89,45 +91,53 @@
 }
 
 #[test]
-fn surges_are_served_as_far_as_memory_allows() {
+fn surges_meet_the_bounds() {
     for case in cases() {
-        let loads: Vec<_> = SEEDS.map(|seed| day(&(case.day)(seed))).collect();
+        let loads: Vec<_> = SEEDS.map(|seed| generate_workload(&(case.day)(seed))).collect();
         let with = sum(case.pool, case.policy, &loads);
-        let without = sum(case.pool, case.without, &loads);
+        let without = sum(case.pool, case.without_feature, &loads);
         assert!(case.bounds.are_met(&with), "{}: {with:?}", case.name);
-        assert!(!case.bounds.are_met(&without), "{}: also without: {without:?}", case.name);
+        assert!(
+            !case.bounds.are_met(&without),
+            "{}: also met by the policy without the feature: {without:?}",
+            case.name
+        );
     }
 }
 
-/// Callers that come back into the surge that they met are refused for good.
+/// Callers that retry during the surge in which they were rejected are rejected for good.
 #[test]
-fn callers_that_come_back_late_find_memory() {
-    let recorded = load(include_str!("../loads/double_burst.csv"));
-    let late = AdmissionPolicy { come_back_from: 0.3, ..usual() };
-    let refused = |policy| play(PoolModel::default(), policy, &recorded).refused_twice;
-    let (with, without) = (refused(late), refused(usual()));
+fn late_retries_are_served() {
+    let recorded = parse_trace(include_str!("../loads/double_burst.csv"));
+    let late = AdmissionPolicy { come_back_from: 0.3, ..default_policy() };
+    let refused = |policy| simulate(PoolModel::default(), policy, &recorded).rejected_twice;
+    let (with, without) = (refused(late), refused(default_policy()));
     assert!(with <= 20, "{with} refused twice");
-    assert!(without > 20, "also without: {without}");
+    assert!(without > 20, "also met by the policy without the feature: {without}");
 }
 
-/// In the order of arrival, a few long answers take the memory of many short ones.
+/// In order of arrival, a few long answers take the memory of many short ones.
 #[test]
-fn streams_that_take_little_memory_go_first() {
-    let by_cost = AdmissionPolicy { by_cost: true, ..usual() };
-    let recorded = load(include_str!("../loads/double_burst.csv"));
-    let with = play(PoolModel::default(), by_cost, &recorded);
-    let without = play(PoolModel::default(), usual(), &recorded);
+fn cheap_streams_are_placed_first() {
+    let by_cost = AdmissionPolicy { by_cost: true, ..default_policy() };
+    let recorded = parse_trace(include_str!("../loads/double_burst.csv"));
+    let with = simulate(PoolModel::default(), by_cost, &recorded);
+    let without = simulate(PoolModel::default(), default_policy(), &recorded);
     assert!(with.in_time >= 1_815, "{with:?}");
-    assert!(without.in_time < 1_815, "also without: {without:?}");
+    assert!(without.in_time < 1_815, "also met by the policy without the feature: {without:?}");
     let (large, served) = with.largest;
     assert!(served * 2 >= large, "{served} of {large} large answers");
 }
 
-/// The order by memory stays within the ranks of the routes.
+/// Ordering by memory cost must not override the priorities of the routes.
 #[test]
 fn urgent_routes_are_served_first() {
-    let by_cost = AdmissionPolicy { by_cost: true, ..usual() };
-    let outcome = play(PoolModel::of_23_hosts(), by_cost, &day(&DayTerms::of_23_hosts(1)));
+    let by_cost = AdmissionPolicy { by_cost: true, ..default_policy() };
+    let outcome = simulate(
+        PoolModel::for_23_hosts(),
+        by_cost,
+        &generate_workload(&WorkloadParams::for_23_hosts(1)),
+    );
     let [urgent, other] = outcome.by_priority.map(|(came, served)| served * 1_000 / came);
     assert!(other <= urgent + 50, "{urgent} of 1,000 urgent ones and {other} of others");
 }
--- a/crates/dillspool_admission/tests/waiting.rs
+++ b/crates/dillspool_admission/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! What a request that has waited still has time for.
+//! A queued request is placed by the time it has left after its wait.
 
 use std::time::Duration;
 
@@ -39,19 +39,19 @@
 
 struct WaitCase {
     name: &'static str,
-    /// When a decode engine has room for the request that waits since the beginning, in ms.
+    /// When a decode engine has room for the request, which is queued from the beginning, in ms.
     room_ms: u64,
-    /// Tokens that the only prefill engine has to read first; it reads 40 in a ms.
+    /// Tokens queued at the only prefill engine, which prefills 40 per ms.
     queued_tokens: u64,
-    /// Whether it is placed behind them.
+    /// Whether the request is placed behind them.
     is_placed: bool,
 }
 
-/// A surge fills the engines, and those who wait for memory find a queue of prompts before them afterwards. A
-/// request that is placed there for the time that it had when it began to wait takes memory for an answer that
-/// is late, from one that could be in time.
+/// After a surge has filled the engines, requests that waited for memory meet a queue of prompts.
+/// If such a request is placed by the time it had left when it was queued, its answer is late and
+/// takes memory from an answer that could be in time.
 #[test]
-fn a_request_that_has_waited_is_placed_by_the_time_that_is_left() {
+fn queued_requests_are_placed_by_their_remaining_time() {
     let cases = [
         WaitCase { name: "room at once", room_ms: 50, queued_tokens: 12_000, is_placed: true },
         WaitCase { name: "no queue", room_ms: 500, queued_tokens: 400, is_placed: true },
@@ -70,8 +70,8 @@
             planner.record_prefilled(TicketId(ticket), Duration::from_millis(125));
             planner.record_started(TicketId(ticket), at(0));
         }
-        let waits = planner.decide(TicketId(3), fresh, at(0));
-        assert_eq!(waits, PlacementDecision::Wait, "{name}");
+        let decision = planner.decide(TicketId(3), fresh, at(0));
+        assert_eq!(decision, PlacementDecision::Wait, "{name}");
         let end = StreamEnd { is_complete: false, event_gap: None };
         planner.record_ended(TicketId(1), end, at(room_ms));
         let queued = request(WorkClass::UnderWay, queued_tokens);
