--- a/crates/dillspool_forward/src/events.rs
+++ b/crates/dillspool_forward/src/events.rs
@@ -1,62 +1,62 @@
-//! Splits the bytes of an event stream into whole events.
+//! Splits the bytes of a server-sent event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is taken, in bytes; one of 64 tokens has some hundred.
-const LONGEST_EVENT: usize = 1024 * 1024;
+/// Longest event that is accepted. An event of 64 tokens has a few hundred bytes.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// A whole event, with the blank line that ends it.
+/// A complete event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its number, if it carries one.
+    /// Value of its `id` field, if it is a number.
     pub id: Option<u64>,
-    /// Its bytes as they came.
+    /// Its unmodified bytes.
     pub bytes: Bytes,
 }
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 ///
-/// An event that breaks off half-way never leaves the splitter.
+/// An incomplete event is never returned.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes of the buffer that hold no end of an event.
-    searched: usize,
+    /// Number of leading bytes known to contain no end of an event.
+    scanned: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         let bytes = self.buffer.split_to(end).freeze();
-        self.searched = 0;
+        self.scanned = 0;
         Some(StreamEvent { id: event_id(&bytes), bytes })
     }
 
-    /// Whether no part of an event is left.
+    /// Whether no incomplete event is buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Bytes of the event that is not whole yet.
+    /// Number of buffered bytes.
     pub fn len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether an event is longer than any real one.
-    pub fn is_overlong(&self) -> bool {
-        self.buffer.len() > LONGEST_EVENT
+    /// Whether the buffered event exceeds the maximum length.
+    pub fn is_too_long(&self) -> bool {
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// End of the first event: a line end followed by an empty line.
+    /// End of the first event: a line followed by an empty line.
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
-        let mut at = self.searched;
+        let mut at = self.scanned;
         while let Some(offset) = bytes[at..].iter().position(|byte| *byte == b'\n') {
             let line_end = at + offset + 1;
             match bytes.get(line_end..) {
@@ -66,7 +66,7 @@
                 Some([_, ..]) => at = line_end,
             }
         }
-        self.searched = at;
+        self.scanned = at;
         None
     }
 }
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -120,7 +120,7 @@
             }
             SendOutcome::NotRun => {
                 // One that names how much it takes may refuse what is beyond, and is not broken.
-                if context.throttle.read(backend).rate.is_none() {
+                if context.throttle.status(backend).rate.is_none() {
                     tracker.record_failure(backend);
                 }
                 self.sends += 1;
@@ -182,7 +182,7 @@
             SendOutcome::Whole(answer) if !answer.status.is_server_error() => {
                 context.backend_tracker.record_success(&entry.instance(), started.elapsed());
                 if answer.status.is_success() {
-                    context.suspects.note_whole(request.fingerprint);
+                    context.suspects.record_success(request.fingerprint);
                 }
                 return Ok(PlainResponse::Complete(answer.response()));
             }
@@ -239,7 +239,7 @@
             permit.refund();
             return None;
         }
-        context.metrics.note_repeated_send();
+        context.metrics.record_retry();
     }
     Some((entry, view.version, permit))
 }
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefills: at which engine, and what becomes of a result that is not used.
+//! Prefills prompts: chooses the engine, retries, and releases unused results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,20 +19,19 @@
 };
 use crate::trace::log_retry_budget_exhausted;
 
-/// Longest wait for a prefill; its engine queues prompts one after another. One that is given up
-/// may be read for nothing, at nearly the worth of its answer.
-const PREFILL_LIMIT: Duration = Duration::from_millis(2500);
-/// Age of a request from which no other engine is asked after a failed prefill; the first event
-/// would be late then.
-const LATEST_REPEAT: Duration = Duration::from_millis(700);
-/// A prefill's result, given up unless it was used.
+/// Longest wait for a prefill; an engine processes its queued prompts one after another. The engine may
+/// still compute an abandoned prefill, which wastes nearly as much work as its response is worth.
+const PREFILL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Request age from which a failed prefill is not retried, since the first event would be late.
+const MAX_AGE_FOR_RETRY: Duration = Duration::from_millis(700);
+/// The result of a prefill; dropping it releases the result unless it was used.
 pub(crate) struct PrefillGuard {
     context: ForwardContext,
     pub(crate) prefilled: Option<PrefilledPrompt>,
 }
 
 impl PrefillGuard {
-    /// No result: the decode engine reads the prompt itself.
+    /// No result: the decode engine prefills the prompt itself.
     pub(crate) fn empty(context: &ForwardContext) -> Self {
         Self { context: context.clone(), prefilled: None }
     }
@@ -55,42 +54,42 @@
     }
 }
 
-/// Prefills at the engine that was decided on; without a result the decode engine prefills itself,
-/// which holds up the streams that run there.
+/// Prefills the prompt at the scheduled engine. If that fails, the decode engine prefills it itself, which
+/// delays the streams that run there.
 pub(crate) async fn prefill(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     placement: &Placement,
-    rank: WorkPriority,
+    priority: WorkPriority,
 ) -> PrefillGuard {
     let mut guard = PrefillGuard::empty(context);
-    guard.prefilled = prefill_at(context, request, placement, rank).await;
+    guard.prefilled = try_prefill_engines(context, request, placement, priority).await;
     if guard.prefilled.is_none() && placement.prefill.is_some() {
-        placement.ticket.note(&DeskNote::ReadsItself);
+        placement.ticket.record(&DeskNote::ReadsItself);
     }
     guard
 }
 
-/// A prefill's result, of the engine that was decided on or, where that failed, of another one.
-async fn prefill_at(
+/// The prefill's result from the scheduled engine or, if that fails, from another one.
+async fn try_prefill_engines(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     placement: &Placement,
-    rank: WorkPriority,
+    priority: WorkPriority,
 ) -> Option<PrefilledPrompt> {
     let mut next = placement.prefill.clone();
     let mut tried = Vec::new();
     while let Some(id) = next.take() {
         tried.push(BackendId::clone(&id));
         let Some(entry) = context.ready_entry(request, &id) else {
-            next = ask_for_another(context, request, placement, rank, &tried).await;
+            next = next_prefill_engine(context, request, placement, priority, &tried).await;
             continue;
         };
         let Some(send) = acquire_permit(context, request, &entry, REQUEST_COST).await else {
             if tried.len() >= MAX_BLOCKED_BACKENDS {
                 return None;
             }
-            next = ask_for_another(context, request, placement, rank, &tried).await;
+            next = next_prefill_engine(context, request, placement, priority, &tried).await;
             continue;
         };
         let Some(permit) = context.budgets.reserve(&request.service) else {
@@ -99,10 +98,10 @@
             return None;
         };
         let started = Instant::now();
-        let error = match ask(context, request, &entry, rank).await {
+        let error = match request_prefill(context, request, &entry, priority).await {
             Ok(prefilled) => {
                 permit.release();
-                placement.ticket.note(&DeskNote::Prefilled { took: started.elapsed() });
+                placement.ticket.record(&DeskNote::Prefilled { took: started.elapsed() });
                 return Some(prefilled);
             }
             Err(error) => error,
@@ -113,35 +112,35 @@
             entry.id,
             request.age().as_millis(),
         );
-        placement.ticket.note_fault(&entry, prefill_fault(&error));
+        placement.ticket.record_fault(&entry, prefill_fault(&error));
         if matches!(error, CallError::NotSent { .. }) {
             send.refund();
         }
         if matches!(error, CallError::Lost { .. }) {
-            let mut look = Some(spawn_failure_probe(context, request, &entry));
-            if !may_retry(context, request, &mut look).await {
+            let mut probe = Some(spawn_failure_probe(context, request, &entry));
+            if !may_retry(context, request, &mut probe).await {
                 return None;
             }
         }
-        if !may_ask_again(context, request, &error, permit) {
+        if !settle_failed_prefill(context, request, &error, permit) {
             return None;
         }
-        next = ask_for_another(context, request, placement, rank, &tried).await;
+        next = next_prefill_engine(context, request, placement, priority, &tried).await;
     }
     None
 }
 
-/// Another prefill engine than those that were tried.
-async fn ask_for_another(
+/// Asks the scheduler for a prefill engine that was not tried yet.
+async fn next_prefill_engine(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     placement: &Placement,
-    rank: WorkPriority,
+    priority: WorkPriority,
     tried: &[BackendId],
 ) -> Option<BackendId> {
-    let class = if rank == WorkPriority::Late { WorkClass::Late } else { WorkClass::InTime };
-    let question = placement_request(context, request, class, request.remaining(), tried);
-    placement.ticket.ask_prefill(&question).await
+    let class = if priority == WorkPriority::Late { WorkClass::Late } else { WorkClass::InTime };
+    let query = placement_request(context, request, class, request.remaining(), tried);
+    placement.ticket.choose_prefill(&query).await
 }
 
 fn prefill_fault(error: &CallError) -> EngineFault {
@@ -152,34 +151,35 @@
     }
 }
 
-/// Asks one engine for a prefill.
-async fn ask(
+/// Requests a prefill from one engine.
+async fn request_prefill(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     entry: &Arc<BackendEntry>,
-    rank: WorkPriority,
+    priority: WorkPriority,
 ) -> Result<PrefilledPrompt, CallError> {
-    context.metrics.note_prefill();
-    let limit = request.remaining().min(PREFILL_LIMIT);
-    let terms = PrefillParams { limit, priority: rank };
-    let call = (context.calls.prefill)(Arc::clone(entry), Arc::clone(request), terms);
+    context.metrics.record_prefill();
+    let limit = request.remaining().min(PREFILL_TIMEOUT);
+    let params = PrefillParams { limit, priority };
+    let call = (context.calls.prefill)(Arc::clone(entry), Arc::clone(request), params);
     let call = context.cancel_on_restart(entry, call);
     let started = Instant::now();
     let ended = request.clock.timeout(limit, call).await;
     let took = started.elapsed();
-    context.metrics.note_prefill_end(took);
-    let silent = |MomentPassed| CallError::Lost { reason: format!("no prefill within {limit:?}") };
-    ended.map_err(silent)?
+    context.metrics.record_prefill_duration(took);
+    let timed_out =
+        |MomentPassed| CallError::Lost { reason: format!("no prefill within {limit:?}") };
+    ended.map_err(timed_out)?
 }
 
-/// Settles the budget of a failed prefill and tells whether another engine may be asked.
-fn may_ask_again(
+/// Settles the retry budget of a failed prefill and returns whether another engine may be tried.
+fn settle_failed_prefill(
     context: &ForwardContext,
     request: &RoutedRequest,
     error: &CallError,
     permit: RetryReservation,
 ) -> bool {
-    let in_time = request.age() < LATEST_REPEAT;
+    let in_time = request.age() < MAX_AGE_FOR_RETRY;
     match error {
         CallError::NotSent { .. } => {
             permit.release();
@@ -190,7 +190,7 @@
             in_time
         }
         CallError::Lost { .. } => {
-            // One of the two counts: this call if it was refused, else the next one.
+            // Only one retry is charged: the next prefill if it is allowed, otherwise this one.
             let again = in_time && context.budgets.try_withdraw(&request.service);
             if again {
                 permit.release();
--- a/crates/dillspool_forward/src/reader.rs
+++ b/crates/dillspool_forward/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads whole events from an engine's stream and checks their order.
+//! Reads complete events from an engine's stream and checks their order.
 
 use std::pin::pin;
 
@@ -11,74 +11,74 @@
 use crate::events::EventSplitter;
 use crate::generate::OpenStream;
 
-/// What was read from the engine.
+/// What a read of an engine's stream returned.
 #[derive(Debug)]
 pub(crate) enum ReadPart {
-    /// Whole events in order, and how many.
+    /// Complete events in order, and their number.
     Events(Bytes, u64),
-    /// The stream ended behind a whole event.
+    /// The stream ended after a complete event.
     End,
-    /// The stream cannot be used any further.
+    /// The stream is unusable, for this cause.
     Broken(String),
 }
 
-/// An engine's stream with what was read of it.
+/// An engine's stream with its read state.
 pub(crate) struct StreamReader {
     pub(crate) open: OpenStream,
     splitter: EventSplitter,
-    /// Last whole event that was read, of this stream or of the one before it.
+    /// Last complete event that was read, from this stream or the one it resumes.
     pub(crate) last_event: Option<u64>,
-    /// When the last whole event came, or the stream was opened.
+    /// When the last complete event arrived, or the stream was opened.
     pub(crate) last_at: Instant,
-    /// Ends with the cause for which the stream is over, whatever still comes. One for all events, since each
-    /// would set up its timer and its watches anew.
-    over: BoxFuture<&'static str>,
+    /// Resolves to the cause when the stream must end even if data still arrives. Shared by all reads, so that
+    /// they don't set up its timer and watches again.
+    cutoff: BoxFuture<&'static str>,
     held: ExchangeBytes,
-    /// Charges the part of an event that has come.
+    /// Byte budget charge for the incomplete event.
     partial: ByteGuard,
 }
 
 impl StreamReader {
-    /// Reads a stream that goes on behind `last_event`.
+    /// A reader of a stream that continues after `last_event`.
     pub(crate) fn new(
         open: OpenStream,
         last_event: Option<u64>,
-        over: BoxFuture<&'static str>,
+        cutoff: BoxFuture<&'static str>,
         held: ExchangeBytes,
     ) -> Self {
         let (splitter, last_at) = (EventSplitter::default(), Instant::now());
         let partial = held.guard();
-        Self { open, splitter, last_event, last_at, over, held, partial }
+        Self { open, splitter, last_event, last_at, cutoff, held, partial }
     }
 
-    /// The caller takes events again. Where it may pause the stream, the silence that its pause caused is
-    /// not the engine's.
-    pub(crate) fn resume(&mut self) {
+    /// Restarts stall detection when the caller reads again. With a byte budget the caller can pause the stream,
+    /// and that pause must not count as the engine's.
+    pub(crate) fn reset_stall_timer(&mut self) {
         if self.held.terms().is_some() {
             self.last_at = Instant::now();
         }
     }
 
-    /// Reads until at least one event is whole; `None` if nothing came until `look_at`, and the stream is as
-    /// good as before.
+    /// Reads until at least one event is complete. Returns `None` if nothing arrived by `until`; the stream stays
+    /// usable.
     ///
-    /// Dropping the future loses nothing that was read.
-    pub(crate) async fn read(&mut self, look_at: Option<Instant>) -> Option<ReadPart> {
-        let look = async {
-            match look_at {
-                Some(look_at) => tokio::time::sleep_until(look_at).await,
+    /// Cancel-safe: dropping the future loses no data.
+    pub(crate) async fn read(&mut self, until: Option<Instant>) -> Option<ReadPart> {
+        let timer = async {
+            match until {
+                Some(until) => tokio::time::sleep_until(until).await,
                 None => std::future::pending().await,
             }
         };
-        let mut look = pin!(look);
+        let mut timer = pin!(timer);
         loop {
             let frame = tokio::select! {
                 biased;
                 frame = self.open.body.frame() => frame,
-                cause = &mut self.over => return Some(ReadPart::Broken(cause.to_owned())),
-                () = &mut look => return None,
+                cause = &mut self.cutoff => return Some(ReadPart::Broken(cause.to_owned())),
+                () = &mut timer => return None,
             };
-            let part = self.take_frame(frame);
+            let part = self.handle_frame(frame);
             let partial = self.splitter.len() as u64;
             if part.is_some() || !self.partial.try_set(partial) {
                 self.partial.set(partial);
@@ -90,17 +90,17 @@
         }
     }
 
-    /// Takes what came; `None` while no event is whole.
-    fn take_frame(&mut self, frame: Option<Result<Frame<Bytes>, BoxError>>) -> Option<ReadPart> {
+    /// Processes a frame; `None` while no event is complete.
+    fn handle_frame(&mut self, frame: Option<Result<Frame<Bytes>, BoxError>>) -> Option<ReadPart> {
         let frame = match frame {
             Some(Ok(frame)) => frame,
             Some(Err(error)) => return Some(ReadPart::Broken(error.to_string())),
             None if self.splitter.is_empty() => return Some(ReadPart::End),
-            None => return Some(ReadPart::Broken("it ended within an event".to_owned())),
+            None => return Some(ReadPart::Broken("the stream ended within an event".to_owned())),
         };
         self.splitter.push(&frame.into_data().ok()?);
-        if self.splitter.is_overlong() {
-            return Some(ReadPart::Broken("an event without end".to_owned()));
+        if self.splitter.is_too_long() {
+            return Some(ReadPart::Broken("an event exceeds the maximum length".to_owned()));
         }
         match self.take_events() {
             Ok((_events, 0)) => None,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The whole events read so far, checked for their order, and how many.
+    /// Takes the complete events, checks their order, and counts them.
     fn take_events(&mut self) -> Result<(Bytes, u64), String> {
         let mut taken = BytesMut::new();
         let mut count = 0;
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -19,7 +19,7 @@
     CallDesk, FleetNews, LimitClient, LimitDesk, PoolDesk, ScheduleClient, ScheduleDesks,
 };
 use dillspool_schema::Name;
-use dillspool_suspects::{SuspectDesk, SuspectPolicy};
+use dillspool_suspects::{SuspectPolicy, SuspectTracker};
 use prometheus_client::registry::Registry;
 use snafu::{ResultExt, Snafu};
 use tokio::sync::watch;
@@ -81,7 +81,7 @@
     background: CancellationToken,
     serving: TaskTracker,
     peers: PeerList,
-    suspects: SuspectDesk,
+    suspects: SuspectTracker,
     /// Bytes held for slow peers, where they are limited.
     held: Option<ByteBudget>,
     clock: HostClock,
@@ -117,7 +117,7 @@
         let demand = DemandMeter::default();
         let budgets = RetryBudgets::new(config.budget, clock.clone());
         let metrics = ForwardMetrics::default();
-        let suspects = SuspectDesk::new(SuspectPolicy::default(), clock.clone());
+        let suspects = SuspectTracker::new(SuspectPolicy::default(), clock.clone());
         suspects.set_lifted(config.lifted.clone());
         let limits = LimitDesk::new(config.limits, clock.clone());
         let backend_limits = LimitDesk::of_backend_servers(config.limits.shares, clock.clone());
@@ -273,7 +273,7 @@
             is_first_start: self.config.first_start,
             clock: clock.clone(),
             delay: order_delay(&self.config.host, beliefs.config.clone(), schedule),
-            is_backing_off: Arc::new(move |engine| throttle.rests_until(engine).is_some()),
+            is_backing_off: Arc::new(move |engine| throttle.backoff_until(engine).is_some()),
         };
         tokio::spawn(reconcile_stages(
             settings,
--- a/crates/dillspool_router/src/notice_keeper.rs
+++ b/crates/dillspool_router/src/notice_keeper.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_limits::SpendRequest;
 use dillspool_routing::DirectoryView;
 use dillspool_scheduler::{FleetNews, LimitClient, ScheduleClient};
-use dillspool_throttle::ThrottleDesk;
+use dillspool_throttle::ThrottleTracker;
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
@@ -18,8 +18,8 @@
 
 /// What the task works with.
 pub(crate) struct NoticeKeeper {
-    pub(crate) throttle: ThrottleDesk,
-    pub(crate) leaving: LeavingDesk,
+    pub(crate) throttle: ThrottleTracker,
+    pub(crate) leaving: LeavingTracker,
     pub(crate) limits: LimitClient,
     pub(crate) schedule: ScheduleClient,
     pub(crate) directory: watch::Receiver<Arc<DirectoryView>>,
@@ -36,7 +36,7 @@
                     if changed.is_err() {
                         return;
                     }
-                    self.throttle.forget_gone(&self.directory.borrow_and_update());
+                    self.throttle.remove_stale(&self.directory.borrow_and_update());
                 }
                 () = cancel.cancelled() => return,
             }
@@ -44,19 +44,19 @@
     }
 
     fn tell_leaving(&self) {
-        for news in self.leaving.take_news() {
+        for news in self.leaving.take_updates() {
             self.schedule.tell(&FleetNews::Leaving(news));
         }
     }
 
     fn tell_limits(&self) {
-        for news in self.throttle.take_news() {
+        for news in self.throttle.take_updates() {
             self.schedule.tell(&FleetNews::Throttle(news));
         }
-        for known in self.throttle.known(usize::MAX) {
+        for known in self.throttle.newest_updates(usize::MAX) {
             self.limits.want(&known.backend.label());
         }
-        for before in self.throttle.take_before() {
+        for before in self.throttle.take_unreported() {
             tokio::spawn(charge(self.limits.clone(), before));
         }
     }
@@ -67,6 +67,6 @@
     log::debug!(
         "event=backend_limit_charged backend=\"{}\" sent={} told={told:?}",
         before.subject,
-        before.before
+        before.unreported
     );
 }
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -12,7 +12,7 @@
 };
 use dillspool_io::{HostClock, full_body};
 use dillspool_keys::{CallerKey, PresentedKey};
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_platform::{
     ChangedRow, MemoryTable, PlatformError, TableDelta, TableWatch, WatchError,
 };
@@ -23,8 +23,8 @@
     RouteEntry, RouteTable, RoutingConfig, ServiceShare, WorkspaceEntry, WorkspaceTable,
 };
 use dillspool_scheduler::{CallTerms, LimitTerms};
-use dillspool_suspects::PrintKey;
-use dillspool_throttle::ThrottleDesk;
+use dillspool_suspects::FingerprintKey;
+use dillspool_throttle::ThrottleTracker;
 use hyper::{HeaderMap, StatusCode};
 
 /// Where the host takes callers.
@@ -53,7 +53,7 @@
         budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
         limits: LimitTerms { slack: 0.0, shares: 2 },
         held: None,
-        print_key: PrintKey::default(),
+        print_key: FingerprintKey::default(),
         lifted: vec![],
         grace: Duration::from_secs(8),
         lapse_grace: Duration::from_secs(2),
@@ -232,8 +232,8 @@
         directory_table: "servers".into(),
         own_table: "own".into(),
         calls: calls(site),
-        throttle: ThrottleDesk::new(HostClock::steady()),
-        leaving: LeavingDesk::new(HostClock::steady()),
+        throttle: ThrottleTracker::new(HostClock::steady()),
+        leaving: LeavingTracker::new(HostClock::steady()),
         watch: TableWatch {
             snapshot: Arc::new(move |table| {
                 let site = for_snapshot.clone();
