--- a/crates/dillspool_suspects/src/print.rs
+++ b/crates/dillspool_suspects/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one.
+//! Request fingerprints, which identify copies of the same request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,14 +6,14 @@
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// Bytes of a print. Among a billion different requests two have the same one with a chance of some
-/// 10^-21.
-const PRINT_BYTES: usize = 16;
+/// Length of a fingerprint in bytes. Among a billion different requests, the probability of a
+/// collision is about 10^-21.
+const FINGERPRINT_BYTES: usize = 16;
 
 type Hasher = Hmac<Sha256>;
 
-/// The fleet's key for prints: without it nobody can tell from a print whether a guessed body is the one
-/// that was sent.
+/// Secret key for fingerprints. Without it, nobody can use a fingerprint to test whether a guessed
+/// body is the one that was sent.
 #[derive(Clone)]
 pub struct FingerprintKey {
     keyed: Hasher,
@@ -26,10 +26,11 @@
 }
 
 impl FingerprintKey {
-    /// A key; all hosts need the same one.
+    /// Creates a key; all hosts must use the same one.
     pub fn new(key: &str) -> Self {
-        // The library takes keys of any length and pads or hashes them.
-        let keyed = Hasher::new_from_slice(key.as_bytes()).expect("a key of any length is taken");
+        // HMAC accepts keys of any length and pads or hashes them.
+        let keyed =
+            Hasher::new_from_slice(key.as_bytes()).expect("HMAC accepts a key of any length");
         Self { keyed }
     }
 }
@@ -40,39 +41,40 @@
     }
 }
 
-/// What a print is made of.
+/// The parts of a request that its fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintInput<'a> {
-    /// Who sent the request, as far as it says so: its workspace.
+    /// The authenticated sender: its workspace.
     pub caller: &'a str,
-    /// Its host name, lower case.
+    /// Host name in lower case.
     pub host: &'a str,
-    /// Its path and query.
+    /// Path and query.
     pub path: &'a str,
-    /// Its body.
+    /// Body.
     pub body: &'a [u8],
 }
 
-/// Stands for a request's caller, host name, path and body.
+/// Keyed hash of a request's caller, host name, path and body.
 ///
-/// Two copies of a request have the same print whatever their ids are; the body cannot be read from it.
+/// All copies of a request have the same fingerprint, whatever their IDs; the body cannot be
+/// recovered from it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestFingerprint([u8; PRINT_BYTES]);
+pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
-    /// The print of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(key: &FingerprintKey, parts: &FingerprintInput<'_>) -> Self {
         let mut hasher = key.keyed.clone();
         for part in [parts.caller.as_bytes(), parts.host.as_bytes(), parts.path.as_bytes()] {
-            // The length keeps the end of one part apart from the start of the next.
+            // The length prefix keeps adjacent parts apart.
             hasher.update(&part.len().to_le_bytes());
             hasher.update(part);
         }
         hasher.update(parts.body);
         let whole = hasher.finalize().into_bytes();
-        let mut print = [0; PRINT_BYTES];
-        print.copy_from_slice(&whole[..PRINT_BYTES]);
-        Self(print)
+        let mut fingerprint = [0; FINGERPRINT_BYTES];
+        fingerprint.copy_from_slice(&whole[..FINGERPRINT_BYTES]);
+        Self(fingerprint)
     }
 }
 
@@ -88,13 +90,13 @@
     }
 }
 
-/// A text that is no print.
+/// The text is not a valid fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FingerprintError;
 
 impl fmt::Display for FingerprintError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a print has {} hexadecimal digits", PRINT_BYTES * 2)
+        write!(f, "a request fingerprint has {} hexadecimal digits", FINGERPRINT_BYTES * 2)
     }
 }
 
@@ -104,13 +106,14 @@
     type Err = FingerprintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let mut print = [0; PRINT_BYTES];
-        if text.len() != PRINT_BYTES * 2 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        let mut fingerprint = [0; FINGERPRINT_BYTES];
+        if text.len() != FINGERPRINT_BYTES * 2 || !text.bytes().all(|byte| byte.is_ascii_hexdigit())
+        {
             return Err(FingerprintError);
         }
-        for (byte, at) in print.iter_mut().zip((0..).step_by(2)) {
+        for (byte, at) in fingerprint.iter_mut().zip((0..).step_by(2)) {
             *byte = u8::from_str_radix(&text[at..at + 2], 16).map_err(|_error| FingerprintError)?;
         }
-        Ok(Self(print))
+        Ok(Self(fingerprint))
     }
 }
--- a/crates/dillspool_suspects/src/lib.rs
+++ b/crates/dillspool_suspects/src/lib.rs
@@ -1,18 +1,21 @@
-//! Requests that may crash the backend servers that run them.
+//! Detection of requests that crash the backend servers that run them ("poison requests").
 //!
-//! A request that ends its backend server comes again, under another id and at any host, and ends the
-//! next one. What makes two requests the same one, and what follows from the ends under it, stands here,
-//! apart from input and output; [`SuspectRegistry`] decides over moments that are passed in, and [`SuspectTracker`] keeps
-//! one for a host. See `docs/design/suspects.md`.
+//! A client that sees its request fail retries it, under another ID and at any host, so one poison
+//! request can crash a backend server per copy. This crate defines when two requests are copies of
+//! the same one and what follows from the crashes recorded for it. [`SuspectRegistry`] decides
+//! without I/O, on times passed in by the caller; [`SuspectTracker`] shares one registry within a
+//! host. See `docs/design/suspects.md`.
 
-mod book;
-mod desk;
+mod fingerprint;
+mod instance_names;
 mod policy;
-mod print;
 mod recent;
-mod starts;
+mod registry;
+mod tracker;
 
-pub use book::{BackendCrash, CrashedInstance, SuspectDecision, SuspectRegistry, SuspectUpdate};
-pub use desk::{CopyGuard, CopyRefusal, SuspectTracker};
+pub use fingerprint::{FingerprintError, FingerprintInput, FingerprintKey, RequestFingerprint};
 pub use policy::{COPY_RETRY_DELAY, CrashAttribution, SuspectPolicy};
-pub use print::{FingerprintError, FingerprintInput, FingerprintKey, RequestFingerprint};
+pub use registry::{
+    BackendCrash, CrashedInstance, SuspectDecision, SuspectRegistry, SuspectUpdate,
+};
+pub use tracker::{CopyGuard, CopyRefusal, SuspectTracker};
--- a/crates/dillspool_suspects/src/recent.rs
+++ b/crates/dillspool_suspects/src/recent.rs
@@ -1,35 +1,35 @@
-//! Requests that came to a good end of late.
+//! Requests that recently succeeded.
 
 use std::collections::HashSet;
 
-use crate::print::RequestFingerprint;
+use crate::fingerprint::RequestFingerprint;
 
-/// Prints that came to a good end, the newest of them.
+/// The most recently succeeded requests.
 ///
-/// Two sets take turns: the older one goes whole when the newer one is full, so that noting one costs no
-/// search for the oldest.
+/// Uses two generations: when the newer set is full, it replaces the older one, so inserting never
+/// has to search for the oldest entry.
 #[derive(Clone, Debug)]
-pub(crate) struct RecentPrints {
+pub(crate) struct RecentFingerprints {
     newer: HashSet<RequestFingerprint>,
     older: HashSet<RequestFingerprint>,
-    /// Prints of a set at most.
-    most: usize,
+    /// Capacity of one generation.
+    capacity: usize,
 }
 
-impl RecentPrints {
-    /// Remembers `most` prints at least, once so many have come, and twice as many at most.
-    pub(crate) fn new(most: usize) -> Self {
-        Self { newer: HashSet::new(), older: HashSet::new(), most }
+impl RecentFingerprints {
+    /// Remembers at least the last `capacity` fingerprints, and at most twice as many.
+    pub(crate) fn new(capacity: usize) -> Self {
+        Self { newer: HashSet::new(), older: HashSet::new(), capacity }
     }
 
-    pub(crate) fn note(&mut self, print: RequestFingerprint) {
-        if self.newer.len() >= self.most {
+    pub(crate) fn insert(&mut self, fingerprint: RequestFingerprint) {
+        if self.newer.len() >= self.capacity {
             self.older = std::mem::take(&mut self.newer);
         }
-        self.newer.insert(print);
+        self.newer.insert(fingerprint);
     }
 
-    pub(crate) fn contains(&self, print: RequestFingerprint) -> bool {
-        self.newer.contains(&print) || self.older.contains(&print)
+    pub(crate) fn contains(&self, fingerprint: RequestFingerprint) -> bool {
+        self.newer.contains(&fingerprint) || self.older.contains(&fingerprint)
     }
 }
