--- a/crates/dillspool_roles/src/reconciler.rs
+++ b/crates/dillspool_roles/src/reconciler.rs
@@ -56,15 +56,15 @@
 const SHORTAGE_GRACE: Duration = Duration::from_secs(30);
 /// Time between two checks of the pools.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Consecutive checks that must find changes due, so that one lapsed directory entry switches no
+/// Consecutive checks that must find changes due, so that one expired directory entry switches no
 /// engine.
 const MIN_CONSECUTIVE_CHECKS: u32 = 2;
 
 /// Runs the reconciler until `cancel`.
 ///
 /// Every host runs it. Each host waits its own `delay` before it acts, and the host that schedules
-/// the pools waits least, so mostly only one host tries to acquire the lease. The lease alone
-/// decides.
+/// the pools waits least, so mostly only one host tries to acquire the lease. Only the lease
+/// decides which host may send orders.
 pub async fn reconcile_stages(
     settings: ReconcilerSettings,
     store: TableStore,
--- a/crates/dillspool_roles/src/targets.rs
+++ b/crates/dillspool_roles/src/targets.rs
@@ -16,12 +16,12 @@
 /// fewest from which lengths that vary by half of their mean give a mean within a fifth.
 const MIN_OBSERVATIONS: f64 = 8.0;
 
-/// Number of engines that are switched from the stage in which they were found while the load does
-/// not require more. An order costs an engine its work for seconds, so a large pool switches no
+/// Number of engines that may be switched from the stage in which they were found while the load
+/// does not require it. An order costs an engine its work for seconds, so a large pool switches no
 /// engines that it does not need.
 const MAX_SWITCHES_WITHOUT_LOAD: usize = 16;
-/// Load of the stage that would gain engines from which on it requires them: in a burst of ten
-/// times as many requests it would be full.
+/// Load of a stage from which on it requires more engines: in a burst of ten times as many requests
+/// it would be full.
 const MIN_LOAD_FOR_SWITCHES: f64 = 0.1;
 
 /// What decides the number of prefill engines.
