--- /dev/null
+++ b/crates/dillspool_forward/src/generate/prepare.rs
@@ -0,0 +1,148 @@
+//! Prepares an attempt: reserves memory, prefills the prompt, and withdraws from the retry budget.
+
+use std::time::Duration;
+
+use dillspool_admission::WorkClass;
+use dillspool_io::MomentPassed;
+use dillspool_routing::DirectoryView;
+use tokio::time::Instant;
+
+use super::{ModelRequest, PreparedAttempt};
+use crate::backend_probe::may_retry;
+use crate::calls::WorkPriority;
+use crate::placement::{Placement, place, placement_request};
+use crate::prefill::{PrefillGuard, prefill};
+use crate::refusal::{Refusal, RefusalCause};
+use crate::stages::FirstEventStages;
+use crate::throttle::{
+    blocked_backends, pick_with_permit, refusal_if_blocked, wait_until_unblocked,
+};
+use crate::trace::log_retry_budget_exhausted;
+
+/// Callers disconnect after this time without an event, or after the multiples below of their latency
+/// objective or maximum event gap if those are longer. The platform's callers do the same.
+const MIN_CALLER_SILENCE: Duration = Duration::from_secs(2);
+const CALLER_SILENCE_OBJECTIVES: u32 = 4;
+const CALLER_SILENCE_EVENT_GAPS: u32 = 8;
+/// Retry delay when no engine is known; directories recover within seconds.
+const NO_ENGINE_RETRY_AFTER: Duration = Duration::from_secs(1);
+
+impl ModelRequest {
+    /// Reserves memory and prefills the prompt.
+    pub(super) async fn prepare(&mut self) -> Result<PreparedAttempt, Refusal> {
+        if self.request.remaining().is_zero() || self.attempts >= self.request.route.max_attempts {
+            return Err(self.final_refusal());
+        }
+        if self.may_have_run && !may_retry(&self.context, &self.request, &mut self.probe).await {
+            return Err(self.final_refusal());
+        }
+        let placing = self.request.clock.timeout_at(self.request.deadline, self.place()).await;
+        let placement = match placing {
+            Ok(placed) => placed?,
+            Err(MomentPassed) => return Err(self.final_refusal()),
+        };
+        let reserved = self.request.age();
+        if self.attempts > 0 {
+            self.withdraw_retry()?;
+        }
+        let prefill = self.prefill(&placement).await;
+        if self.is_before_first_event() {
+            let prefilled = self.request.age();
+            self.stages = FirstEventStages { reserved, prefilled, ..FirstEventStages::default() };
+        }
+        // The prefill alone may have crashed engines.
+        let is_deadly = !may_retry(&self.context, &self.request, &mut None).await;
+        if is_deadly || self.request.remaining().is_zero() {
+            return Err(self.final_refusal());
+        }
+        Ok(PreparedAttempt { placement, prefill })
+    }
+
+    /// Prefills the prompt. Every prefill of a request but the first is a retry and needs budget.
+    async fn prefill(&mut self, placement: &Placement) -> PrefillGuard {
+        if self.prefills > 0 && !self.context.budgets.try_withdraw(&self.request.service) {
+            return PrefillGuard::empty(&self.context);
+        }
+        self.prefills += 1;
+        prefill(&self.context, &self.request, placement, self.priority()).await
+    }
+
+    /// Requests that miss their objective in any case, as when many callers retry at once, yield to those
+    /// that can meet theirs.
+    fn priority(&self) -> WorkPriority {
+        let under_way = !self.is_before_first_event();
+        if self.request.is_past_objective() && !under_way {
+            WorkPriority::Late
+        } else {
+            WorkPriority::Normal
+        }
+    }
+
+    pub(super) fn is_before_first_event(&self) -> bool {
+        self.last_event == self.request.resume_after
+    }
+
+    /// Withdraws a retry from the retry budget.
+    fn withdraw_retry(&self) -> Result<(), Refusal> {
+        if self.context.budgets.try_withdraw(&self.request.service) {
+            self.context.metrics.record_retry();
+            return Ok(());
+        }
+        log_retry_budget_exhausted(&self.request, &self.context.budgets);
+        Err(self.final_refusal())
+    }
+
+    /// Finds a decode engine that reserves memory and usually a prefill engine.
+    async fn place(&self) -> Result<Placement, Refusal> {
+        let view = self.context.view();
+        let mut backends = view.ready(&self.request.service).peekable();
+        if backends.peek().is_some() && backends.all(|entry| entry.stage.is_none()) {
+            return self.place_without_stages(&view).await;
+        }
+        let (class, max_wait) = (self.class(), self.max_wait());
+        let placed = loop {
+            let mut excluded = self.tried.ids(&view);
+            excluded.extend(blocked_backends(&self.context, &self.request));
+            let query = placement_request(&self.context, &self.request, class, max_wait, &excluded);
+            let placed = place(&self.context, &self.request, query).await;
+            let is_limited = placed.as_ref().is_err_and(Refusal::is_backends_limited);
+            if !is_limited || !Box::pin(wait_until_unblocked(&self.context, &self.request)).await {
+                break placed;
+            }
+        };
+        placed.map_err(|refusal| if self.may_have_run { self.final_refusal() } else { refusal })
+    }
+
+    fn class(&self) -> WorkClass {
+        if !self.is_before_first_event() {
+            WorkClass::UnderWay
+        } else if self.request.is_past_objective() {
+            WorkClass::Late
+        } else {
+            WorkClass::InTime
+        }
+    }
+
+    /// Longest useful wait for engines: callers disconnect after some time without an event.
+    fn max_wait(&self) -> Duration {
+        let route = &self.request.route;
+        let silence = (route.objective * CALLER_SILENCE_OBJECTIVES).max(MIN_CALLER_SILENCE);
+        let silence =
+            route.max_event_gap.map_or(silence, |it| silence.max(it * CALLER_SILENCE_EVENT_GAPS));
+        let remaining = self.request.remaining().min(silence.saturating_sub(self.request.age()));
+        self.engine_wait_deadline.map_or(remaining, |until| {
+            remaining.min(until.saturating_duration_since(Instant::now()))
+        })
+    }
+
+    /// Places a stream like a plain request, for services whose backend servers have no stages.
+    async fn place_without_stages(&self, view: &DirectoryView) -> Result<Placement, Refusal> {
+        let (context, request) = (&self.context, &self.request);
+        let choose = || context.picker(view).pick_plain(&request.service, &self.tried);
+        if let Some((entry, _permit)) = pick_with_permit(context, request, choose).await {
+            return Ok(Placement::without_reservation(context, entry));
+        }
+        let none = Refusal::with_retry_after(RefusalCause::NoBackend, NO_ENGINE_RETRY_AFTER);
+        Err(refusal_if_blocked(context, request).unwrap_or(none))
+    }
+}
--- a/crates/dillspool_forward/src/lib.rs
+++ b/crates/dillspool_forward/src/lib.rs
@@ -1,42 +1,42 @@
-//! The path of a request to its backend server and of the answer back.
+//! Forwards requests to backend servers and relays their responses.
 //!
 //! Plain requests go to one backend server of their service. Model requests reserve decode
-//! memory, are prefilled, and are streamed event by event. What may be sent again, and when,
-//! is decided here and nowhere else; `docs/design/platform_site.md` has the reasons.
+//! memory, are prefilled, and are streamed event by event. All retry decisions are made in this
+//! crate; `docs/design/platform_site.md` has the reasons.
 
-mod answer;
-mod book;
-mod broken_run;
-mod budget;
+mod backend_probe;
+mod backend_tracker;
 mod calls;
-mod choose;
 mod context;
-mod decided;
 mod events;
 mod generate;
-mod limits;
-mod long_answer;
+mod handle;
 mod metrics;
+mod picker;
 mod placement;
 mod plain;
 mod prefill;
 mod reader;
 mod refusal;
 mod relay;
+mod response_body;
+mod retry_budget;
+mod scheduled;
 mod stages;
 mod throttle;
 mod trace;
 mod tried;
+mod workspace_limit;
 
-pub use answer::answer_request;
-pub use book::BackendBook;
-pub use broken_run::BreakLooks;
-pub use budget::{BudgetReading, BudgetTerms, RetryBudgets};
+pub use backend_probe::BackendProbes;
+pub use backend_tracker::BackendTracker;
 pub use calls::{
-    BackendAnswer, BackendCalls, BackendSign, CallError, ForwardTerms, HoldTerms, OrderOutcome,
-    PrefillTerms, PrefilledPrompt, StageOrder, WorkRank,
+    BackendCalls, BackendResponse, CallError, ForwardParams, OrderOutcome, PrefillParams,
+    PrefilledPrompt, ProbeResult, ReservationParams, StageOrder, WorkPriority,
 };
 pub use context::ForwardContext;
 pub use events::{EventSplitter, StreamEvent};
+pub use handle::handle_request;
 pub use metrics::{ForwardMetrics, OutcomeLabels};
 pub use refusal::{Refusal, RefusalCause};
+pub use retry_budget::{BudgetSettings, BudgetUsage, RetryBudgets};
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dillspool_calls::{CallEnd, RejectCause};
+use dillspool_calls::{CallOutcome, RejectCause};
 use dillspool_io::{MomentPassed, ResponseBody, full_body};
 use dillspool_routing::{BackendEntry, RoutedRequest};
 use dillspool_scheduler::CallTicket;
@@ -13,14 +13,14 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use crate::broken_run::{may_run_again, trace_break};
-use crate::calls::{CallError, ForwardTerms};
+use crate::backend_probe::{may_retry, spawn_failure_probe};
+use crate::calls::{CallError, ForwardParams};
 use crate::context::ForwardContext;
-use crate::decided::{SendChoice, choose_decided};
-use crate::long_answer::{AnswerStart, LongAnswer, read_start};
 use crate::refusal::{Refusal, RefusalCause};
-use crate::throttle::{SendPermit, all_closed, choose_permitted, refuse_closed};
-use crate::trace::{RequestTrace, log_budget_empty, log_send_failed};
+use crate::response_body::{BufferedBody, PartialResponse, buffer_body};
+use crate::scheduled::{ScheduleOutcome, choose_scheduled};
+use crate::throttle::{SendPermit, all_blocked, pick_with_permit, refusal_if_blocked};
+use crate::trace::{RequestTrace, log_retry_budget_exhausted, log_send_failed};
 use crate::tried::TriedBackends;
 
 /// Backend servers that may turn out unreachable for one request.
@@ -34,7 +34,7 @@
     /// The backend server's own answer, whole.
     Whole(WholeAnswer),
     /// The same, of which only the start was read.
-    Long(Box<LongAnswer>),
+    Long(Box<PartialResponse>),
     /// Nothing was sent.
     NotSent(String),
     /// The backend server did not run it.
@@ -45,24 +45,24 @@
 
 impl SendOutcome {
     /// What the host that decides on the calls of the service is told of it.
-    fn call_end(&self) -> CallEnd {
+    fn call_end(&self) -> CallOutcome {
         match self {
-            Self::Whole(answer) if !answer.status.is_server_error() => CallEnd::Answered,
-            Self::Long(answer) if !answer.status.is_server_error() => CallEnd::Answered,
-            Self::Whole(_) | Self::Long(_) => CallEnd::Failed,
-            Self::NotSent(_) => CallEnd::NotSent,
-            Self::NotRun => CallEnd::NotRun,
-            Self::Unclear(_) => CallEnd::Lost,
+            Self::Whole(answer) if !answer.status.is_server_error() => CallOutcome::Answered,
+            Self::Long(answer) if !answer.status.is_server_error() => CallOutcome::Answered,
+            Self::Whole(_) | Self::Long(_) => CallOutcome::Failed,
+            Self::NotSent(_) => CallOutcome::NotSent,
+            Self::NotRun => CallOutcome::NotRun,
+            Self::Unclear(_) => CallOutcome::Lost,
         }
     }
 }
 
 /// The final answer of a backend server.
-pub(crate) enum PlainEnd {
+pub(crate) enum PlainResponse {
     /// It was read to its end.
-    Whole(Response<ResponseBody>),
+    Complete(Response<ResponseBody>),
     /// It is to be passed on as it arrives.
-    Long(Box<LongAnswer>),
+    Streamed(Box<PartialResponse>),
 }
 
 /// An answer that was read to its end.
@@ -89,7 +89,7 @@
     sends: u32,
     unreachable: usize,
     may_have_run: bool,
-    failure: Option<PlainEnd>,
+    failure: Option<PlainResponse>,
     /// The decision not to send it any more, and when its caller may come back.
     rejected: Option<(RejectCause, Duration)>,
 }
@@ -104,30 +104,30 @@
         entry: &BackendEntry,
         outcome: SendOutcome,
     ) {
-        let (book, backend) = (&context.book, &entry.started());
+        let (tracker, backend) = (&context.backend_tracker, &entry.instance());
         let cause = match outcome {
             SendOutcome::Whole(answer) => {
                 let status = answer.status;
-                self.note_failed(context, entry, status, PlainEnd::Whole(answer.response()))
+                self.note_failed(context, entry, status, PlainResponse::Complete(answer.response()))
             }
             SendOutcome::Long(answer) => {
-                self.note_failed(context, entry, answer.status, PlainEnd::Long(answer))
+                self.note_failed(context, entry, answer.status, PlainResponse::Streamed(answer))
             }
             SendOutcome::NotSent(cause) => {
-                book.note_unreachable(backend, &cause);
+                tracker.record_connect_failure(backend, &cause);
                 self.unreachable += 1;
                 cause
             }
             SendOutcome::NotRun => {
                 // One that names how much it takes may refuse what is beyond, and is not broken.
-                if context.throttle.read(backend).rate.is_none() {
-                    book.note_failure(backend);
+                if context.throttle.status(backend).rate.is_none() {
+                    tracker.record_failure(backend);
                 }
                 self.sends += 1;
                 "refused, not run".to_owned()
             }
             SendOutcome::Unclear(cause) => {
-                book.note_silence(backend, &cause);
+                tracker.record_no_response(backend, &cause);
                 self.sends += 1;
                 self.may_have_run = true;
                 cause
@@ -142,9 +142,9 @@
         context: &ForwardContext,
         entry: &BackendEntry,
         status: StatusCode,
-        failure: PlainEnd,
+        failure: PlainResponse,
     ) -> String {
-        context.book.note_failure(&entry.started());
+        context.backend_tracker.record_failure(&entry.instance());
         self.sends += 1;
         self.may_have_run = true;
         self.failure = Some(failure);
@@ -152,20 +152,20 @@
     }
 }
 
-pub(crate) async fn answer_plain(
+pub(crate) async fn handle_plain(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     trace: &mut RequestTrace,
-) -> Result<PlainEnd, Refusal> {
+) -> Result<PlainResponse, Refusal> {
     let mut record = SendRecord::default();
     let mut look = None;
     // Dropped after a send that is given up, so its place is free once the connection is closed.
     let mut ticket = context.call_client.open(&request.service);
-    while may_run_again(context, request, &mut look).await
+    while may_retry(context, request, &mut look).await
         && let Some((entry, directory, permit)) =
             next_backend(context, request, &mut record, &mut ticket).await
     {
-        trace.chose(&entry.id, directory);
+        trace.record_backend(&entry.id, directory);
         record.tried.push(&entry);
         let limit = send_limit(request, &record);
         let started = Instant::now();
@@ -173,25 +173,25 @@
         let outcome = match outcome {
             SendOutcome::Long(mut answer) if !answer.status.is_server_error() => {
                 answer.call = Some(ticket);
-                return Ok(PlainEnd::Long(answer));
+                return Ok(PlainResponse::Streamed(answer));
             }
             outcome => outcome,
         };
         ticket.end(outcome.call_end(), started.elapsed());
         match outcome {
             SendOutcome::Whole(answer) if !answer.status.is_server_error() => {
-                context.book.note_success(&entry.started(), started.elapsed());
+                context.backend_tracker.record_success(&entry.instance(), started.elapsed());
                 if answer.status.is_success() {
-                    context.suspects.note_whole(request.print);
+                    context.suspects.record_success(request.fingerprint);
                 }
-                return Ok(PlainEnd::Whole(answer.response()));
+                return Ok(PlainResponse::Complete(answer.response()));
             }
             failed => {
                 if matches!(failed, SendOutcome::Unclear(_)) {
-                    look = Some(trace_break(context, request, &entry));
+                    look = Some(spawn_failure_probe(context, request, &entry));
                 }
                 if matches!(failed, SendOutcome::NotSent(_)) {
-                    permit.give_back();
+                    permit.refund();
                 }
                 record.note_failure(context, request, &entry, failed);
             }
@@ -210,36 +210,36 @@
 ) -> Option<(Arc<BackendEntry>, StoreVersion, SendPermit)> {
     if record.sends >= request.route.max_attempts
         || record.unreachable > MOST_UNREACHABLE
-        || (record.may_have_run && !request.route.is_repeatable())
+        || (record.may_have_run && !request.route.is_idempotent())
         || request.remaining().is_zero()
     {
         return None;
     }
     let decided = if ticket.is_scheduled() {
         // On the heap, since the calls of most services do not come here.
-        Box::pin(choose_decided(context, request, &record.tried, ticket)).await
+        Box::pin(choose_scheduled(context, request, &record.tried, ticket)).await
     } else {
-        SendChoice::Own
+        ScheduleOutcome::Local
     };
     let view = context.view();
     let (entry, permit) = match decided {
-        SendChoice::Send(entry, permit) => (entry, permit),
-        SendChoice::Reject { cause, retry_after } => {
+        ScheduleOutcome::Send(entry, permit) => (entry, permit),
+        ScheduleOutcome::Reject { cause, retry_after } => {
             record.rejected = Some((cause, retry_after));
             return None;
         }
-        SendChoice::Own => {
-            let choose = || context.chooser(&view).plain(&request.service, &record.tried);
-            choose_permitted(context, request, choose).await?
+        ScheduleOutcome::Local => {
+            let choose = || context.picker(&view).pick_plain(&request.service, &record.tried);
+            pick_with_permit(context, request, choose).await?
         }
     };
     if record.sends > 0 {
-        if !context.budgets.take(&request.service) {
-            log_budget_empty(request, &context.budgets);
-            permit.give_back();
+        if !context.budgets.try_withdraw(&request.service) {
+            log_retry_budget_exhausted(request, &context.budgets);
+            permit.refund();
             return None;
         }
-        context.metrics.note_repeated_send();
+        context.metrics.record_retry();
     }
     Some((entry, view.version, permit))
 }
@@ -248,7 +248,7 @@
 fn send_limit(request: &RoutedRequest, record: &SendRecord) -> Duration {
     let remaining = request.remaining();
     let is_last = record.sends + 1 >= request.route.max_attempts;
-    if is_last || !request.route.is_repeatable() {
+    if is_last || !request.route.is_idempotent() {
         return remaining;
     }
     remaining.min((remaining / 2).max(request.route.objective))
@@ -260,31 +260,31 @@
     entry: &Arc<BackendEntry>,
     limit: Duration,
 ) -> SendOutcome {
-    let ticket = context.book.enter(&entry.started());
+    let ticket = context.backend_tracker.track_request(&entry.instance());
     let sent_at = request.clock.now();
-    let terms = ForwardTerms { time_budget: request.remaining(), ..ForwardTerms::default() };
+    let terms = ForwardParams { time_budget: request.remaining(), ..ForwardParams::default() };
     let exchange = async {
         let answer = (context.calls.forward)(Arc::clone(entry), Arc::clone(request), terms).await?;
         if answer.did_not_run {
             return Err(CallError::Refused { status: answer.status });
         }
-        if !answer.is_genuine_success() && !answer.is_genuine_failure() {
+        if !answer.is_verified_success() && !answer.is_verified_failure() {
             let reason = format!("status {} without proof of its origin", answer.status.as_u16());
             return Err(CallError::Lost { reason });
         }
         let (status, headers) = (answer.status, answer.headers);
-        let start = read_start(request, answer.body)
+        let start = buffer_body(request, answer.body)
             .await
             .map_err(|error| CallError::Lost { reason: error.to_string() })?;
         Ok((status, headers, start))
     };
-    match request.clock.timeout(limit, context.while_started(entry, exchange)).await {
-        Ok(Ok((status, headers, AnswerStart::Whole(body)))) => {
+    match request.clock.timeout(limit, context.cancel_on_restart(entry, exchange)).await {
+        Ok(Ok((status, headers, BufferedBody::Complete(body)))) => {
             SendOutcome::Whole(WholeAnswer { status, headers, body })
         }
-        Ok(Ok((status, headers, AnswerStart::Longer(parts, body)))) => {
+        Ok(Ok((status, headers, BufferedBody::Partial(parts, body)))) => {
             let entry = Arc::clone(entry);
-            let answer = LongAnswer {
+            let answer = PartialResponse {
                 status,
                 headers,
                 parts,
@@ -307,7 +307,7 @@
     context: &ForwardContext,
     request: &RoutedRequest,
     record: SendRecord,
-) -> Result<PlainEnd, Refusal> {
+) -> Result<PlainResponse, Refusal> {
     if let Some(failure) = record.failure {
         return Ok(failure);
     }
@@ -317,15 +317,15 @@
         return Err(Refusal::new(cause));
     }
     if !request.remaining().is_zero()
-        && all_closed(context, request, &record.tried)
-        && let Some(refusal) = refuse_closed(context, request)
+        && all_blocked(context, request, &record.tried)
+        && let Some(refusal) = refusal_if_blocked(context, request)
     {
         return Err(refusal);
     }
-    if let Some((RejectCause::NoRoom, retry_after)) = record.rejected
+    if let Some((RejectCause::NoCapacity, retry_after)) = record.rejected
         && !request.remaining().is_zero()
     {
-        return Err(Refusal::come_back(RefusalCause::NoRoom, retry_after));
+        return Err(Refusal::with_retry_after(RefusalCause::NoRoom, retry_after));
     }
     let cause = match (record.tried.is_empty(), request.remaining().is_zero()) {
         (_, true) => RefusalCause::TooLateNotRun,
@@ -335,8 +335,8 @@
     if let Some((RejectCause::NoServer, retry_after)) = record.rejected
         && cause == RefusalCause::NoBackend
     {
-        return Err(Refusal::come_back(cause, retry_after));
+        return Err(Refusal::with_retry_after(cause, retry_after));
     }
     let part = rand::rng().random_range(COME_BACK_PARTS);
-    Err(Refusal::come_back(cause, request.route.objective.mul_f64(part)))
+    Err(Refusal::with_retry_after(cause, request.route.objective.mul_f64(part)))
 }
--- a/crates/dillspool_forward/src/budget.rs
+++ b/crates/dillspool_forward/src/retry_budget.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use dillspool_io::HostClock;
-use dillspool_limits::FleetCount;
+use dillspool_limits::FleetSize;
 use dillspool_moment::Moment;
 use dillspool_schema::Name;
 
@@ -23,7 +23,7 @@
 
 /// The budget as the platform states it, for all hosts together.
 #[derive(Clone, Copy, Debug)]
-pub struct BudgetTerms {
+pub struct BudgetSettings {
     /// Repeated sends for each request of a window.
     pub ratio: f64,
     /// Length of the window.
@@ -34,11 +34,11 @@
 
 /// A service's window on this host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetReading {
+pub struct BudgetUsage {
     /// Requests of the window.
     pub requests: u32,
     /// Repeated sends of the window.
-    pub repeats: u32,
+    pub retries: u32,
     /// Repeated sends that this host's part allows in the window.
     pub allowed: f64,
     /// Hosts that share the budget.
@@ -56,7 +56,7 @@
 }
 
 impl ServiceWindow {
-    fn slice(&mut self, now: Moment, terms: &BudgetTerms) -> &mut (Moment, u32, u32) {
+    fn slice(&mut self, now: Moment, terms: &BudgetSettings) -> &mut (Moment, u32, u32) {
         while self.slices.front().is_some_and(|slice| now.since(slice.0) > terms.window) {
             self.slices.pop_front();
         }
@@ -77,25 +77,25 @@
 /// The budgets of all services.
 #[derive(Clone, Debug)]
 pub struct RetryBudgets {
-    terms: BudgetTerms,
+    terms: BudgetSettings,
     clock: HostClock,
     /// The hosts that share the budgets: where a fleet is cut in two, each half counts itself alone and
     /// both spend, so the largest count stands for a while.
-    hosts: Arc<Mutex<FleetCount>>,
+    hosts: Arc<Mutex<FleetSize>>,
     windows: Arc<Mutex<HashMap<Name, ServiceWindow>>>,
 }
 
 impl RetryBudgets {
     /// Empty budgets.
-    pub fn new(terms: BudgetTerms, clock: HostClock) -> Self {
+    pub fn new(terms: BudgetSettings, clock: HostClock) -> Self {
         Self { terms, clock, hosts: Arc::default(), windows: Arc::default() }
     }
 
     /// Takes the number of hosts that share the budget; a smaller one than before counts only after
     /// a while.
-    pub fn set_hosts(&self, hosts: usize) {
+    pub fn set_host_count(&self, hosts: usize) {
         let mut count = self.hosts.lock().unwrap_or_else(PoisonError::into_inner);
-        count.note(hosts.max(1), self.clock.now());
+        count.record(hosts.max(1), self.clock.now());
     }
 
     fn hosts(&self) -> usize {
@@ -109,24 +109,24 @@
     }
 
     /// Notes a request of a caller.
-    pub fn note_request(&self, service: &Name) {
+    pub fn record_request(&self, service: &Name) {
         self.with_window(service, |window| window.slice(self.clock.now(), &self.terms).1 += 1);
     }
 
     /// What the window holds now and what it allows this host.
-    pub fn read(&self, service: &Name) -> BudgetReading {
+    pub fn usage(&self, service: &Name) -> BudgetUsage {
         self.with_window(service, |window| self.read_window(window))
     }
 
-    fn read_window(&self, window: &mut ServiceWindow) -> BudgetReading {
+    fn read_window(&self, window: &mut ServiceWindow) -> BudgetUsage {
         window.slice(self.clock.now(), &self.terms);
-        let (requests, repeats) = window.sums();
+        let (requests, retries) = window.sums();
         let hosts = self.hosts();
         let own_part = self.terms.ratio * f64::from(requests);
         #[expect(clippy::cast_precision_loss, reason = "hosts are counted in hundreds")]
         let shared_part = self.terms.extra / hosts as f64;
         let allowed = SPENT_PART * (own_part + shared_part);
-        BudgetReading { requests, repeats, allowed, hosts }
+        BudgetUsage { requests, retries, allowed, hosts }
     }
 
     /// Takes a repeated send for a call that counts as one only if it is refused; give it back when
@@ -135,7 +135,7 @@
     /// `None` when this host's part cannot bear the call. What is kept back for windows that begin
     /// elsewhere may be set aside for such calls, since few of them are refused; once one was
     /// refused within the window, only what is spent otherwise, too.
-    pub(crate) fn reserve(&self, service: &Name) -> Option<BudgetPermit> {
+    pub(crate) fn reserve(&self, service: &Name) -> Option<RetryReservation> {
         let bears = self.with_window(service, |window| {
             let reading = self.read_window(window);
             let refused =
@@ -143,20 +143,20 @@
             let part = if refused { reading.allowed } else { reading.allowed / SPENT_PART };
             // A small part shall not rule such calls out: one at a time, until one is refused.
             let first = !refused && window.reserved == 0;
-            let bears = first || f64::from(reading.repeats + window.reserved) + 1.0 <= part;
+            let bears = first || f64::from(reading.retries + window.reserved) + 1.0 <= part;
             window.reserved += u32::from(bears);
             bears
         });
         let service = Name::clone(service);
-        bears.then(|| BudgetPermit { budgets: self.clone(), service, is_settled: false })
+        bears.then(|| RetryReservation { budgets: self.clone(), service, is_settled: false })
     }
 
     /// Takes one repeated send from the budget, if this host's part has one left.
     #[must_use]
-    pub fn take(&self, service: &Name) -> bool {
+    pub fn try_withdraw(&self, service: &Name) -> bool {
         self.with_window(service, |window| {
             let reading = self.read_window(window);
-            if f64::from(reading.repeats + window.reserved) + 1.0 > reading.allowed {
+            if f64::from(reading.retries + window.reserved) + 1.0 > reading.allowed {
                 return false;
             }
             window.slice(self.clock.now(), &self.terms).2 += 1;
@@ -167,27 +167,27 @@
 
 /// A repeated send that is set aside for a call; one whose end never becomes known stays counted.
 #[derive(Debug)]
-pub(crate) struct BudgetPermit {
+pub(crate) struct RetryReservation {
     budgets: RetryBudgets,
     service: Name,
     is_settled: bool,
 }
 
-impl BudgetPermit {
+impl RetryReservation {
     /// The call was taken up, or never sent, and does not count.
-    pub(crate) fn give_back(mut self) {
+    pub(crate) fn release(mut self) {
         self.budgets.with_window(&self.service, |window| window.reserved -= 1);
         self.is_settled = true;
     }
 
     /// The call was refused.
-    pub(crate) fn note_refused(self) {
+    pub(crate) fn record_refusal(self) {
         let now = self.budgets.clock.now();
         self.budgets.with_window(&self.service, |window| window.refused_at = Some(now));
     }
 }
 
-impl Drop for BudgetPermit {
+impl Drop for RetryReservation {
     fn drop(&mut self) {
         if self.is_settled {
             return;
--- a/crates/dillspool_forward/src/throttle.rs
+++ b/crates/dillspool_forward/src/throttle.rs
@@ -13,9 +13,9 @@
 
 use dillspool_limits::{SpendDecision, SpendRequest};
 use dillspool_moment::Moment;
-use dillspool_routing::{BackendEntry, BackendId, RoutedRequest, StartedBackend};
+use dillspool_routing::{BackendEntry, BackendId, BackendInstance, RoutedRequest};
 use dillspool_scheduler::SpentAmount;
-use dillspool_throttle::SendVerdict;
+use dillspool_throttle::SendDecision;
 use rand::Rng;
 
 use crate::context::ForwardContext;
@@ -24,7 +24,7 @@
 
 /// Backend servers that may turn out closed for one request, a round trip each; where many are, the next
 /// caller finds them closed without asking.
-pub(crate) const MOST_CLOSED: usize = 4;
+pub(crate) const MAX_BLOCKED_BACKENDS: usize = 4;
 /// Least time for which a backend server is closed, a few round trips.
 const LEAST_PAUSE: Duration = Duration::from_millis(5);
 /// Part of what is left of the objective for which a request waits for a backend server to open; the rest is for
@@ -39,9 +39,9 @@
 const ELSEWHERE_PART: f64 = 0.3;
 
 /// A prompt to read, or a request to a backend server that reserves nothing.
-pub(crate) const ONE_SEND: f64 = 1.0;
+pub(crate) const REQUEST_COST: f64 = 1.0;
 /// A reservation, and the request or the release that follows it.
-pub(crate) const RESERVED_SEND: f64 = 2.0;
+pub(crate) const RESERVED_REQUEST_COST: f64 = 2.0;
 
 /// Leave to send; dropping it leaves it spent.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
 
 impl SendPermit {
     /// Gives it back, since nothing was sent.
-    pub(crate) fn give_back(self) {
+    pub(crate) fn refund(self) {
         if let Some(spent) = self.spent {
             spent.give_back();
         }
@@ -60,18 +60,20 @@
 }
 
 /// Asks for leave to send what counts for `amount` requests; `None` where what the backend server takes is spent.
-pub(crate) async fn permit_send(
+pub(crate) async fn acquire_permit(
     context: &ForwardContext,
     request: &RoutedRequest,
     entry: &BackendEntry,
     amount: f64,
 ) -> Option<SendPermit> {
-    let backend = entry.started();
-    match context.throttle.verdict(&backend, amount) {
-        SendVerdict::Free => Some(SendPermit { spent: None }),
-        SendVerdict::Closed { until: _ } => None,
+    let backend = entry.instance();
+    match context.throttle.decide(&backend, amount) {
+        SendDecision::Unlimited => Some(SendPermit { spent: None }),
+        SendDecision::Blocked { until: _ } => None,
         // On the heap, since few requests come here.
-        SendVerdict::Ask(spend) => Box::pin(ask_holder(context, request, &backend, spend)).await,
+        SendDecision::NeedsGrant(spend) => {
+            Box::pin(ask_holder(context, request, &backend, spend)).await
+        }
     }
 }
 
@@ -79,10 +81,10 @@
 async fn ask_holder(
     context: &ForwardContext,
     request: &RoutedRequest,
-    backend: &StartedBackend,
+    backend: &BackendInstance,
     spend: SpendRequest,
 ) -> Option<SendPermit> {
-    let spend = SpendRequest { rank: rank_of(request), ..spend };
+    let spend = SpendRequest { priority: rank_of(request), ..spend };
     // Another backend server may have room, so no holder is waited for, and a silent one does not keep the
     // caller beyond its time.
     let asking = context.backend_limits.spend(&spend, Duration::ZERO);
@@ -94,8 +96,8 @@
         Some(SpendDecision::Refused { come_back }) => come_back.max(LEAST_PAUSE),
         None => UNKNOWN_PAUSE,
     };
-    context.metrics.note_throttled();
-    if let Some(times) = context.throttle.close(backend, pause) {
+    context.metrics.record_throttled();
+    if let Some(times) = context.throttle.block(backend, pause) {
         log_closed(request, &spend, decision, pause, times);
     }
     None
@@ -110,19 +112,19 @@
 
 /// The best backend server that takes one request more, of those that `choose` finds in turn: one that is
 /// closed is no candidate any more.
-pub(crate) async fn choose_permitted(
+pub(crate) async fn pick_with_permit(
     context: &ForwardContext,
     request: &RoutedRequest,
     choose: impl Fn() -> Option<Arc<BackendEntry>>,
 ) -> Option<(Arc<BackendEntry>, SendPermit)> {
     loop {
-        for _ask in 0..MOST_CLOSED {
+        for _ask in 0..MAX_BLOCKED_BACKENDS {
             let Some(entry) = choose() else { break };
-            if let Some(permit) = permit_send(context, request, &entry, ONE_SEND).await {
+            if let Some(permit) = acquire_permit(context, request, &entry, REQUEST_COST).await {
                 return Some((entry, permit));
             }
         }
-        if !Box::pin(wait_for_opening(context, request)).await {
+        if !Box::pin(wait_until_unblocked(context, request)).await {
             return None;
         }
     }
@@ -130,20 +132,23 @@
 
 /// Waits for the first backend server of a request's service to open, if that is soon enough for an answer in
 /// time and no other request of this host waits for it; whether it has waited.
-pub(crate) async fn wait_for_opening(context: &ForwardContext, request: &RoutedRequest) -> bool {
+pub(crate) async fn wait_until_unblocked(
+    context: &ForwardContext,
+    request: &RoutedRequest,
+) -> bool {
     let now = context.throttle.now();
     let spent = request.spent_before + request.age();
     let patience = request.route.objective.saturating_sub(spent).mul_f64(WAIT_PART);
     let latest = now + patience.min(request.remaining());
     let view = context.view();
-    let ready = view.ready(&request.service).map(|entry| entry.started());
+    let ready = view.ready(&request.service).map(|entry| entry.instance());
     let mut closed: Vec<_> = ready
-        .filter_map(|backend| Some((context.throttle.closed_until(&backend)?, backend)))
+        .filter_map(|backend| Some((context.throttle.blocked_until(&backend)?, backend)))
         .collect();
     closed.sort_by_key(|(until, _backend)| *until);
     let until = closed
         .into_iter()
-        .find_map(|(_until, backend)| context.throttle.await_opening(&backend, latest));
+        .find_map(|(_until, backend)| context.throttle.claim_wait(&backend, latest));
     let Some(until) = until else { return false };
     context.throttle.sleep_until(until).await;
     true
@@ -151,7 +156,7 @@
 
 /// Tells whoever counts that something was sent all the same.
 pub(crate) fn charge_send(context: &ForwardContext, entry: &BackendEntry, amount: f64) {
-    if let Some(spend) = context.throttle.charge(&entry.started(), amount) {
+    if let Some(spend) = context.throttle.unconditional_charge(&entry.instance(), amount) {
         let limits = context.backend_limits.clone();
         context.tasks.spawn(async move { limits.spend(&spend, Duration::ZERO).await });
     }
@@ -159,41 +164,48 @@
 
 /// Whether what is kept for this host at a backend server is given back; a start that is over keeps nothing, and
 /// where the server wants nothing from this host it lapses by itself within a few seconds.
-pub(crate) fn may_release(context: &ForwardContext, entry: &BackendEntry) -> bool {
-    !context.view().has_restarted(entry) && context.throttle.rests_until(&entry.started()).is_none()
+pub(crate) fn should_release(context: &ForwardContext, entry: &BackendEntry) -> bool {
+    !context.view().has_restarted(entry)
+        && context.throttle.backoff_until(&entry.instance()).is_none()
 }
 
 /// Whether each backend server that may still be tried is closed.
-pub(crate) fn all_closed(
+pub(crate) fn all_blocked(
     context: &ForwardContext,
     request: &RoutedRequest,
     tried: &TriedBackends,
 ) -> bool {
     let view = context.view();
     let mut open = view.ready(&request.service).filter(|entry| !tried.contains(entry));
-    open.all(|entry| context.throttle.closed_until(&entry.started()).is_some())
+    open.all(|entry| context.throttle.blocked_until(&entry.instance()).is_some())
 }
 
 /// Engines of a request's service that are closed now.
-pub(crate) fn closed_backends(context: &ForwardContext, request: &RoutedRequest) -> Vec<BackendId> {
+pub(crate) fn blocked_backends(
+    context: &ForwardContext,
+    request: &RoutedRequest,
+) -> Vec<BackendId> {
     if context.throttle.is_empty() {
         return Vec::new();
     }
     let view = context.view();
     let ready = view.ready(&request.service);
-    let closed = ready.filter(|entry| context.throttle.closed_until(&entry.started()).is_some());
+    let closed = ready.filter(|entry| context.throttle.blocked_until(&entry.instance()).is_some());
     closed.map(|entry| BackendId::clone(&entry.id)).collect()
 }
 
 /// The refusal of a request whose service has room again in a while; `None` where no backend server of it is
 /// closed.
-pub(crate) fn refuse_closed(context: &ForwardContext, request: &RoutedRequest) -> Option<Refusal> {
+pub(crate) fn refusal_if_blocked(
+    context: &ForwardContext,
+    request: &RoutedRequest,
+) -> Option<Refusal> {
     let view = context.view();
     let closed =
         view.ready(&request.service).filter_map(|it| come_back_after(context, request, it));
     let pause = closed.min()?;
     let spread = request.route.objective.mul_f64(rand::rng().random_range(0.0..SPREAD_PART));
-    Some(Refusal::come_back(RefusalCause::BackendsLimited, pause + spread))
+    Some(Refusal::with_retry_after(RefusalCause::BackendsLimited, pause + spread))
 }
 
 /// Time after which a caller may be served by a backend server that is closed here; `None` for one that is not. A
@@ -203,11 +215,11 @@
     request: &RoutedRequest,
     entry: &BackendEntry,
 ) -> Option<Duration> {
-    let (backend, now) = (entry.started(), context.throttle.now());
+    let (backend, now) = (entry.instance(), context.throttle.now());
     let left = |until: Option<Moment>| until.map(|until| until.since(now));
     let elsewhere = request.route.objective.mul_f64(ELSEWHERE_PART);
-    let rest = left(context.throttle.rests_until(&backend)).map(|rest| rest.min(elsewhere));
-    left(context.throttle.spent_until(&backend)).max(rest)
+    let rest = left(context.throttle.backoff_until(&backend)).map(|rest| rest.min(elsewhere));
+    left(context.throttle.exhausted_until(&backend)).max(rest)
 }
 
 fn log_closed(
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -1,27 +1,27 @@
-//! One line in the log and one count for each request, however it ends.
+//! Logs and counts each request exactly once, however it ends.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_admission::{PlacementRequest, TurnAwayCause};
+use dillspool_admission::{PlacementRejection, PlacementRequest};
 use dillspool_calls::{CallDecision, CallRequest, RejectCause};
 use dillspool_routing::{BackendId, DirectoryView, RoutedRequest};
 use dillspool_schema::Name;
 use dillspool_suspects::CopyRefusal;
 use dillspool_version::StoreVersion;
 
-use crate::budget::RetryBudgets;
 use crate::context::ForwardContext;
 use crate::metrics::{ForwardMetrics, OutcomeLabels};
 use crate::refusal::Refusal;
-use crate::stages::{FirstEventStages, LateCause, StreamFigures};
+use crate::retry_budget::RetryBudgets;
+use crate::stages::{FirstEventStages, LateCause, StreamStats};
 
-/// Reports the end of a request; one that is dropped before reports that the caller left.
+/// Reports the end of a request. Dropped before the end, it reports that the caller disconnected.
 #[derive(Debug)]
 pub(crate) struct RequestTrace {
     request: Arc<RoutedRequest>,
     metrics: ForwardMetrics,
-    /// What the last choice of a backend server rested on, for the last line.
+    /// The last backend server that was chosen, for the final log line.
     choice: Option<BackendChoice>,
     ended: bool,
 }
@@ -30,58 +30,59 @@
 #[derive(Debug)]
 struct BackendChoice {
     backend: BackendId,
-    /// Version of the directory from which it was chosen.
+    /// Version of the directory that the choice was based on.
     directory: StoreVersion,
-    /// How many were chosen for the request so far.
+    /// Number of choices made for the request so far.
     count: u32,
 }
 
 impl RequestTrace {
     pub(crate) fn new(request: &Arc<RoutedRequest>, metrics: &ForwardMetrics) -> Self {
-        metrics.enter();
+        metrics.record_start();
         Self { request: Arc::clone(request), metrics: metrics.clone(), choice: None, ended: false }
     }
 
-    /// A backend server was chosen.
-    pub(crate) fn chose(&mut self, backend: &BackendId, directory: StoreVersion) {
+    /// Records the choice of a backend server.
+    pub(crate) fn record_backend(&mut self, backend: &BackendId, directory: StoreVersion) {
         let count = self.choice.as_ref().map_or(0, |choice| choice.count) + 1;
         let backend = BackendId::clone(backend);
         self.choice = Some(BackendChoice { backend, directory, count });
     }
 
-    /// The whole answer was given to the caller's connection.
+    /// Reports that the complete response was written to the caller's connection.
     pub(crate) fn answered(&mut self, status: u16) {
         self.end("answered", "", &format!("status={status}"));
     }
 
-    /// The whole stream was given to the caller's connection.
+    /// Reports that the complete stream was written to the caller's connection.
     pub(crate) fn streamed(
         &mut self,
         status: u16,
         stages: &FirstEventStages,
-        figures: &StreamFigures,
+        stream_stats: &StreamStats,
     ) {
-        let late = LateCause::of(&self.request, stages, figures).map_or("", LateCause::name);
-        let detail = format!("status={status} late={late} {}", self.stream_words(stages, figures));
+        let late = LateCause::of(&self.request, stages, stream_stats).map_or("", LateCause::name);
+        let detail =
+            format!("status={status} late={late} {}", self.stream_fields(stages, stream_stats));
         self.end("answered", "", &detail);
     }
 
-    fn stream_words(&self, stages: &FirstEventStages, figures: &StreamFigures) -> String {
+    fn stream_fields(&self, stages: &FirstEventStages, stream_stats: &StreamStats) -> String {
         format!(
             "spent_before_ms={} reserved_ms={} prefilled_ms={} opened_ms={} first_ms={} events={} longest_pause_ms={} reopened={} read_at_decode={}",
             self.request.spent_before.as_millis(),
             stages.reserved.as_millis(),
             stages.prefilled.as_millis(),
             stages.opened.as_millis(),
-            figures.first_after.as_millis(),
-            figures.events,
-            figures.longest_pause.as_millis(),
-            figures.reopened,
-            figures.read_at_decode,
+            stream_stats.time_to_first_event.as_millis(),
+            stream_stats.events,
+            stream_stats.longest_event_gap.as_millis(),
+            stream_stats.resumes,
+            stream_stats.read_at_decode,
         )
     }
 
-    /// A backend server's failure was given to the caller.
+    /// Reports that a backend server's failure response was passed to the caller.
     pub(crate) fn failed(&mut self, status: u16) {
         self.end("failed", "", &format!("status={status}"));
     }
@@ -96,19 +97,19 @@
         self.end("refused", refusal.cause.name(), &detail);
     }
 
-    /// The answer broke off; the caller sees its connection break.
-    pub(crate) fn broken(
+    /// Reports a broken stream; the caller's connection is aborted.
+    pub(crate) fn stream_broken(
         &mut self,
         detail: &str,
         stages: &FirstEventStages,
-        figures: &StreamFigures,
+        stream_stats: &StreamStats,
     ) {
-        let words = self.stream_words(stages, figures);
-        self.end("broken", "", &format!("{words} detail=\"{detail}\""));
+        let fields = self.stream_fields(stages, stream_stats);
+        self.end("broken", "", &format!("{fields} detail=\"{detail}\""));
     }
 
-    /// An answer that was passed on in part broke off; the caller sees its connection break.
-    pub(crate) fn broken_off(&mut self, detail: &str) {
+    /// Reports a plain response that broke after a part of it was relayed; the caller's connection is aborted.
+    pub(crate) fn response_broken(&mut self, detail: &str) {
         self.end("broken", "", &format!("detail=\"{detail}\""));
     }
 
@@ -118,7 +119,7 @@
         }
         self.ended = true;
         let request = &self.request;
-        let lasted = request.age();
+        let elapsed = request.age();
         let choice = self.choice.as_ref().map_or(String::new(), |choice| {
             let BackendChoice { backend, directory, count } = choice;
             format!("backend={backend} directory={directory} chosen={count} ")
@@ -126,15 +127,15 @@
         log::info!(
             "event=request_ended id={} print={} route={} service={} workspace={} config={} outcome={outcome} cause={cause} after_ms={} {choice}{detail}",
             request.id,
-            request.print,
+            request.fingerprint,
             request.route.name,
             request.service,
             request.workspace.as_ref().map_or("", |workspace| &*workspace.name),
             request.config_version,
-            lasted.as_millis(),
+            elapsed.as_millis(),
         );
         let route = Name::clone(&request.route.name);
-        self.metrics.leave(&OutcomeLabels { route, outcome, cause }, lasted);
+        self.metrics.record_end(&OutcomeLabels { route, outcome, cause }, elapsed);
     }
 }
 
@@ -144,18 +145,18 @@
     }
 }
 
-/// A copy is not sent, for what became of backend servers under copies before it.
+/// Logs a request that is refused because earlier copies of it crashed backend servers.
 pub(crate) fn log_suspect_refused(request: &RoutedRequest, refused: CopyRefusal) {
     log::info!(
         "event=suspect_refused id={} print={} route={} workspace={} why={refused:?}",
         request.id,
-        request.print,
+        request.fingerprint,
         request.route.name,
         request.workspace.as_ref().map_or("", |workspace| &*workspace.name),
     );
 }
 
-/// A try that failed; the request may go on.
+/// Logs a failed attempt; the request may be retried.
 pub(crate) fn log_send_failed(request: &RoutedRequest, backend: &BackendId, cause: &str) {
     log::info!(
         "event=send_failed id={} backend={backend} after_ms={} cause=\"{cause}\"",
@@ -164,8 +165,12 @@
     );
 }
 
-/// A decision names a backend server that takes no new requests as far as this host knows.
-pub(crate) fn log_overruled(request: &RoutedRequest, backend: &BackendId, view: &DirectoryView) {
+/// Logs a placement at a backend server that, as far as this host knows, accepts no new requests.
+pub(crate) fn log_decision_overruled(
+    request: &RoutedRequest,
+    backend: &BackendId,
+    view: &DirectoryView,
+) {
     let known = if view.entries.contains_key(backend) { "leaving" } else { "gone" };
     log::info!(
         "event=decision_overruled id={} backend={backend} known={known} directory={} after_ms={}",
@@ -175,42 +180,42 @@
     );
 }
 
-/// Another try was due and the budget did not allow it.
-pub(crate) fn log_budget_empty(request: &RoutedRequest, budgets: &RetryBudgets) {
-    let reading = budgets.read(&request.service);
+/// Logs a retry that the retry budget did not allow.
+pub(crate) fn log_retry_budget_exhausted(request: &RoutedRequest, budgets: &RetryBudgets) {
+    let reading = budgets.usage(&request.service);
     log::info!(
         "event=retry_budget_empty id={} service={} requests={} repeats={} allowed={:.1} hosts={}",
         request.id,
         request.service,
         reading.requests,
-        reading.repeats,
+        reading.retries,
         reading.allowed,
         reading.hosts,
     );
 }
 
-/// Why a request is refused for want of engines, and what that rested on.
-pub(crate) fn log_turned_away(
+/// Logs why no engine was found for a request, with the inputs of the decision.
+pub(crate) fn log_placement_rejected(
     context: &ForwardContext,
     request: &RoutedRequest,
-    question: &PlacementRequest,
-    cause: TurnAwayCause,
-    come_back: Duration,
+    query: &PlacementRequest,
+    cause: PlacementRejection,
+    retry_after: Duration,
 ) {
     log::info!(
         "event=turned_away id={} class={:?} cause={cause:?} prompt={} guess={} refused={} directory={} after_ms={} come_back_ms={}",
         request.id,
-        question.class,
-        question.prompt_tokens,
-        question.guess_tokens,
-        question.refusals,
+        query.class,
+        query.prompt_tokens,
+        query.estimated_tokens,
+        query.refusals,
         context.view().version,
         request.age().as_millis(),
-        come_back.as_millis(),
+        retry_after.as_millis(),
     );
 }
 
-/// A call that has waited for the host that decides on the calls of its service.
+/// Logs a call that waited in the queue of the host that schedules its service.
 pub(crate) fn log_call_queued(request: &RoutedRequest, waited: Duration, decision: &CallDecision) {
     let decided = match decision {
         CallDecision::Send { .. } => "sent",
@@ -225,30 +230,30 @@
     );
 }
 
-/// A call is not sent any more, by the word of whoever decides on the calls of its service.
+/// Logs a call that the scheduler of its service rejected.
 pub(crate) fn log_call_rejected(
     request: &RoutedRequest,
-    question: &CallRequest,
+    query: &CallRequest,
     cause: RejectCause,
     retry_after: Duration,
 ) {
     let cause = match cause {
         RejectCause::NoServer => "no_server",
-        RejectCause::NoRoom => "no_room",
+        RejectCause::NoCapacity => "no_room",
     };
     log::info!(
         "event=call_rejected id={} service={} cause={cause} objective_left_ms={} time_left_ms={} excluded={} after_ms={} retry_after_ms={}",
         request.id,
         request.service,
-        question.objective_left.as_millis(),
-        question.time_left.as_millis(),
-        question.excluded.len(),
+        query.objective_left.as_millis(),
+        query.time_left.as_millis(),
+        query.excluded.len(),
         request.age().as_millis(),
         retry_after.as_millis(),
     );
 }
 
-/// This host does not follow a decision on a call.
+/// Logs a scheduling decision that this host overrules.
 pub(crate) fn log_call_overruled(request: &RoutedRequest, backend: &str, why: &str) {
     log::info!(
         "event=call_overruled id={} service={} backend={backend} why={why} after_ms={}",
--- a/crates/dillspool_forward/src/limits.rs
+++ b/crates/dillspool_forward/src/workspace_limit.rs
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// A refusal of a request that has not run and will not.
-pub(crate) async fn admit(
+pub(crate) async fn spend_workspace_limit(
     context: &ForwardContext,
     request: &RoutedRequest,
 ) -> Result<Option<SpentAmount>, Refusal> {
@@ -36,8 +36,8 @@
         version: RateVersion::Config(request.config_version),
         amount: limit.amount(request.generation.as_ref()),
         // One workspace's requests take turns as they come.
-        rank: 0,
-        before: 0.0,
+        priority: 0,
+        unreported: 0.0,
     };
     let patience = request.route.objective.mul_f64(HOLDER_WAIT_PART).min(request.remaining());
     match context.limits.spend(&spend, patience).await {
@@ -53,8 +53,8 @@
                 request.config_version,
                 come_back.as_millis(),
             );
-            Err(Refusal::come_back(RefusalCause::OverLimit, come_back))
+            Err(Refusal::with_retry_after(RefusalCause::OverLimit, come_back))
         }
-        None => Err(Refusal::come_back(RefusalCause::LimitUnknown, UNKNOWN_RETRY)),
+        None => Err(Refusal::with_retry_after(RefusalCause::LimitUnknown, UNKNOWN_RETRY)),
     }
 }
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Backend servers as closures that play a script and record what reached them.
+//! Scripted backend servers that record the requests they receive.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod bodies;
@@ -11,58 +11,60 @@
 use dillspool_admission::AdmissionPolicy;
 use dillspool_capacity::DemandMeter;
 use dillspool_forward::{
-    BackendAnswer, BackendBook, BackendCalls, BackendSign, BreakLooks, BudgetTerms, CallError,
-    ForwardContext, ForwardMetrics, ForwardTerms, OrderOutcome, PrefilledPrompt, RetryBudgets,
-    WorkRank,
+    BackendCalls, BackendProbes, BackendResponse, BackendTracker, BudgetSettings, CallError,
+    ForwardContext, ForwardMetrics, ForwardParams, OrderOutcome, PrefilledPrompt, ProbeResult,
+    RetryBudgets, WorkPriority,
 };
 use dillspool_io::{ExchangeBytes, HostClock, full_body};
 use dillspool_routing::{
     BackendEntry, BackendState, ClientLimits, DirectoryView, EnginePool, EngineStage,
-    GenerationTerms, RequestKind, RouteEntry, RouteTable, RoutedRequest, RoutingConfig,
+    GenerationParams, RequestKind, RouteEntry, RouteTable, RoutedRequest, RoutingConfig,
     ServiceEntry, ServiceShare,
 };
 use dillspool_scheduler::{
     BusHandlers, CallClient, CallDesk, CallTerms, FleetBus, LimitClient, LimitDesk, LimitTerms,
     PoolDesk, ScheduleClient,
 };
-use dillspool_suspects::{PrintKey, PrintParts, RequestPrint, SuspectDesk, SuspectPolicy};
-use dillspool_throttle::ThrottleDesk;
+use dillspool_suspects::{
+    FingerprintInput, FingerprintKey, RequestFingerprint, SuspectPolicy, SuspectTracker,
+};
+use dillspool_throttle::ThrottleTracker;
 use hyper::{HeaderMap, Method, StatusCode, Uri};
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use bodies::{paced_body, parts_body};
+use bodies::{chunked_body, paced_body};
 
-/// What a backend server does with the next request.
+/// A backend server's scripted reaction to the next request.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A genuine answer, whole.
+    /// A complete, verified response.
     Answer(u16, &'static str),
     /// A success without the server's seal.
     Unsealed(u16),
-    /// A success that names another request.
+    /// A success with the id of another request.
     OtherRequest,
     /// A success with an encoded body.
     Encoded,
-    /// It says that the request did not run.
+    /// A response stating that the request did not run.
     NotRun(u16),
-    /// No connection can be made.
+    /// The connection fails.
     Unreachable,
     /// The connection breaks after the request was sent.
     Lost,
-    /// No answer ever comes.
+    /// No response ever arrives.
     Silent,
-    /// An answer whose body breaks off after these parts.
+    /// A response whose body breaks off after these chunks.
     Broken(Vec<&'static str>),
-    /// A stream of these parts with a clean end.
+    /// A stream of these chunks with a clean end.
     Stream(Vec<&'static str>),
-    /// A stream whose parts each come after a pause, in milliseconds, with a clean end.
+    /// A stream whose chunks each follow a delay in milliseconds, with a clean end.
     Paced(Vec<(u64, &'static str)>),
-    /// The head of a genuine failure whose body never comes whole.
+    /// The head of a verified failure whose body never completes.
     StalledFailure(u16),
-    /// A stream of these parts that then falls silent.
+    /// A stream that stalls after these chunks.
     Stalled(Vec<&'static str>),
 }
 
@@ -70,20 +72,20 @@
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub backend: String,
-    pub terms: ForwardTerms,
+    pub terms: ForwardParams,
     pub at: Instant,
 }
 
-/// What happened, in order.
+/// Recorded calls, in order.
 #[derive(Debug, Default)]
 pub struct Record {
     pub arrivals: Vec<Arrival>,
     pub prefills: Vec<String>,
-    pub ranks: Vec<WorkRank>,
-    /// Whoever was asked for memory.
-    pub hold_asks: Vec<String>,
-    pub holds: Vec<(String, u64)>,
-    pub released_holds: Vec<String>,
+    pub priorities: Vec<WorkPriority>,
+    /// Backends that received a reservation request.
+    pub reservation_requests: Vec<String>,
+    pub reservations: Vec<(String, u64)>,
+    pub released_reservations: Vec<String>,
     pub released_prefills: Vec<String>,
 }
 
@@ -92,21 +94,21 @@
 /// A site of scripted backend servers.
 #[derive(Clone, Default)]
 pub struct ScriptedSite {
-    /// Steps by backend id; the last one repeats.
+    /// Steps by backend id; the last step repeats.
     pub steps: Arc<Mutex<BTreeMap<String, VecDeque<Step>>>>,
     /// Backends that refuse reservations.
     pub full: Arc<Mutex<Vec<String>>>,
-    /// Backends that have ended and refuse connections.
+    /// Backends that have crashed and refuse connections.
     pub ended: Arc<Mutex<Vec<String>>>,
-    /// Backends whose machines answer no connection.
+    /// Backends whose machines do not respond to connections.
     pub unclear: Arc<Mutex<Vec<String>>>,
-    /// Called when a request reaches a backend server.
+    /// Called when a backend server receives a request.
     pub arrival_hook: Arc<Mutex<Option<ArrivalHook>>>,
-    /// Backends whose address is another one's by now.
+    /// Backends whose address now belongs to another backend.
     pub moved: Arc<Mutex<Vec<String>>>,
-    /// Free tokens of backends that have few; all others have enough.
+    /// Free tokens of backends with limited memory; all others have enough.
     pub memory: Arc<Mutex<BTreeMap<String, u64>>>,
-    /// How prefills fail, by engine.
+    /// Errors of prefills, by engine.
     pub prefill_fails: Arc<Mutex<BTreeMap<String, CallError>>>,
     /// Whether prefills are refused.
     pub refuses_prefill: Arc<Mutex<bool>>,
@@ -138,9 +140,9 @@
     let pool = EnginePool {
         slots: 24,
         memory_tokens: 60_000,
-        handle_life: Duration::from_millis(500),
-        longest_hold: Duration::from_secs(2),
-        switch_time: Duration::from_secs(6),
+        handle_ttl: Duration::from_millis(500),
+        max_reservation_ttl: Duration::from_secs(2),
+        stage_switch_time: Duration::from_secs(6),
     };
     let service = ServiceEntry {
         name: "service".into(),
@@ -149,9 +151,9 @@
         engine: Some(pool),
     };
     let limits = ClientLimits {
-        head_bytes: 16_384,
-        body_bytes: 65_536,
-        head_timeout: Duration::from_secs(2),
+        max_header_bytes: 16_384,
+        max_body_bytes: 65_536,
+        header_timeout: Duration::from_secs(2),
         idle_timeout: Duration::from_secs(10),
     };
     let services = BTreeMap::from([("service".into(), service)]);
@@ -177,7 +179,7 @@
         self.steps.lock().unwrap().insert(id.to_owned(), steps.into_iter().collect());
     }
 
-    /// Calls this whenever a request reaches a backend server.
+    /// Calls the hook whenever a backend server receives a request.
     pub fn on_arrival(&self, hook: impl Fn() + Send + 'static) {
         *self.arrival_hook.lock().unwrap() = Some(Box::new(hook));
     }
@@ -193,8 +195,8 @@
 
     fn calls(&self) -> BackendCalls {
         let (site, prefiller, reserver) = (self.clone(), self.clone(), self.clone());
-        let (hold_dropper, prefill_dropper) = (self.clone(), self.clone());
-        let looker = self.clone();
+        let (reservation_releaser, prefill_releaser) = (self.clone(), self.clone());
+        let prober = self.clone();
         BackendCalls {
             forward: Arc::new(move |entry, _request, terms| {
                 let site = site.clone();
@@ -217,7 +219,7 @@
                     {
                         let mut record = site.record.lock().unwrap();
                         record.prefills.push(engine.id.to_string());
-                        record.ranks.push(terms.rank);
+                        record.priorities.push(terms.priority);
                     }
                     let takes = *site.prefill_takes.lock().unwrap();
                     tokio::time::sleep(takes).await;
@@ -234,7 +236,7 @@
             reserve: Arc::new(move |entry, terms| {
                 let site = reserver.clone();
                 Box::pin(async move {
-                    site.record.lock().unwrap().hold_asks.push(entry.id.to_string());
+                    site.record.lock().unwrap().reservation_requests.push(entry.id.to_string());
                     if site.moved.lock().unwrap().contains(&entry.id.to_string()) {
                         return Err(CallError::Refused { status: StatusCode::MISDIRECTED_REQUEST });
                     }
@@ -249,40 +251,40 @@
                         *free = left;
                     }
                     let mut record = site.record.lock().unwrap();
-                    record.holds.push((entry.id.to_string(), terms.tokens));
-                    Ok(format!("hold-{}", record.holds.len()).into())
+                    record.reservations.push((entry.id.to_string(), terms.tokens));
+                    Ok(format!("hold-{}", record.reservations.len()).into())
                 })
             }),
-            release_hold: Arc::new(move |_entry, hold| {
-                let site = hold_dropper.clone();
+            release_reservation: Arc::new(move |_entry, reservation| {
+                let site = reservation_releaser.clone();
                 Box::pin(async move {
-                    site.record.lock().unwrap().released_holds.push(hold.to_string());
+                    site.record.lock().unwrap().released_reservations.push(reservation.to_string());
                     Ok(())
                 })
             }),
             release_prefill: Arc::new(move |_entry, handle| {
-                let site = prefill_dropper.clone();
+                let site = prefill_releaser.clone();
                 Box::pin(async move {
                     site.record.lock().unwrap().released_prefills.push(handle.to_string());
                     Ok(())
                 })
             }),
-            look: Arc::new(move |entry| {
+            probe: Arc::new(move |entry| {
                 let id = entry.id.to_string();
-                let ended = looker.ended.lock().unwrap().contains(&id);
-                let unclear = looker.unclear.lock().unwrap().contains(&id);
-                let sign = match (ended, unclear) {
-                    (true, _) => BackendSign::Ended,
-                    (false, true) => BackendSign::Unclear,
-                    (false, false) => BackendSign::Lives,
+                let ended = prober.ended.lock().unwrap().contains(&id);
+                let unclear = prober.unclear.lock().unwrap().contains(&id);
+                let result = match (ended, unclear) {
+                    (true, _) => ProbeResult::Refused,
+                    (false, true) => ProbeResult::NoResponse,
+                    (false, false) => ProbeResult::Reachable,
                 };
-                Box::pin(async move { sign })
+                Box::pin(async move { result })
             }),
             order: Arc::new(|_entry, _order| Box::pin(async { Ok(OrderOutcome::Started) })),
         }
     }
 
-    /// A client that decides by the engines of a directory, without any scheduler.
+    /// A client that schedules locally from a directory, without a remote scheduler.
     fn schedule(directory: &watch::Receiver<Arc<DirectoryView>>) -> ScheduleClient {
         let desk = PoolDesk::new(
             AdmissionPolicy::default(),
@@ -297,7 +299,7 @@
             running.run(known, directory, CancellationToken::new()).await;
             drop(sender);
         });
-        ScheduleClient::new(desk, no_news())
+        ScheduleClient::new(desk, idle_bus())
     }
 
     /// A context over the site and the sender of its directory.
@@ -309,7 +311,7 @@
         let schedule = Self::schedule(&directory);
         let calls = CallDesk::new(CallTerms::default(), 1, HostClock::steady());
         let budget =
-            BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 1_000_000.0 };
+            BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 1_000_000.0 };
         let context = ForwardContext {
             failure_domain: "near".into(),
             calls: self.calls(),
@@ -320,12 +322,12 @@
                 LimitTerms { slack: 0.0, shares: 2 },
                 HostClock::steady(),
             )),
-            throttle: ThrottleDesk::new(HostClock::steady()),
+            throttle: ThrottleTracker::new(HostClock::steady()),
             backend_limits: LimitClient::new(LimitDesk::of_backend_servers(2, HostClock::steady())),
-            book: BackendBook::default(),
+            backend_tracker: BackendTracker::default(),
             budgets: RetryBudgets::new(budget, HostClock::steady()),
-            breaks: BreakLooks::default(),
-            suspects: SuspectDesk::new(SuspectPolicy::default(), HostClock::steady()),
+            probes: BackendProbes::default(),
+            suspects: SuspectTracker::new(SuspectPolicy::default(), HostClock::steady()),
             metrics: ForwardMetrics::default(),
             tasks: TaskTracker::new(),
         };
@@ -333,12 +335,12 @@
     }
 }
 
-/// The backend server's own answer without a body.
-pub fn genuine(status: u16) -> BackendAnswer {
-    BackendAnswer {
+/// A verified response without a body.
+pub fn verified_response(status: u16) -> BackendResponse {
+    BackendResponse {
         status: StatusCode::from_u16(status).expect("a status"),
         headers: HeaderMap::new(),
-        names_request: true,
+        matches_request_id: true,
         is_sealed: true,
         is_encoded: false,
         did_not_run: false,
@@ -346,41 +348,46 @@
     }
 }
 
-async fn play(step: Step) -> Result<BackendAnswer, CallError> {
-    let whole = |status: u16, text: &'static str| {
+async fn play(step: Step) -> Result<BackendResponse, CallError> {
+    let complete = |status: u16, text: &'static str| {
         let body = full_body(text);
-        BackendAnswer { body, ..genuine(status) }
+        BackendResponse { body, ..verified_response(status) }
     };
     match step {
-        Step::Answer(status, text) => Ok(whole(status, text)),
-        Step::Unsealed(status) => Ok(BackendAnswer { is_sealed: false, ..whole(status, "x") }),
-        Step::OtherRequest => Ok(BackendAnswer { names_request: false, ..whole(200, "other") }),
-        Step::Encoded => Ok(BackendAnswer { is_encoded: true, ..whole(200, "zip") }),
-        Step::NotRun(status) => Ok(BackendAnswer { did_not_run: true, ..whole(status, "") }),
+        Step::Answer(status, text) => Ok(complete(status, text)),
+        Step::Unsealed(status) => Ok(BackendResponse { is_sealed: false, ..complete(status, "x") }),
+        Step::OtherRequest => {
+            Ok(BackendResponse { matches_request_id: false, ..complete(200, "other") })
+        }
+        Step::Encoded => Ok(BackendResponse { is_encoded: true, ..complete(200, "zip") }),
+        Step::NotRun(status) => Ok(BackendResponse { did_not_run: true, ..complete(status, "") }),
         Step::Unreachable => Err(CallError::NotSent { reason: "unreachable".to_owned() }),
         Step::Lost => Err(CallError::Lost { reason: "reset".to_owned() }),
         Step::Silent => std::future::pending().await,
         Step::Stream(parts) => {
-            Ok(BackendAnswer { body: parts_body(parts, true), ..whole(200, "") })
+            Ok(BackendResponse { body: chunked_body(parts, true), ..complete(200, "") })
         }
         Step::Broken(parts) => {
-            Ok(BackendAnswer { body: parts_body(parts, false), ..whole(200, "") })
+            Ok(BackendResponse { body: chunked_body(parts, false), ..complete(200, "") })
         }
         Step::Paced(parts) => {
-            Ok(BackendAnswer { body: paced_body(parts, Duration::ZERO), ..whole(200, "") })
+            Ok(BackendResponse { body: paced_body(parts, Duration::ZERO), ..complete(200, "") })
         }
         Step::StalledFailure(status) => {
             let body = paced_body(vec![(0, "part")], Duration::from_mins(10));
-            Ok(BackendAnswer { body, ..whole(status, "") })
+            Ok(BackendResponse { body, ..complete(status, "") })
         }
         Step::Stalled(parts) => {
             let parts = parts.into_iter().map(|part| (0, part)).collect();
-            Ok(BackendAnswer { body: paced_body(parts, Duration::from_mins(10)), ..whole(200, "") })
+            Ok(BackendResponse {
+                body: paced_body(parts, Duration::from_mins(10)),
+                ..complete(200, "")
+            })
         }
     }
 }
 
-/// A request of a kind, with the route's terms.
+/// A request of a kind on a route with these settings.
 pub fn request(kind: RequestKind, max_attempts: u32, resumable: bool) -> RoutedRequest {
     let timeout = Duration::from_secs(if kind == RequestKind::Streaming { 14 } else { 3 });
     let route = RouteEntry {
@@ -390,27 +397,32 @@
         kind,
         timeout,
         objective: Duration::from_millis(300),
-        pause_target: Some(Duration::from_millis(300)),
+        max_event_gap: Some(Duration::from_millis(300)),
         priority: 1,
         max_attempts,
         resumable,
         keyless: false,
         shares: vec![ServiceShare { service: "service".into(), weight: 1 }],
     };
-    let generation = (kind == RequestKind::Streaming).then(|| GenerationTerms {
+    let generation = (kind == RequestKind::Streaming).then(|| GenerationParams {
         model: "m".into(),
         prompt_tokens: 1000,
-        output_limit: 800,
-        output_hint: Some(100),
+        max_output_tokens: 800,
+        expected_output_tokens: Some(100),
         prompt_parts: Vec::new(),
     });
     let clock = HostClock::steady();
     let arrived = clock.now();
     RoutedRequest {
         id: "request-1".into(),
-        print: RequestPrint::of(
-            &PrintKey::default(),
-            &PrintParts { caller: "caller-1", host: "a.example", path: "/x/1", body: b"body" },
+        fingerprint: RequestFingerprint::of(
+            &FingerprintKey::default(),
+            &FingerprintInput {
+                caller: "caller-1",
+                host: "a.example",
+                path: "/x/1",
+                body: b"body",
+            },
         ),
         method: Method::POST,
         uri: Uri::from_static("/x/1"),
@@ -426,11 +438,11 @@
         generation,
         resume_after: None,
         config_version: 1,
-        held: ExchangeBytes::default(),
-        takes_chunks: true,
+        held_bytes: ExchangeBytes::default(),
+        accepts_chunked: true,
     }
 }
 
-fn no_news() -> FleetBus {
+fn idle_bus() -> FleetBus {
     FleetBus::new(BusHandlers::none(), HostClock::steady())
 }
--- a/crates/dillspool_forward/tests/decided.rs
+++ b/crates/dillspool_forward/tests/decided.rs
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 use common::{ScriptedSite, Step, entry, request, view};
-use dillspool_forward::{BudgetTerms, ForwardContext, RetryBudgets, answer_request};
+use dillspool_forward::{BudgetSettings, ForwardContext, RetryBudgets, handle_request};
 use dillspool_io::{HostClock, read_response_body};
 use dillspool_routing::RequestKind::{Idempotent, NonIdempotent};
 use dillspool_routing::{
-    BackendEntry, BackendStart, BackendState, ClientLimits, DirectoryView, RequestKind, RouteTable,
-    RoutingConfig, ServiceEntry, StartedBackend,
+    BackendEntry, BackendInstance, BackendStart, BackendState, ClientLimits, DirectoryView,
+    RequestKind, RouteTable, RoutingConfig, ServiceEntry,
 };
 use dillspool_scheduler::{CallClient, CallDesk, CallTerms};
-use dillspool_throttle::{RateNotice, RestNotice};
+use dillspool_throttle::{BackoffNotice, RateNotice};
 use hyper::header::RETRY_AFTER;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -32,9 +32,9 @@
         engine: None,
     };
     let limits = ClientLimits {
-        head_bytes: 16_384,
-        body_bytes: 65_536,
-        head_timeout: Duration::from_secs(2),
+        max_header_bytes: 16_384,
+        max_body_bytes: 65_536,
+        header_timeout: Duration::from_secs(2),
         idle_timeout: Duration::from_secs(10),
     };
     let services = BTreeMap::from([("service".into(), service)]);
@@ -146,7 +146,7 @@
             let host = DecidingHost::start(&site, known, slots_per_host).await;
             assert_eq!(host.desk.is_scheduled("service"), is_decided, "{name}");
             let routed = request(case.kind, case.max_attempts, false);
-            let answer = answer_request(host.context.clone(), routed).await;
+            let answer = handle_request(host.context.clone(), routed).await;
             assert_eq!(answer.status().as_u16(), case.status, "{name}");
             assert_eq!(answer.headers().contains_key(RETRY_AFTER), case.retry_after, "{name}");
             let record = site.record.lock().unwrap();
@@ -175,10 +175,10 @@
         let host = DecidingHost::start(&site, view([small("first", "near")]), 10.0).await;
         for _call in 0..calls {
             let routed = request(NonIdempotent, 1, false);
-            let _answer = answer_request(host.context.clone(), routed).await;
+            let _answer = handle_request(host.context.clone(), routed).await;
         }
         let (_service, reading) = host.desk.read().pop().expect("a queue");
-        assert_eq!(reading.servers[0].is_blocked, expected, "{step:?} {calls} times");
+        assert_eq!(reading.servers[0].is_circuit_open, expected, "{step:?} {calls} times");
     }
 }
 
@@ -190,7 +190,7 @@
     let host = DecidingHost::start(&site, view([small("first", "near")]), 10.0).await;
     let mut callers: Vec<_> = (0..8)
         .map(|_caller| {
-            let answer = answer_request(host.context.clone(), request(NonIdempotent, 1, false));
+            let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
             tokio::spawn(answer)
         })
         .collect();
@@ -216,7 +216,7 @@
     let began = Instant::now();
     let calls = 20;
     let callers = (0..calls).map(|_caller| async {
-        let answer = answer_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
+        let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
         let invites = answer.headers().contains_key(RETRY_AFTER);
         let (status, took) = (answer.status().as_u16(), began.elapsed());
         let body = read_response_body(answer.into_body(), 100).await.expect("a whole body");
@@ -291,7 +291,7 @@
     KnowledgeCase {
         name: "this host knows that a failure domain is drained",
         decider: |_known| {},
-        own: |known| known.drained.extend(["near".into()]),
+        own: |known| known.drained_domains.extend(["near".into()]),
         resting: &[],
         status: 200,
         arrives_at: &["second"],
@@ -351,13 +351,13 @@
         host.directory.send_replace(Arc::new(own));
         tokio::time::sleep(Duration::from_millis(5)).await;
         for id in case.resting {
-            let backend = StartedBackend { id: (*id).into(), start: Some(BackendStart(1)) };
-            let sent = host.context.throttle.note_send(backend);
-            sent.hear(RateNotice::Unlimited, RestNotice::For(Duration::from_secs(3)));
+            let backend = BackendInstance { id: (*id).into(), start: Some(BackendStart(1)) };
+            let sent = host.context.throttle.record_send(backend);
+            sent.record_response(RateNotice::Unlimited, BackoffNotice::For(Duration::from_secs(3)));
         }
         assert!(host.desk.is_scheduled("service"), "{}", case.name);
         let asked = Instant::now();
-        let answer = answer_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
+        let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
         assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
         assert!(asked.elapsed() < Duration::from_millis(50), "{}: held up", case.name);
         if case.status == 503 {
@@ -378,12 +378,12 @@
     site.script("second", [Step::Answer(500, "no")]);
     let known = view([small("first", "near"), small("second", "far")]);
     let mut host = DecidingHost::start(&site, known, 10.0).await;
-    let terms = BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
+    let terms = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
     host.context.budgets = RetryBudgets::new(terms, HostClock::steady());
-    host.context.budgets.set_hosts(8);
+    host.context.budgets.set_host_count(8);
     for _request in 0..100 {
         let routed = request(Idempotent, 2, false);
-        let _answer = answer_request(host.context.clone(), routed).await;
+        let _answer = handle_request(host.context.clone(), routed).await;
     }
     let extras = site.record.lock().unwrap().arrivals.len() - 100;
     assert!((10..=21).contains(&extras), "{extras}");
@@ -408,7 +408,7 @@
         let known = view([small("first", "near")]);
         let host = DecidingHost::start_by(&site, known, 10.0, clock).await;
         is_stopped.store(true, Relaxed);
-        let answer = answer_request(host.context.clone(), request(NonIdempotent, 1, false));
+        let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
         let caller = tokio::spawn(answer);
         tokio::time::sleep(Duration::from_millis(1)).await;
         assert_eq!(site.record.lock().unwrap().arrivals.len(), 1, "{stop_ms} ms");
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -6,18 +6,20 @@
 use std::time::Duration;
 
 use dillspool_capacity::DemandMeter;
-use dillspool_forward::{BackendBook, BreakLooks, ForwardContext, ForwardMetrics, RetryBudgets};
+use dillspool_forward::{
+    BackendProbes, BackendTracker, ForwardContext, ForwardMetrics, RetryBudgets,
+};
 use dillspool_io::{
     ByteBudget, HostClock, NetListener, NetStack, ServerLimits, WallClock, serve_http,
     serve_http_held,
 };
-use dillspool_roles::{KeeperSettings, PoolTargets, keep_stages};
+use dillspool_roles::{PoolTargets, ReconcilerSettings, reconcile_stages};
 use dillspool_routing::RoutingConfig;
 use dillspool_scheduler::{
     CallDesk, FleetNews, LimitClient, LimitDesk, PoolDesk, ScheduleClient, ScheduleDesks,
 };
 use dillspool_schema::Name;
-use dillspool_suspects::{SuspectDesk, SuspectPolicy};
+use dillspool_suspects::{SuspectPolicy, SuspectTracker};
 use prometheus_client::registry::Registry;
 use snafu::{ResultExt, Snafu};
 use tokio::sync::watch;
@@ -79,7 +81,7 @@
     background: CancellationToken,
     serving: TaskTracker,
     peers: PeerList,
-    suspects: SuspectDesk,
+    suspects: SuspectTracker,
     /// Bytes held for slow peers, where they are limited.
     held: Option<ByteBudget>,
     clock: HostClock,
@@ -115,7 +117,7 @@
         let demand = DemandMeter::default();
         let budgets = RetryBudgets::new(config.budget, clock.clone());
         let metrics = ForwardMetrics::default();
-        let suspects = SuspectDesk::new(SuspectPolicy::default(), clock.clone());
+        let suspects = SuspectTracker::new(SuspectPolicy::default(), clock.clone());
         suspects.set_lifted(config.lifted.clone());
         let limits = LimitDesk::new(config.limits, clock.clone());
         let backend_limits = LimitDesk::of_backend_servers(config.limits.shares, clock.clone());
@@ -152,9 +154,9 @@
             limits,
             throttle: site.throttle.clone(),
             backend_limits: backend_limits.clone(),
-            book: BackendBook::default(),
+            backend_tracker: BackendTracker::default(),
             budgets: budgets.clone(),
-            breaks: BreakLooks::default(),
+            probes: BackendProbes::default(),
             suspects: suspects.clone(),
             metrics: metrics.clone(),
             tasks: TaskTracker::new(),
@@ -264,16 +266,16 @@
             self.background.clone(),
         ));
         let throttle = site.throttle.clone();
-        let settings = KeeperSettings {
+        let settings = ReconcilerSettings {
             host: Name::clone(&self.config.host),
             targets: PoolTargets::new(self.config.share_rule, demand),
-            apart: self.config.orders_apart,
+            handover_gap: self.config.orders_apart,
             is_first_start: self.config.first_start,
             clock: clock.clone(),
             delay: order_delay(&self.config.host, beliefs.config.clone(), schedule),
-            rests: Arc::new(move |engine| throttle.rests_until(engine).is_some()),
+            is_backing_off: Arc::new(move |engine| throttle.backoff_until(engine).is_some()),
         };
-        tokio::spawn(keep_stages(
+        tokio::spawn(reconcile_stages(
             settings,
             site.store.clone(),
             site.calls.clone(),
--- a/crates/dillspool_router/src/directory_tracker.rs
+++ b/crates/dillspool_router/src/directory_tracker.rs
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_leaving::LeavingBook;
-use dillspool_part::TablePart;
+use dillspool_leaving::LeavingRegistry;
+use dillspool_part::TableSubset;
 use dillspool_platform::StoreVersion;
 use dillspool_routing::{
-    BackendEntry, BackendId, BackendStart, BackendState, DirectoryView, StartedBackend,
+    BackendEntry, BackendId, BackendInstance, BackendStart, BackendState, DirectoryView,
 };
-use dillspool_watch::{StoreReach, TableBelief};
+use dillspool_watch::{StoreReachability, TableReplica};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -49,22 +49,22 @@
 
 impl KnownBackend {
     /// Whether it takes new requests, as far as its last row and itself say.
-    fn is_ready(&self, leaving: &LeavingBook) -> bool {
+    fn is_ready(&self, leaving: &LeavingRegistry) -> bool {
         let is_ready =
-            |entry: &Arc<BackendEntry>| entry.is_ready() && !leaving.leaves(&entry.started());
+            |entry: &Arc<BackendEntry>| entry.is_ready() && !leaving.is_leaving(&entry.instance());
         self.held_back.is_none() && self.entry.as_ref().is_some_and(is_ready)
     }
 
     /// Whether its row said, or is held to say, that a start leaves.
-    fn leaves(&self, backend: &StartedBackend) -> bool {
+    fn leaves(&self, backend: &BackendInstance) -> bool {
         self.entry.as_ref().is_some_and(|entry| {
-            let is_same = !BackendStart::differ(entry.start, backend.start);
+            let is_same = !BackendStart::are_different(entry.start, backend.start);
             is_same && (!entry.is_ready() || self.held_back.is_some())
         })
     }
 
     /// What is in use of it: its row, unless it has said itself that it leaves.
-    fn used_entry(&self, leaving: &LeavingBook) -> Option<Arc<BackendEntry>> {
+    fn used_entry(&self, leaving: &LeavingRegistry) -> Option<Arc<BackendEntry>> {
         let entry = self.entry.as_ref()?;
         if entry.is_ready() == self.is_ready(leaving) {
             return Some(Arc::clone(entry));
@@ -77,13 +77,13 @@
 #[derive(Debug)]
 pub struct DirectorySources {
     /// Rows of backend servers.
-    pub backends: watch::Receiver<TableBelief>,
+    pub backends: watch::Receiver<TableReplica>,
     /// The operator's rows.
-    pub operator: watch::Receiver<TableBelief>,
+    pub operator: watch::Receiver<TableReplica>,
     /// Whether the store is reached.
-    pub reach: watch::Receiver<StoreReach>,
+    pub reach: watch::Receiver<StoreReachability>,
     /// Backend servers that have said in an answer that they leave.
-    pub leaving: watch::Receiver<LeavingBook>,
+    pub leaving: watch::Receiver<LeavingRegistry>,
 }
 
 struct DirectoryTracker {
@@ -96,7 +96,7 @@
     version: StoreVersion,
     drained: DrainedDomains,
     /// The part of the table that this host holds.
-    part: Option<Arc<TablePart>>,
+    part: Option<Arc<TableSubset>>,
 }
 
 /// Publishes the backend servers in use until the belief ends.
@@ -157,29 +157,34 @@
 }
 
 impl DirectoryTracker {
-    fn view(&self, version: StoreVersion, leaving: &LeavingBook) -> DirectoryView {
+    fn view(&self, version: StoreVersion, leaving: &LeavingRegistry) -> DirectoryView {
         let entry = |(id, known): (&BackendId, &KnownBackend)| {
             Some((BackendId::clone(id), known.used_entry(leaving)?))
         };
         let entries = self.known.iter().filter_map(entry);
         let (drained, part) = (self.drained.names().clone(), self.part.clone());
-        DirectoryView { version, entries: entries.collect(), drained, part }
+        DirectoryView {
+            version,
+            entries: entries.collect(),
+            drained_domains: drained,
+            subset: part,
+        }
     }
 
     /// Whether a row that is missing now may belong to a living backend server.
-    fn may_lapse(&self, state: StoreReach) -> bool {
+    fn may_lapse(&self, state: StoreReachability) -> bool {
         !state.is_reachable() || Instant::now() < self.lapse_end(state)
     }
 
     /// When entries that are missing count as gone, while the store is reachable. Those that were recorded after
     /// the copy from which the store came back are missing, too.
-    fn lapse_end(&self, state: StoreReach) -> Instant {
+    fn lapse_end(&self, state: StoreReachability) -> Instant {
         let returned_at = self.departed.restored_at().map_or(state.since, |at| at.max(state.since));
         returned_at + self.settings.lapse_grace
     }
 
     /// When entries change by time alone: lapsed ones are gone, or ones that were held back are not any more.
-    fn next_end(&self, state: StoreReach) -> Option<Instant> {
+    fn next_end(&self, state: StoreReachability) -> Option<Instant> {
         let any_lapsed = self.known.values().any(|known| known.lapsed);
         let lapse_end = (any_lapsed && state.is_reachable()).then(|| self.lapse_end(state));
         let held_until = |known: &KnownBackend| match known.held_back {
@@ -204,21 +209,26 @@
         any
     }
 
-    fn update(&mut self, belief: &TableBelief, leaving: &LeavingBook, state: StoreReach) -> bool {
+    fn update(
+        &mut self,
+        belief: &TableReplica,
+        leaving: &LeavingRegistry,
+        state: StoreReachability,
+    ) -> bool {
         if self.departed.note_version(belief.version, self.version) {
             let (before, version) = (self.version, belief.version);
             log::info!("event=directory_restored version={version} before={before}");
         }
         self.version = belief.version;
-        let mut changed = self.part != belief.part;
+        let mut changed = self.part != belief.subset;
         if changed {
-            let part = belief.part.as_deref().map(ToString::to_string).unwrap_or_default();
+            let part = belief.subset.as_deref().map(ToString::to_string).unwrap_or_default();
             log::info!(
                 "event=directory_part part=\"{part}\" rows={} version={}",
                 belief.rows.len(),
                 belief.version
             );
-            self.part.clone_from(&belief.part);
+            self.part.clone_from(&belief.subset);
         }
         for (id, row) in &belief.rows {
             let Some(text) = &row.value else { continue };
@@ -247,7 +257,7 @@
             changed = true;
             // A row that is none of this host's part any more was not deleted.
             if belief.rows.contains_key(id) {
-                self.departed.note_gone(entry.started(), belief.version);
+                self.departed.note_gone(entry.instance(), belief.version);
             }
         }
         changed
@@ -266,7 +276,7 @@
         if !entry.is_ready() || !self.departed.may_be_copied(row_version) {
             return None;
         }
-        let backend = entry.started();
+        let backend = entry.instance();
         match self.known.get(&backend.id) {
             Some(known) if known.row_version.era() == row_version.era() => known.held_back,
             Some(known) => known.leaves(&backend).then_some(HeldBack::Leaves),
@@ -305,7 +315,7 @@
             return true;
         };
         if let Some(before) = &before
-            && BackendStart::differ(before.start, entry.start)
+            && BackendStart::are_different(before.start, entry.start)
         {
             log::info!("event=backend_restarted backend={id} row={row_version}");
         }
--- a/crates/dillspool_router/src/site.rs
+++ b/crates/dillspool_router/src/site.rs
@@ -4,18 +4,18 @@
 use std::sync::Arc;
 
 use dillspool_forward::BackendCalls;
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_platform::{TableStore, TableWatch};
-use dillspool_routing::{BackendEntry, RequestTerms, RoutingConfig};
+use dillspool_routing::{BackendEntry, RequestMetadata, RoutingConfig};
 use dillspool_schema::Name;
-use dillspool_throttle::ThrottleDesk;
+use dillspool_throttle::ThrottleTracker;
 use hyper::HeaderMap;
 
 /// Everything that differs between sites.
 #[derive(Clone)]
 pub struct SiteProtocol {
     /// Decodes a request's terms and leaves what is passed on.
-    pub take_terms: fn(&mut HeaderMap) -> RequestTerms,
+    pub take_terms: fn(&mut HeaderMap) -> RequestMetadata,
     /// Names the request in an answer of the router's own.
     pub mark_answer: fn(&mut HeaderMap, &str),
     /// Decodes a configuration.
@@ -33,9 +33,9 @@
     /// Calls to backend servers.
     pub calls: BackendCalls,
     /// Remembers what the answers to them say of how much the backend servers take.
-    pub throttle: ThrottleDesk,
+    pub throttle: ThrottleTracker,
     /// Remembers which backend servers say in them that they leave.
-    pub leaving: LeavingDesk,
+    pub leaving: LeavingTracker,
     /// Follows the store's tables.
     pub watch: TableWatch,
     /// The product's own rows in the store.
--- a/crates/dillspool_router/tests/common/tracked.rs
+++ b/crates/dillspool_router/tests/common/tracked.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use dillspool_io::{AwakeWatch, HostClock};
-use dillspool_leaving::LeavingDesk;
+use dillspool_leaving::LeavingTracker;
 use dillspool_platform::{ChangedRow, StoreEra, StoreVersion, TableDelta};
 use dillspool_router::{DirectorySettings, DirectorySources, UnreadableRows, track_directory};
-use dillspool_routing::{BackendStart, DirectoryView, StartedBackend};
-use dillspool_watch::{SharedBelief, StoreReach};
+use dillspool_routing::{BackendInstance, BackendStart, DirectoryView};
+use dillspool_watch::{SharedReplica, StoreReachability};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
@@ -16,19 +16,20 @@
 pub const OWN: &str = "10.0.0.1:80";
 
 pub struct TrackedDirectory {
-    pub belief: SharedBelief,
-    pub operator: SharedBelief,
+    pub belief: SharedReplica,
+    pub operator: SharedReplica,
     pub unreadable: UnreadableRows,
-    pub reach: watch::Sender<StoreReach>,
-    pub leaving: LeavingDesk,
+    pub reach: watch::Sender<StoreReachability>,
+    pub leaving: LeavingTracker,
     pub view: watch::Receiver<Arc<DirectoryView>>,
 }
 
 impl TrackedDirectory {
     pub fn start() -> Self {
-        let belief = SharedBelief::new("servers".into(), awake());
-        let operator = SharedBelief::new("op".into(), awake());
-        let reach = watch::Sender::new(StoreReach { direct: true, ..StoreReach::unknown() });
+        let belief = SharedReplica::new("servers".into(), awake());
+        let operator = SharedReplica::new("op".into(), awake());
+        let reach =
+            watch::Sender::new(StoreReachability { direct: true, ..StoreReachability::unknown() });
         let (sender, view) = watch::channel(Arc::default());
         let settings = DirectorySettings {
             lapse_grace: Duration::from_secs(2),
@@ -36,7 +37,7 @@
         };
         let site = super::site(&super::TestSite::default());
         let unreadable = UnreadableRows::default();
-        let leaving = LeavingDesk::new(HostClock::steady());
+        let leaving = LeavingTracker::new(HostClock::steady());
         let sources = DirectorySources {
             backends: belief.subscribe(),
             operator: operator.subscribe(),
@@ -49,7 +50,8 @@
 
     /// A start of the backend server says in an answer that it leaves.
     pub fn say_leaving(&self, start: Option<u64>) {
-        self.leaving.hear(&StartedBackend { id: "i-1".into(), start: start.map(BackendStart) });
+        self.leaving
+            .record_response(&BackendInstance { id: "i-1".into(), start: start.map(BackendStart) });
     }
 
     pub fn write(&self, version: u64, text: Option<&str>) {
@@ -92,7 +94,8 @@
     }
 
     pub fn reach(&self, reachable: bool) {
-        self.reach.send_replace(StoreReach { direct: reachable, ..StoreReach::unknown() });
+        self.reach
+            .send_replace(StoreReachability { direct: reachable, ..StoreReachability::unknown() });
     }
 
     pub fn is_known(&self) -> bool {
--- a/crates/dillspool_router/tests/held_bytes.rs
+++ b/crates/dillspool_router/tests/held_bytes.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use common::{CALLERS, READINESS, TestSite, config};
-use dillspool_forward::{BackendAnswer, CallError};
+use dillspool_forward::{BackendResponse, CallError};
 use dillspool_io::{
     HeldTerms, HostClock, HttpClient, MemoryNet, NetStack, NetStream, ResponseBody, channel_body,
     exchange_held, full_body, read_body,
@@ -62,11 +62,11 @@
     let stream = RouteEntry {
         path_prefix: "/s/".into(),
         kind: RequestKind::Streaming,
-        pause_target: Some(Duration::from_millis(300)),
+        max_event_gap: Some(Duration::from_millis(300)),
         ..RouteEntry::clone(plain)
     };
     let routes = RouteTable::new([RouteEntry::clone(plain), stream]);
-    let limits = ClientLimits { body_bytes: 2_000_000, ..config.limits };
+    let limits = ClientLimits { max_body_bytes: 2_000_000, ..config.limits };
     Ok(RoutingConfig { routes, limits, services: BTreeMap::default(), ..config })
 }
 
@@ -88,7 +88,8 @@
                     let sent = Request::post("/").body(Full::new(request.body.clone()));
                     let sent = sent.expect("a request");
                     let (to, limit) = (address(UNREADING), Duration::from_secs(1));
-                    let ended = exchange_held(&backend_stack, to, sent, limit, &request.held).await;
+                    let ended =
+                        exchange_held(&backend_stack, to, sent, limit, &request.held_bytes).await;
                     let reason = format!("{ended:?}");
                     return Err(CallError::Lost { reason });
                 }
@@ -138,7 +139,7 @@
     }
 }
 
-fn answer(path: &str, open: &Arc<AtomicUsize>) -> BackendAnswer {
+fn answer(path: &str, open: &Arc<AtomicUsize>) -> BackendResponse {
     let mut headers = HeaderMap::new();
     let body = match path {
         "/x/long" => {
@@ -148,10 +149,10 @@
         "/s/stream" => parts(400, Bytes::from(format!("data: {}\n\n", "x".repeat(2000))), open),
         _ => full_body("ok"),
     };
-    BackendAnswer {
+    BackendResponse {
         status: StatusCode::OK,
         headers,
-        names_request: true,
+        matches_request_id: true,
         is_sealed: true,
         is_encoded: false,
         did_not_run: false,
--- a/crates/dillspool_routerd/tests/fleet/mod.rs
+++ b/crates/dillspool_routerd/tests/fleet/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dillspool_forward::BudgetTerms;
+use dillspool_forward::BudgetSettings;
 use dillspool_io::{HostClock, LinkMode, MemoryNet, exchange_once, read_body};
 use dillspool_roles::ShareRule;
 use dillspool_router::{PolicyConfig, RouterConfig, RouterDaemon};
@@ -19,7 +19,7 @@
     PlainCapacity, REQUEST_ID, RunLog, StandinBackend, StandinKind, StandinRoute, StandinStore,
     TIME_BUDGET, TOKEN_COUNTS, config_text,
 };
-use dillspool_suspects::{PrintKey, RequestPrint};
+use dillspool_suspects::{FingerprintKey, RequestFingerprint};
 use http_body_util::Full;
 use hyper::Request;
 use tokio::time::Instant;
@@ -244,7 +244,7 @@
     }
 
     /// Gives a host settings that let requests run whatever ended under them.
-    pub fn lift(&mut self, number: usize, lifted: Vec<RequestPrint>) {
+    pub fn lift(&mut self, number: usize, lifted: Vec<RequestFingerprint>) {
         let (config, running) = &mut self.hosts[number];
         config.lifted = lifted;
         running.get_mut().as_ref().expect("it runs").reload(config.clone());
@@ -413,10 +413,10 @@
         first_start: false,
         seeds: Vec::new(),
         link_mbps: 100.0,
-        budget: BudgetTerms { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
+        budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
         limits: LimitTerms { slack: 0.0, shares: 2 },
         held: None,
-        print_key: PrintKey::default(),
+        print_key: FingerprintKey::default(),
         lifted: vec![],
         grace: Duration::from_secs(4),
         lapse_grace: Duration::from_secs(2),
--- a/crates/dillspool_routing/tests/routes.rs
+++ b/crates/dillspool_routing/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes are found by host name and longest prefix, services by weight.
+//! Matching of routes by host name and longest prefix, and the weighted choice of a service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
         kind: RequestKind::Idempotent,
         timeout: Duration::from_secs(3),
         objective: Duration::from_millis(300),
-        pause_target: None,
+        max_event_gap: None,
         priority: 1,
         max_attempts: 1,
         resumable: false,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_prefix_of_the_host_wins() {
     let table = RouteTable::new([
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn services_share_requests_by_weight_and_an_id_keeps_its_service() {
+fn requests_split_by_weight_and_an_id_always_gets_the_same_service() {
     let mut split = route("split", "a.example", "/x/");
     split.shares = vec![
         ServiceShare { service: "most".into(), weight: 90 },
@@ -62,8 +62,8 @@
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for number in 0..10_000 {
         let id = format!("request-{number}");
-        let service = split.service_for(&id).expect("a route has a service").to_string();
-        assert_eq!(split.service_for(&id).map(|name| &**name), Some(service.as_str()));
+        let service = split.pick_service(&id).expect("a route has a service").to_string();
+        assert_eq!(split.pick_service(&id).map(|name| &**name), Some(service.as_str()));
         *counts.entry(service).or_default() += 1;
     }
     assert!((800..1200).contains(&counts["few"]), "{counts:?}");
--- a/crates/dillspool_scheduler/src/link/calls.rs
+++ b/crates/dillspool_scheduler/src/link/calls.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use dillspool_calls::{CallDecision, CallEnd, CallRequest};
+use dillspool_calls::{CallDecision, CallOutcome, CallRequest};
 use dillspool_io::HostClock;
 use dillspool_moment::Moment;
-use dillspool_routing::StartedBackend;
+use dillspool_routing::BackendInstance;
 use dillspool_schema::schedule::ScheduleMessage;
 
 use super::{ScheduleReply, SchedulerLink};
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct HeldCall {
     request: CallRequest,
-    backend: StartedBackend,
+    backend: BackendInstance,
     since: Moment,
     clock: HostClock,
     /// Whether this host's own desk counts it.
@@ -56,7 +56,7 @@
 pub(crate) struct UncountedCall {
     pub(crate) ticket: u64,
     pub(crate) request: CallRequest,
-    pub(crate) backend: StartedBackend,
+    pub(crate) backend: BackendInstance,
     pub(crate) ran: Duration,
 }
 
@@ -102,7 +102,7 @@
         &self,
         ticket: u64,
         request: &CallRequest,
-        backend: &StartedBackend,
+        backend: &BackendInstance,
         clock: &HostClock,
         in_desk: bool,
     ) {
@@ -124,7 +124,7 @@
 
     /// Tells the deciding host that a call is over. A place that it is not told of would stay taken, so a link
     /// that carries no more is left: its end frees all places of this host.
-    pub(crate) fn end_call(&self, ticket: u64, end: CallEnd, took: Duration) {
+    pub(crate) fn end_call(&self, ticket: u64, end: CallOutcome, took: Duration) {
         self.with(|state| {
             state.held_calls.remove(&ticket);
             let message = call_wire::end_to_wire(ticket, end, took);
--- a/crates/dillspool_scheduler/tests/fleet_news.rs
+++ b/crates/dillspool_scheduler/tests/fleet_news.rs
@@ -8,10 +8,10 @@
 use dillspool_admission::AdmissionPolicy;
 use dillspool_capacity::DemandMeter;
 use dillspool_io::{HostClock, MemoryNet, NetStream};
-use dillspool_leaving::{LeavingDesk, LeavingNews};
+use dillspool_leaving::{LeavingTracker, LeavingUpdate};
 use dillspool_routing::{
-    BackendEntry, BackendStart, BackendState, ClientLimits, DirectoryView, EngineStage, RouteTable,
-    RoutingConfig, ServiceEntry, StartedBackend,
+    BackendEntry, BackendInstance, BackendStart, BackendState, ClientLimits, DirectoryView,
+    EngineStage, RouteTable, RoutingConfig, ServiceEntry,
 };
 use dillspool_scheduler::{
     BusHandlers, CallDesk, CallTerms, FleetBus, LimitDesk, LimitTerms, NoticeHandlers, PoolDesk,
@@ -21,8 +21,8 @@
     ScheduleBeat, ScheduleDuty, ScheduleHello, ScheduleLeaving, ScheduleMessage, ScheduleSuspect,
     ScheduleThrottle,
 };
-use dillspool_suspects::SuspectNews;
-use dillspool_throttle::{ThrottleDesk, ThrottleNews};
+use dillspool_suspects::SuspectUpdate;
+use dillspool_throttle::{ThrottleTracker, ThrottleUpdate};
 use futures_util::{SinkExt, StreamExt};
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::{WebSocketStream, client_async};
@@ -46,9 +46,9 @@
         engine: None,
     };
     let limits = ClientLimits {
-        head_bytes: 1,
-        body_bytes: 1,
-        head_timeout: Duration::from_secs(1),
+        max_header_bytes: 1,
+        max_body_bytes: 1,
+        header_timeout: Duration::from_secs(1),
         idle_timeout: Duration::from_secs(1),
     };
     let config = RoutingConfig {
@@ -158,7 +158,7 @@
     ];
     for case in cases {
         let net = MemoryNet::new();
-        let learnt: Arc<Mutex<Vec<SuspectNews>>> = Arc::default();
+        let learnt: Arc<Mutex<Vec<SuspectUpdate>>> = Arc::default();
         let learning = Arc::clone(&learnt);
         let handlers = SuspectHandlers {
             learn: Arc::new(move |news| {
@@ -205,11 +205,11 @@
 }
 
 /// Desks of a host that knows what this desk does.
-fn desks_knowing(throttle: &ThrottleDesk) -> ScheduleDesks {
+fn desks_knowing(throttle: &ThrottleTracker) -> ScheduleDesks {
     let (learning, knowing) = (throttle.clone(), throttle.clone());
     let throttle = NoticeHandlers {
-        learn: Arc::new(move |news: &ThrottleNews| learning.learn(news)),
-        known: Arc::new(move |most| knowing.known(most)),
+        learn: Arc::new(move |news: &ThrottleUpdate| learning.apply_update(news)),
+        known: Arc::new(move |most| knowing.newest_updates(most)),
     };
     desks_of(BusHandlers { throttle, ..BusHandlers::none() })
 }
@@ -244,7 +244,7 @@
     ];
     for case in cases {
         let net = MemoryNet::new();
-        let throttle = ThrottleDesk::new(HostClock::steady());
+        let throttle = ThrottleTracker::new(HostClock::steady());
         let listener = net.stack(address().ip()).listen(address()).await.expect("a free address");
         let cancel = CancellationToken::new();
         tokio::spawn(serve_schedule(listener, desks_knowing(&throttle), cancel.clone()));
@@ -293,13 +293,13 @@
     ];
     for case in cases {
         let net = MemoryNet::new();
-        let desk = LeavingDesk::new(HostClock::steady());
+        let desk = LeavingTracker::new(HostClock::steady());
         let listener = net.stack(address().ip()).listen(address()).await.expect("a free address");
         let cancel = CancellationToken::new();
         let (learning, knowing) = (desk.clone(), desk.clone());
         let leaving = NoticeHandlers {
-            learn: Arc::new(move |news: &LeavingNews| learning.learn(news)),
-            known: Arc::new(move |most| knowing.known(most)),
+            learn: Arc::new(move |news: &LeavingUpdate| learning.apply_update(news)),
+            known: Arc::new(move |most| knowing.newest_updates(most)),
         };
         let handlers = BusHandlers { leaving, ..BusHandlers::none() };
         let desks = desks_of(handlers);
@@ -316,8 +316,8 @@
         assert_eq!(heard(&mut one).await, (vec![], true), "{}: again", case.name);
         let mut three = link(&net, "10.0.0.4").await;
         assert_eq!(heard(&mut three).await, (told, true), "{}: later", case.name);
-        let start = |start| StartedBackend { id: "e1".into(), start: Some(BackendStart(start)) };
-        let leaves = |at| desk.subscribe().borrow().leaves(&start(at));
+        let start = |start| BackendInstance { id: "e1".into(), start: Some(BackendStart(start)) };
+        let leaves = |at| desk.subscribe().borrow().is_leaving(&start(at));
         assert_eq!([leaves(7), leaves(8)], [case.is_taken, false], "{}", case.name);
         cancel.cancel();
     }
@@ -327,7 +327,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_host_hears_news_on_one_of_its_links() {
     let net = MemoryNet::new();
-    let throttle = ThrottleDesk::new(HostClock::steady());
+    let throttle = ThrottleTracker::new(HostClock::steady());
     let listener = net.stack(address().ip()).listen(address()).await.expect("a free address");
     let cancel = CancellationToken::new();
     tokio::spawn(serve_schedule(listener, desks_knowing(&throttle), cancel.clone()));
