--- a/crates/dillspool_throttle/src/lib.rs
+++ b/crates/dillspool_throttle/src/lib.rs
@@ -1,16 +1,16 @@
-//! Backend servers that say how much they take: so many requests a second from all hosts together, or nothing
-//! from this host for a while.
+//! Rate limits and backoffs that backend servers announce in their answers.
 //!
-//! What an answer says is read at the edge into a [`RateNotice`] and a [`BackoffNotice`]. [`ThrottleRegistry`] remembers
-//! it over moments that are passed in, without input or output, and says whether something may be sent, may not,
-//! or whom to ask; [`ThrottleTracker`] keeps one for a host and logs what changes. See `docs/design/limits.md` and
-//! `docs/design/notices.md`.
+//! A limit holds for all hosts together, a backoff for this host only. The platform layer decodes
+//! an answer into a [`RateNotice`] and a [`BackoffNotice`]. [`ThrottleRegistry`] keeps them without
+//! I/O, on times passed in by the caller, and decides whether a request may be sent or needs a
+//! grant; [`ThrottleTracker`] shares one registry within a host and logs changes. See
+//! `docs/design/limits.md` and `docs/design/notices.md`.
 
-mod book;
-mod desk;
 mod notice;
 mod recent;
+mod registry;
+mod tracker;
 
-pub use book::{NoticeChange, SendDecision, ThrottleRegistry, ThrottleStatus, ThrottleUpdate};
-pub use desk::{SendRecord, ThrottleTracker};
 pub use notice::{BackoffNotice, RateNotice, RequestRate};
+pub use registry::{NoticeChange, SendDecision, ThrottleRegistry, ThrottleStatus, ThrottleUpdate};
+pub use tracker::{SendRecord, ThrottleTracker};
--- a/crates/dillspool_throttle/src/notice.rs
+++ b/crates/dillspool_throttle/src/notice.rs
@@ -1,22 +1,22 @@
-//! What one answer says.
+//! Rate limit and backoff announced in one answer.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Largest rate that is believed; more is as good as none.
-const LARGEST_RATE: f64 = 1e6;
+/// Maximum accepted rate; anything above is as good as unlimited.
+const MAX_RATE_PER_S: f64 = 1e6;
 
-/// Requests a second; finite and not negative.
+/// Requests per second; finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// A rate; `None` for what is none.
+    /// Creates a rate; `None` if the value is out of range.
     pub fn new(per_s: f64) -> Option<Self> {
-        (0.0..=LARGEST_RATE).contains(&per_s).then_some(Self(per_s))
+        (0.0..=MAX_RATE_PER_S).contains(&per_s).then_some(Self(per_s))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_s(self) -> f64 {
         self.0
     }
@@ -28,24 +28,24 @@
     }
 }
 
-/// What one answer of a backend server says of how much it takes.
+/// What an answer says about the backend server's rate limit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RateNotice {
-    /// It names no limit.
+    /// No limit.
     Unlimited,
-    /// It takes so much from all hosts together, for as long as its answers say so.
+    /// Rate limit for all hosts together, valid as long as answers repeat it.
     Limited(RequestRate),
-    /// It names something that is no rate.
+    /// The value is not a rate.
     Malformed(String),
 }
 
-/// What one answer of a backend server says of when it takes something from this host again.
+/// What an answer says about a pause that the backend server asks this host for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackoffNotice {
-    /// Nothing.
+    /// No pause.
     None,
-    /// It takes nothing from this host for so long.
+    /// Send nothing from this host for this long.
     For(Duration),
-    /// It names something that is no time.
+    /// The value is not a duration.
     Malformed(String),
 }
