--- a/crates/dillspool_forward/src/backend_tracker.rs
+++ b/crates/dillspool_forward/src/backend_tracker.rs
@@ -1,4 +1,4 @@
-//! What this host has under way at each backend server, and how the last sends went.
+//! Load and health of each backend server as seen by this host, with outlier ejection.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,51 +7,51 @@
 use dillspool_routing::BackendInstance;
 use tokio::time::Instant;
 
-/// Weight of the newest observation in an average; some ten sends decide.
-const NEWEST_WEIGHT: f64 = 0.15;
-/// Latency assumed of a backend server that has not answered yet, in milliseconds.
-const ASSUMED_LATENCY_MS: f64 = 60.0;
-/// First time that a backend server is left out after a send that did not get through.
-const FIRST_ASIDE: Duration = Duration::from_millis(500);
-/// Longest time that it is left out.
-const LONGEST_ASIDE: Duration = Duration::from_secs(4);
-/// Failures in a row after which a backend server is left out.
-const FAILURES_BEFORE_ASIDE: u32 = 2;
-/// Entries kept at most; each start of a backend server has its own.
-const MOST_ENTRIES: usize = 8192;
+/// Weight of the newest observation in a moving average; about the last ten requests dominate.
+const EWMA_WEIGHT: f64 = 0.15;
+/// Latency in milliseconds assumed of a backend server that has not responded yet.
+const DEFAULT_LATENCY_MS: f64 = 60.0;
+/// Time for which a backend server is first ejected.
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(500);
+/// Maximum time for which a backend server is ejected.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
+/// Consecutive unanswered requests after which a backend server is ejected.
+const FAILURES_BEFORE_EJECTION: u32 = 2;
+/// Maximum number of tracked instances; each start of a backend server is an instance of its own.
+const MAX_ENTRIES: usize = 8192;
 
 #[derive(Clone, Debug)]
 struct BackendLoad {
     outstanding: u32,
     latency_ms: f64,
-    /// Average of failures, 0 to 1.
-    failures: f64,
-    failures_in_row: u32,
-    aside_until: Option<Instant>,
+    /// Moving average of failures, 0 to 1.
+    failure_rate: f64,
+    consecutive_failures: u32,
+    ejected_until: Option<Instant>,
 }
 
 impl Default for BackendLoad {
     fn default() -> Self {
         Self {
             outstanding: 0,
-            latency_ms: ASSUMED_LATENCY_MS,
-            failures: 0.0,
-            failures_in_row: 0,
-            aside_until: None,
+            latency_ms: DEFAULT_LATENCY_MS,
+            failure_rate: 0.0,
+            consecutive_failures: 0,
+            ejected_until: None,
         }
     }
 }
 
-/// A reading of one backend server's entry.
+/// Load and health of one instance of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LoadSnapshot {
     pub(crate) outstanding: u32,
     pub(crate) latency_ms: f64,
-    pub(crate) failures: f64,
-    pub(crate) is_aside: bool,
+    pub(crate) failure_rate: f64,
+    pub(crate) is_ejected: bool,
 }
 
-/// The book of all backend servers, by their starts: what one did says nothing of the next.
+/// Tracks backend servers by instance: the history of one start says nothing about the next.
 #[derive(Clone, Debug, Default)]
 pub struct BackendTracker {
     loads: Arc<Mutex<HashMap<BackendInstance, BackendLoad>>>,
@@ -60,7 +60,7 @@
 impl BackendTracker {
     fn with<T>(&self, backend: &BackendInstance, run: impl FnOnce(&mut BackendLoad) -> T) -> T {
         let mut loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
-        if loads.len() >= MOST_ENTRIES {
+        if loads.len() >= MAX_ENTRIES {
             loads.retain(|_backend, load| load.outstanding > 0);
         }
         run(loads.entry(backend.clone()).or_default())
@@ -73,73 +73,75 @@
         LoadSnapshot {
             outstanding: load.outstanding,
             latency_ms: load.latency_ms,
-            failures: load.failures,
-            is_aside: load.aside_until.is_some_and(|until| until > now),
+            failure_rate: load.failure_rate,
+            is_ejected: load.ejected_until.is_some_and(|until| until > now),
         }
     }
 
-    /// Notes work that is sent to a backend server until the ticket is dropped.
+    /// Counts a request as outstanding until the guard is dropped.
     pub(crate) fn track_request(&self, backend: &BackendInstance) -> LoadGuard {
         self.with(backend, |load| load.outstanding += 1);
-        LoadGuard { book: self.clone(), backend: backend.clone() }
+        LoadGuard { tracker: self.clone(), backend: backend.clone() }
     }
 
-    /// Notes an answer that came as it should.
+    /// Records a successful response.
     pub(crate) fn record_success(&self, backend: &BackendInstance, latency: Duration) {
         let latency_ms = latency.as_secs_f64() * 1000.0;
         self.with(backend, |load| {
-            load.latency_ms += NEWEST_WEIGHT * (latency_ms - load.latency_ms);
-            load.failures -= NEWEST_WEIGHT * load.failures;
-            load.failures_in_row = 0;
-            load.aside_until = None;
+            load.latency_ms += EWMA_WEIGHT * (latency_ms - load.latency_ms);
+            load.failure_rate -= EWMA_WEIGHT * load.failure_rate;
+            load.consecutive_failures = 0;
+            load.ejected_until = None;
         });
     }
 
-    /// Notes a failure that the backend server told of.
+    /// Records a failure response of the backend server.
     pub(crate) fn record_failure(&self, backend: &BackendInstance) {
-        self.with(backend, |load| load.failures += NEWEST_WEIGHT * (1.0 - load.failures));
+        self.with(backend, |load| load.failure_rate += EWMA_WEIGHT * (1.0 - load.failure_rate));
     }
 
-    /// Notes that no connection could be made; leaves the backend server out at once.
+    /// Records that no connection could be made; ejects the backend server at once.
     pub(crate) fn record_connect_failure(&self, backend: &BackendInstance, cause: &str) {
         self.record_unanswered(backend, 1, cause);
     }
 
-    /// Notes that a backend server did not answer; leaves it out for a while when that repeats.
+    /// Records that a backend server did not respond; ejects it if that happens repeatedly.
     pub(crate) fn record_no_response(&self, backend: &BackendInstance, cause: &str) {
-        self.record_unanswered(backend, FAILURES_BEFORE_ASIDE, cause);
+        self.record_unanswered(backend, FAILURES_BEFORE_EJECTION, cause);
     }
 
-    /// Leaves a backend server out from so many failures in a row on, for longer each time.
-    fn record_unanswered(&self, backend: &BackendInstance, failures_before: u32, cause: &str) {
+    /// Ejects a backend server once it has reached a number of consecutive failures, for twice as
+    /// long with each further one.
+    fn record_unanswered(&self, backend: &BackendInstance, failure_threshold: u32, cause: &str) {
         let now = Instant::now();
-        let aside = self.with(backend, |load| {
-            load.failures += NEWEST_WEIGHT * (1.0 - load.failures);
-            load.failures_in_row += 1;
-            let doublings = load.failures_in_row.checked_sub(failures_before)?.min(8);
-            let span = (FIRST_ASIDE * 2_u32.pow(doublings)).min(LONGEST_ASIDE);
-            load.aside_until = Some(now + span);
-            Some((load.failures_in_row, span))
+        let ejection = self.with(backend, |load| {
+            load.failure_rate += EWMA_WEIGHT * (1.0 - load.failure_rate);
+            load.consecutive_failures += 1;
+            let doublings = load.consecutive_failures.checked_sub(failure_threshold)?.min(8);
+            let duration = (BASE_EJECTION_TIME * 2_u32.pow(doublings)).min(MAX_EJECTION_TIME);
+            load.ejected_until = Some(now + duration);
+            Some((load.consecutive_failures, duration))
         });
-        if let Some((failures, span)) = aside {
-            let span_ms = span.as_millis();
+        if let Some((failures, duration)) = ejection {
+            let duration_ms = duration.as_millis();
             log::info!(
-                "event=backend_aside backend={} failures={failures} for_ms={span_ms} cause=\"{cause}\"",
+                "event=backend_aside backend={} failures={failures} for_ms={duration_ms} cause=\"{cause}\"",
                 backend.id,
             );
         }
     }
 }
 
-/// Work under way at a backend server; dropping it takes it off the book.
+/// A request outstanding at a backend server, until it is dropped.
 #[derive(Debug)]
 pub(crate) struct LoadGuard {
-    book: BackendTracker,
+    tracker: BackendTracker,
     backend: BackendInstance,
 }
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.book.with(&self.backend, |load| load.outstanding = load.outstanding.saturating_sub(1));
+        self.tracker
+            .with(&self.backend, |load| load.outstanding = load.outstanding.saturating_sub(1));
     }
 }
--- a/crates/dillspool_forward/src/handle.rs
+++ b/crates/dillspool_forward/src/handle.rs
@@ -49,7 +49,7 @@
                     }
                     Ok(answer)
                 }
-                Ok(PlainResponse::Streamed(answer)) => {
+                Ok(PlainResponse::Partial(answer)) => {
                     Ok(answer.relay(&context, &request, trace, copy))
                 }
                 Err(refusal) => Err((refusal, trace)),
--- a/crates/dillspool_forward/src/picker.rs
+++ b/crates/dillspool_forward/src/picker.rs
@@ -1,4 +1,4 @@
-//! Which backend server gets a request.
+//! Picks the backend server for a request.
 
 use std::sync::Arc;
 
@@ -9,14 +9,16 @@
 use crate::backend_tracker::BackendTracker;
 use crate::tried::TriedBackends;
 
-/// Cost of another failure domain for a plain call, as a factor: its bytes are billed, and it takes longer.
-const FAR_FACTOR: f64 = 1.3;
-/// How much one failure in one call raises the cost of a backend server.
+/// Cost factor of a backend server in another failure domain for a plain call, for billed traffic
+/// and added latency.
+const CROSS_DOMAIN_FACTOR: f64 = 1.3;
+/// How much a failure rate of 1 adds to the cost, as a multiple of it.
 const FAILURE_FACTOR: f64 = 6.0;
-/// Part by which costs are spread, so that hosts with the same view do not all choose alike.
-const SPREAD: f64 = 0.1;
+/// Maximum random increase of a cost, so that hosts with the same view do not all pick the same
+/// backend server.
+const MAX_COST_SPREAD: f64 = 0.1;
 
-/// Chooses among backend servers from the place of one host.
+/// Picks backend servers from the point of view of one host.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BackendPicker<'a> {
     pub(crate) view: &'a DirectoryView,
@@ -26,7 +28,7 @@
 }
 
 impl BackendPicker<'_> {
-    /// The backend server of a service with the least expected wait, of those that are not closed.
+    /// The backend server of a service with the least expected wait, except blocked ones.
     pub(crate) fn pick_plain(
         &self,
         service: &str,
@@ -35,33 +37,33 @@
         let candidates = self.view.ready(service).filter(|entry| !tried.contains(entry));
         let candidates =
             candidates.filter(|entry| self.throttle.blocked_until(&entry.instance()).is_none());
-        least(candidates, |entry| {
+        least_cost(candidates, |entry| {
             let load = self.tracker.snapshot(&entry.instance());
-            let far = if self.is_near(entry) { 1.0 } else { FAR_FACTOR };
+            let domain_factor = if self.is_same_domain(entry) { 1.0 } else { CROSS_DOMAIN_FACTOR };
             let queue = f64::from(load.outstanding + 1) * load.latency_ms;
-            (load.is_aside, queue * (1.0 + FAILURE_FACTOR * load.failures) * far)
+            (load.is_ejected, queue * (1.0 + FAILURE_FACTOR * load.failure_rate) * domain_factor)
         })
     }
 
-    fn is_near(&self, entry: &BackendEntry) -> bool {
+    fn is_same_domain(&self, entry: &BackendEntry) -> bool {
         &*entry.failure_domain == self.failure_domain
     }
 }
 
-fn spread() -> f64 {
-    1.0 + rand::rng().random_range(0.0..SPREAD)
+fn random_spread() -> f64 {
+    1.0 + rand::rng().random_range(0.0..MAX_COST_SPREAD)
 }
 
-/// The candidate of the least cost; one that is left out only if all are.
-fn least<'a>(
+/// The candidate with the least cost; an ejected one only if all are.
+fn least_cost<'a>(
     candidates: impl Iterator<Item = &'a Arc<BackendEntry>>,
     cost: impl Fn(&BackendEntry) -> (bool, f64),
 ) -> Option<Arc<BackendEntry>> {
     candidates
         .map(|entry| {
-            let (aside, cost) = cost(entry);
-            (aside, cost * spread(), entry)
+            let (is_ejected, cost) = cost(entry);
+            (is_ejected, cost * random_spread(), entry)
         })
         .min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)))
-        .map(|(_aside, _cost, entry)| Arc::clone(entry))
+        .map(|(_is_ejected, _cost, entry)| Arc::clone(entry))
 }
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer is one body, passed on whole or not at all.
+//! Plain requests, whose response is one body that is forwarded completely or not at all.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,57 +23,57 @@
 use crate::trace::{RequestTrace, log_retry_budget_exhausted, log_send_failed};
 use crate::tried::TriedBackends;
 
-/// Backend servers that may turn out unreachable for one request.
-const MOST_UNREACHABLE: usize = 3;
-/// When to come back, as parts of the objective: soon enough to be served within it, spread so
-/// that refused callers do not return together.
-const COME_BACK_PARTS: std::ops::Range<f64> = 0.3..0.9;
+/// Number of unreachable backend servers that one request may try.
+const MAX_UNREACHABLE: usize = 3;
+/// Range of the retry delay as a fraction of the objective: early enough for a response within it,
+/// and spread so that refused clients do not all retry at once.
+const RETRY_AFTER_FRACTIONS: std::ops::Range<f64> = 0.3..0.9;
 
-/// What became of one send.
-enum SendOutcome {
-    /// The backend server's own answer, whole.
-    Whole(WholeAnswer),
-    /// The same, of which only the start was read.
-    Long(Box<PartialResponse>),
+/// The outcome of one attempt.
+enum AttemptOutcome {
+    /// The complete response of the backend server.
+    Complete(CompleteResponse),
+    /// The response of the backend server, of which only the start was read.
+    Partial(Box<PartialResponse>),
     /// Nothing was sent.
     NotSent(String),
-    /// The backend server did not run it.
+    /// The backend server did not run the request.
     NotRun,
-    /// It may have run.
-    Unclear(String),
+    /// The request may have run.
+    Unknown(String),
 }
 
-impl SendOutcome {
-    /// What the host that decides on the calls of the service is told of it.
-    fn call_end(&self) -> CallOutcome {
+impl AttemptOutcome {
+    /// The outcome as reported to the host that schedules the calls of the service.
+    fn call_outcome(&self) -> CallOutcome {
         match self {
-            Self::Whole(answer) if !answer.status.is_server_error() => CallOutcome::Answered,
-            Self::Long(answer) if !answer.status.is_server_error() => CallOutcome::Answered,
-            Self::Whole(_) | Self::Long(_) => CallOutcome::Failed,
+            Self::Complete(response) if !response.status.is_server_error() => CallOutcome::Answered,
+            Self::Partial(response) if !response.status.is_server_error() => CallOutcome::Answered,
+            Self::Complete(_) | Self::Partial(_) => CallOutcome::Failed,
             Self::NotSent(_) => CallOutcome::NotSent,
             Self::NotRun => CallOutcome::NotRun,
-            Self::Unclear(_) => CallOutcome::Lost,
+            Self::Unknown(_) => CallOutcome::Lost,
         }
     }
 }
 
-/// The final answer of a backend server.
+/// The final response of a backend server.
 pub(crate) enum PlainResponse {
-    /// It was read to its end.
+    /// The response was read to its end.
     Complete(Response<ResponseBody>),
-    /// It is to be passed on as it arrives.
-    Streamed(Box<PartialResponse>),
+    /// The rest of the response is forwarded as it arrives.
+    Partial(Box<PartialResponse>),
 }
 
-/// An answer that was read to its end.
-struct WholeAnswer {
+/// A response that was read to its end.
+struct CompleteResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-impl WholeAnswer {
-    fn response(self) -> Response<ResponseBody> {
+impl CompleteResponse {
+    fn into_response(self) -> Response<ResponseBody> {
         let mut response = Response::new(full_body(self.body));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers;
@@ -82,53 +82,62 @@
     }
 }
 
-/// Sends of one request so far.
+/// The attempts of one request so far.
 #[derive(Default)]
-struct SendRecord {
+struct AttemptRecord {
     tried: TriedBackends,
-    sends: u32,
+    attempts: u32,
     unreachable: usize,
     may_have_run: bool,
     failure: Option<PlainResponse>,
-    /// The decision not to send it any more, and when its caller may come back.
+    /// The decision to make no further attempt, and when the client may retry.
     rejected: Option<(RejectCause, Duration)>,
 }
 
-impl SendRecord {
-    /// Notes a send that brought no answer for the caller yet, and what it says of the backend
+impl AttemptRecord {
+    /// Records an attempt that produced no final response, and what it says about the backend
     /// server.
-    fn note_failure(
+    fn record_failed_attempt(
         &mut self,
         context: &ForwardContext,
         request: &RoutedRequest,
         entry: &BackendEntry,
-        outcome: SendOutcome,
+        outcome: AttemptOutcome,
     ) {
         let (tracker, backend) = (&context.backend_tracker, &entry.instance());
         let cause = match outcome {
-            SendOutcome::Whole(answer) => {
-                let status = answer.status;
-                self.note_failed(context, entry, status, PlainResponse::Complete(answer.response()))
+            AttemptOutcome::Complete(response) => {
+                let status = response.status;
+                self.record_failure_response(
+                    context,
+                    entry,
+                    status,
+                    PlainResponse::Complete(response.into_response()),
+                )
             }
-            SendOutcome::Long(answer) => {
-                self.note_failed(context, entry, answer.status, PlainResponse::Streamed(answer))
-            }
-            SendOutcome::NotSent(cause) => {
+            AttemptOutcome::Partial(response) => self.record_failure_response(
+                context,
+                entry,
+                response.status,
+                PlainResponse::Partial(response),
+            ),
+            AttemptOutcome::NotSent(cause) => {
                 tracker.record_connect_failure(backend, &cause);
                 self.unreachable += 1;
                 cause
             }
-            SendOutcome::NotRun => {
-                // One that names how much it takes may refuse what is beyond, and is not broken.
+            AttemptOutcome::NotRun => {
+                // A backend server with a limit may refuse requests beyond it without being
+                // unhealthy.
                 if context.throttle.status(backend).rate.is_none() {
                     tracker.record_failure(backend);
                 }
-                self.sends += 1;
+                self.attempts += 1;
                 "refused, not run".to_owned()
             }
-            SendOutcome::Unclear(cause) => {
+            AttemptOutcome::Unknown(cause) => {
                 tracker.record_no_response(backend, &cause);
-                self.sends += 1;
+                self.attempts += 1;
                 self.may_have_run = true;
                 cause
             }
@@ -136,8 +145,8 @@
         log_send_failed(request, &backend.id, &cause);
     }
 
-    /// Notes a failure that the backend server told of, which is the answer if no other send follows.
-    fn note_failed(
+    /// Records a failure response, which is forwarded if no further attempt follows.
+    fn record_failure_response(
         &mut self,
         context: &ForwardContext,
         entry: &BackendEntry,
@@ -145,7 +154,7 @@
         failure: PlainResponse,
     ) -> String {
         context.backend_tracker.record_failure(&entry.instance());
-        self.sends += 1;
+        self.attempts += 1;
         self.may_have_run = true;
         self.failure = Some(failure);
         format!("status {}", status.as_u16())
@@ -157,83 +166,83 @@
     request: &Arc<RoutedRequest>,
     trace: &mut RequestTrace,
 ) -> Result<PlainResponse, Refusal> {
-    let mut record = SendRecord::default();
-    let mut look = None;
-    // Dropped after a send that is given up, so its place is free once the connection is closed.
+    let mut record = AttemptRecord::default();
+    let mut probe = None;
+    // Dropped after an abandoned attempt, so its slot is freed once the connection is closed.
     let mut ticket = context.call_client.open(&request.service);
-    while may_retry(context, request, &mut look).await
+    while may_retry(context, request, &mut probe).await
         && let Some((entry, directory, permit)) =
             next_backend(context, request, &mut record, &mut ticket).await
     {
         trace.record_backend(&entry.id, directory);
         record.tried.push(&entry);
-        let limit = send_limit(request, &record);
+        let timeout = attempt_timeout(request, &record);
         let started = Instant::now();
-        let outcome = send_whole(context, request, &entry, limit).await;
+        let outcome = send_attempt(context, request, &entry, timeout).await;
         let outcome = match outcome {
-            SendOutcome::Long(mut answer) if !answer.status.is_server_error() => {
-                answer.call = Some(ticket);
-                return Ok(PlainResponse::Streamed(answer));
+            AttemptOutcome::Partial(mut response) if !response.status.is_server_error() => {
+                response.call = Some(ticket);
+                return Ok(PlainResponse::Partial(response));
             }
             outcome => outcome,
         };
-        ticket.end(outcome.call_end(), started.elapsed());
+        ticket.end(outcome.call_outcome(), started.elapsed());
         match outcome {
-            SendOutcome::Whole(answer) if !answer.status.is_server_error() => {
+            AttemptOutcome::Complete(response) if !response.status.is_server_error() => {
                 context.backend_tracker.record_success(&entry.instance(), started.elapsed());
-                if answer.status.is_success() {
+                if response.status.is_success() {
                     context.suspects.record_success(request.fingerprint);
                 }
-                return Ok(PlainResponse::Complete(answer.response()));
+                return Ok(PlainResponse::Complete(response.into_response()));
             }
             failed => {
-                if matches!(failed, SendOutcome::Unclear(_)) {
-                    look = Some(spawn_failure_probe(context, request, &entry));
+                if matches!(failed, AttemptOutcome::Unknown(_)) {
+                    probe = Some(spawn_failure_probe(context, request, &entry));
                 }
-                if matches!(failed, SendOutcome::NotSent(_)) {
+                if matches!(failed, AttemptOutcome::NotSent(_)) {
                     permit.refund();
                 }
-                record.note_failure(context, request, &entry, failed);
+                record.record_failed_attempt(context, request, &entry, failed);
             }
         }
     }
-    conclude(context, request, record)
+    final_result(context, request, record)
 }
 
-/// The next backend server to send to and the version of the directory that it is from, if the
-/// request may be sent once more.
+/// The next backend server and the version of the directory that it is from, if the request may be
+/// sent again.
 async fn next_backend(
     context: &ForwardContext,
     request: &RoutedRequest,
-    record: &mut SendRecord,
+    record: &mut AttemptRecord,
     ticket: &mut CallTicket,
 ) -> Option<(Arc<BackendEntry>, StoreVersion, SendPermit)> {
-    if record.sends >= request.route.max_attempts
-        || record.unreachable > MOST_UNREACHABLE
+    if record.attempts >= request.route.max_attempts
+        || record.unreachable > MAX_UNREACHABLE
         || (record.may_have_run && !request.route.is_idempotent())
         || request.remaining().is_zero()
     {
         return None;
     }
-    let decided = if ticket.is_scheduled() {
-        // On the heap, since the calls of most services do not come here.
+    let scheduled = if ticket.is_scheduled() {
+        // Boxed, since the calls of most services are not scheduled.
         Box::pin(choose_scheduled(context, request, &record.tried, ticket)).await
     } else {
         ScheduleOutcome::Local
     };
     let view = context.view();
-    let (entry, permit) = match decided {
+    let (entry, permit) = match scheduled {
         ScheduleOutcome::Send(entry, permit) => (entry, permit),
         ScheduleOutcome::Reject { cause, retry_after } => {
             record.rejected = Some((cause, retry_after));
             return None;
         }
         ScheduleOutcome::Local => {
-            let choose = || context.picker(&view).pick_plain(&request.service, &record.tried);
-            pick_with_permit(context, request, choose).await?
+            let pick = || context.picker(&view).pick_plain(&request.service, &record.tried);
+            pick_with_permit(context, request, pick).await?
         }
     };
-    if record.sends > 0 {
+    if record.attempts > 0 {
         if !context.budgets.try_withdraw(&request.service) {
             log_retry_budget_exhausted(request, &context.budgets);
             permit.refund();
@@ -244,76 +253,77 @@
     Some((entry, view.version, permit))
 }
 
-/// Time that one send may take: all that is left, unless another send could follow.
-fn send_limit(request: &RoutedRequest, record: &SendRecord) -> Duration {
+/// Timeout of one attempt: the remaining time, unless another attempt could follow.
+fn attempt_timeout(request: &RoutedRequest, record: &AttemptRecord) -> Duration {
     let remaining = request.remaining();
-    let is_last = record.sends + 1 >= request.route.max_attempts;
+    let is_last = record.attempts + 1 >= request.route.max_attempts;
     if is_last || !request.route.is_idempotent() {
         return remaining;
     }
     remaining.min((remaining / 2).max(request.route.objective))
 }
 
-async fn send_whole(
+async fn send_attempt(
     context: &ForwardContext,
     request: &Arc<RoutedRequest>,
     entry: &Arc<BackendEntry>,
-    limit: Duration,
-) -> SendOutcome {
-    let ticket = context.backend_tracker.track_request(&entry.instance());
+    timeout: Duration,
+) -> AttemptOutcome {
+    let load_guard = context.backend_tracker.track_request(&entry.instance());
     let sent_at = request.clock.now();
-    let terms = ForwardParams { time_budget: request.remaining(), ..ForwardParams::default() };
+    let params = ForwardParams { time_budget: request.remaining(), ..ForwardParams::default() };
     let exchange = async {
-        let answer = (context.calls.forward)(Arc::clone(entry), Arc::clone(request), terms).await?;
-        if answer.did_not_run {
-            return Err(CallError::Refused { status: answer.status });
+        let response =
+            (context.calls.forward)(Arc::clone(entry), Arc::clone(request), params).await?;
+        if response.did_not_run {
+            return Err(CallError::Refused { status: response.status });
         }
-        if !answer.is_verified_success() && !answer.is_verified_failure() {
-            let reason = format!("status {} without proof of its origin", answer.status.as_u16());
+        if !response.is_verified_success() && !response.is_verified_failure() {
+            let reason = format!("status {} without proof of its origin", response.status.as_u16());
             return Err(CallError::Lost { reason });
         }
-        let (status, headers) = (answer.status, answer.headers);
-        let start = buffer_body(request, answer.body)
+        let (status, headers) = (response.status, response.headers);
+        let buffered = buffer_body(request, response.body)
             .await
             .map_err(|error| CallError::Lost { reason: error.to_string() })?;
-        Ok((status, headers, start))
+        Ok((status, headers, buffered))
     };
-    match request.clock.timeout(limit, context.cancel_on_restart(entry, exchange)).await {
+    match request.clock.timeout(timeout, context.cancel_on_restart(entry, exchange)).await {
         Ok(Ok((status, headers, BufferedBody::Complete(body)))) => {
-            SendOutcome::Whole(WholeAnswer { status, headers, body })
+            AttemptOutcome::Complete(CompleteResponse { status, headers, body })
         }
         Ok(Ok((status, headers, BufferedBody::Partial(parts, body)))) => {
             let entry = Arc::clone(entry);
-            let answer = PartialResponse {
+            let response = PartialResponse {
                 status,
                 headers,
                 parts,
                 body,
                 entry,
-                _ticket: ticket,
+                _ticket: load_guard,
                 sent_at,
                 call: None,
             };
-            SendOutcome::Long(Box::new(answer))
+            AttemptOutcome::Partial(Box::new(response))
         }
-        Ok(Err(CallError::NotSent { reason })) => SendOutcome::NotSent(reason),
-        Ok(Err(CallError::Refused { .. })) => SendOutcome::NotRun,
-        Ok(Err(CallError::Lost { reason })) => SendOutcome::Unclear(reason),
-        Err(MomentPassed) => SendOutcome::Unclear(format!("no answer within {limit:?}")),
+        Ok(Err(CallError::NotSent { reason })) => AttemptOutcome::NotSent(reason),
+        Ok(Err(CallError::Refused { .. })) => AttemptOutcome::NotRun,
+        Ok(Err(CallError::Lost { reason })) => AttemptOutcome::Unknown(reason),
+        Err(MomentPassed) => AttemptOutcome::Unknown(format!("no response within {timeout:?}")),
     }
 }
 
-fn conclude(
+fn final_result(
     context: &ForwardContext,
     request: &RoutedRequest,
-    record: SendRecord,
+    record: AttemptRecord,
 ) -> Result<PlainResponse, Refusal> {
     if let Some(failure) = record.failure {
         return Ok(failure);
     }
     if record.may_have_run {
-        let over = request.remaining().is_zero();
-        let cause = if over { RefusalCause::TimedOut } else { RefusalCause::Unknown };
+        let is_expired = request.remaining().is_zero();
+        let cause = if is_expired { RefusalCause::TimedOut } else { RefusalCause::Unknown };
         return Err(Refusal::new(cause));
     }
     if !request.remaining().is_zero()
@@ -337,6 +347,6 @@
     {
         return Err(Refusal::with_retry_after(cause, retry_after));
     }
-    let part = rand::rng().random_range(COME_BACK_PARTS);
-    Err(Refusal::with_retry_after(cause, request.route.objective.mul_f64(part)))
+    let fraction = rand::rng().random_range(RETRY_AFTER_FRACTIONS);
+    Err(Refusal::with_retry_after(cause, request.route.objective.mul_f64(fraction)))
 }
--- a/crates/dillspool_forward/src/retry_budget.rs
+++ b/crates/dillspool_forward/src/retry_budget.rs
@@ -1,8 +1,8 @@
-//! The budget of repeated sends, a part of which every host may spend by itself.
+//! The retry budget, of which each host may spend a share by itself.
 //!
-//! All hosts share one budget a service. A count shared through the store would cost a write a
-//! request; instead each host spends the ratio of its own requests and an equal part of what is
-//! allowed beyond it.
+//! All hosts share one budget per service. Counting retries in the store would cost a write per
+//! request. Instead, each host may spend the ratio of its own requests and an equal share of the
+//! extra retries.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,33 +13,33 @@
 use dillspool_moment::Moment;
 use dillspool_schema::Name;
 
-/// Part of the budget that is spent at most; the rest covers windows that begin elsewhere on
-/// other hosts, and refusals that cannot be foreseen.
-const SPENT_PART: f64 = 0.75;
-/// Hosts assumed before any count is known: the users' two-year size.
-const ASSUMED_HOSTS: usize = 400;
-/// Parts into which a window is cut for counting.
-const SLICES: u32 = 20;
+/// Fraction of the allowed retries that is spent; the rest covers windows that begin at other times
+/// on other hosts, and refusals that cannot be foreseen.
+const SPEND_FRACTION: f64 = 0.75;
+/// Host count assumed until one is known: the fleet size that the users expect in two years.
+const DEFAULT_HOST_COUNT: usize = 400;
+/// Buckets per window.
+const WINDOW_BUCKETS: u32 = 20;
 
-/// The budget as the platform states it, for all hosts together.
+/// The retry budget that the platform specifies, for all hosts together.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetSettings {
-    /// Repeated sends for each request of a window.
+    /// Retries per request of a window.
     pub ratio: f64,
     /// Length of the window.
     pub window: Duration,
-    /// Repeated sends of a window beyond the ratio.
+    /// Retries of a window beyond the ratio.
     pub extra: f64,
 }
 
-/// A service's window on this host.
+/// Use of a service's budget on this host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetUsage {
-    /// Requests of the window.
+    /// Requests in the window.
     pub requests: u32,
-    /// Repeated sends of the window.
+    /// Retries in the window.
     pub retries: u32,
-    /// Repeated sends that this host's part allows in the window.
+    /// Retries that this host's share allows in the window.
     pub allowed: f64,
     /// Hosts that share the budget.
     pub hosts: usize,
@@ -47,60 +47,63 @@
 
 #[derive(Debug, Default)]
 struct ServiceWindow {
-    /// Start of a slice, its requests and its repeated sends.
-    slices: VecDeque<(Moment, u32, u32)>,
-    /// Calls under way that count as repeated sends if they are refused.
+    /// Start of each bucket, its requests and its retries.
+    buckets: VecDeque<(Moment, u32, u32)>,
+    /// Calls in progress that count as retries if they are refused.
     reserved: u32,
-    /// When such a call was refused last.
+    /// When such a call was last refused.
     refused_at: Option<Moment>,
 }
 
 impl ServiceWindow {
-    fn slice(&mut self, now: Moment, terms: &BudgetSettings) -> &mut (Moment, u32, u32) {
-        while self.slices.front().is_some_and(|slice| now.since(slice.0) > terms.window) {
-            self.slices.pop_front();
+    fn bucket(&mut self, now: Moment, settings: &BudgetSettings) -> &mut (Moment, u32, u32) {
+        while self.buckets.front().is_some_and(|bucket| now.since(bucket.0) > settings.window) {
+            self.buckets.pop_front();
         }
-        let fresh =
-            self.slices.back().is_none_or(|slice| now.since(slice.0) > terms.window / SLICES);
-        if fresh {
-            self.slices.push_back((now, 0, 0));
+        let needs_bucket = self
+            .buckets
+            .back()
+            .is_none_or(|bucket| now.since(bucket.0) > settings.window / WINDOW_BUCKETS);
+        if needs_bucket {
+            self.buckets.push_back((now, 0, 0));
         }
-        let last = self.slices.len() - 1;
-        &mut self.slices[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 
-    fn sums(&self) -> (u32, u32) {
-        self.slices.iter().fold((0, 0), |sums, slice| (sums.0 + slice.1, sums.1 + slice.2))
+    fn totals(&self) -> (u32, u32) {
+        self.buckets
+            .iter()
+            .fold((0, 0), |totals, bucket| (totals.0 + bucket.1, totals.1 + bucket.2))
     }
 }
 
-/// The budgets of all services.
+/// The retry budgets of all services.
 #[derive(Clone, Debug)]
 pub struct RetryBudgets {
-    terms: BudgetSettings,
+    settings: BudgetSettings,
     clock: HostClock,
-    /// The hosts that share the budgets: where a fleet is cut in two, each half counts itself alone and
-    /// both spend, so the largest count stands for a while.
-    hosts: Arc<Mutex<FleetSize>>,
+    /// The hosts that share the budgets. In a network partition each side counts only its own hosts
+    /// while both sides spend, so the largest recent count applies for a while.
+    host_counts: Arc<Mutex<FleetSize>>,
     windows: Arc<Mutex<HashMap<Name, ServiceWindow>>>,
 }
 
 impl RetryBudgets {
-    /// Empty budgets.
-    pub fn new(terms: BudgetSettings, clock: HostClock) -> Self {
-        Self { terms, clock, hosts: Arc::default(), windows: Arc::default() }
+    /// Creates empty budgets.
+    pub fn new(settings: BudgetSettings, clock: HostClock) -> Self {
+        Self { settings, clock, host_counts: Arc::default(), windows: Arc::default() }
     }
 
-    /// Takes the number of hosts that share the budget; a smaller one than before counts only after
-    /// a while.
+    /// Sets the number of hosts that share the budget; a decrease takes effect only after a while.
     pub fn set_host_count(&self, hosts: usize) {
-        let mut count = self.hosts.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut count = self.host_counts.lock().unwrap_or_else(PoisonError::into_inner);
         count.record(hosts.max(1), self.clock.now());
     }
 
-    fn hosts(&self) -> usize {
-        let count = self.hosts.lock().unwrap_or_else(PoisonError::into_inner);
-        count.largest(self.clock.now()).unwrap_or(ASSUMED_HOSTS)
+    fn host_count(&self) -> usize {
+        let count = self.host_counts.lock().unwrap_or_else(PoisonError::into_inner);
+        count.largest(self.clock.now()).unwrap_or(DEFAULT_HOST_COUNT)
     }
 
     fn with_window<T>(&self, service: &Name, run: impl FnOnce(&mut ServiceWindow) -> T) -> T {
@@ -108,64 +111,65 @@
         run(windows.entry(Name::clone(service)).or_default())
     }
 
-    /// Notes a request of a caller.
+    /// Records a client request.
     pub fn record_request(&self, service: &Name) {
-        self.with_window(service, |window| window.slice(self.clock.now(), &self.terms).1 += 1);
+        self.with_window(service, |window| window.bucket(self.clock.now(), &self.settings).1 += 1);
     }
 
-    /// What the window holds now and what it allows this host.
+    /// Current use of a service's budget, and what it allows this host.
     pub fn usage(&self, service: &Name) -> BudgetUsage {
-        self.with_window(service, |window| self.read_window(window))
+        self.with_window(service, |window| self.window_usage(window))
     }
 
-    fn read_window(&self, window: &mut ServiceWindow) -> BudgetUsage {
-        window.slice(self.clock.now(), &self.terms);
-        let (requests, retries) = window.sums();
-        let hosts = self.hosts();
-        let own_part = self.terms.ratio * f64::from(requests);
+    fn window_usage(&self, window: &mut ServiceWindow) -> BudgetUsage {
+        window.bucket(self.clock.now(), &self.settings);
+        let (requests, retries) = window.totals();
+        let hosts = self.host_count();
+        let ratio_share = self.settings.ratio * f64::from(requests);
         #[expect(clippy::cast_precision_loss, reason = "hosts are counted in hundreds")]
-        let shared_part = self.terms.extra / hosts as f64;
-        let allowed = SPENT_PART * (own_part + shared_part);
+        let extra_share = self.settings.extra / hosts as f64;
+        let allowed = SPEND_FRACTION * (ratio_share + extra_share);
         BudgetUsage { requests, retries, allowed, hosts }
     }
 
-    /// Takes a repeated send for a call that counts as one only if it is refused; give it back when
-    /// it was taken up.
+    /// Reserves a retry for a call that counts as one only if it is refused; release it if the call
+    /// is accepted.
     ///
-    /// `None` when this host's part cannot bear the call. What is kept back for windows that begin
-    /// elsewhere may be set aside for such calls, since few of them are refused; once one was
-    /// refused within the window, only what is spent otherwise, too.
+    /// `None` if this host's share does not cover the call. Reservations may also use the margin
+    /// that is kept for windows of other hosts, since few such calls are refused. Once one was
+    /// refused within the window, they may only use what other retries may.
     pub(crate) fn reserve(&self, service: &Name) -> Option<RetryReservation> {
-        let bears = self.with_window(service, |window| {
-            let reading = self.read_window(window);
-            let refused =
-                window.refused_at.is_some_and(|at| self.clock.since(at) < self.terms.window);
-            let part = if refused { reading.allowed } else { reading.allowed / SPENT_PART };
-            // A small part shall not rule such calls out: one at a time, until one is refused.
-            let first = !refused && window.reserved == 0;
-            let bears = first || f64::from(reading.retries + window.reserved) + 1.0 <= part;
-            window.reserved += u32::from(bears);
-            bears
+        let is_allowed = self.with_window(service, |window| {
+            let usage = self.window_usage(window);
+            let was_refused =
+                window.refused_at.is_some_and(|at| self.clock.since(at) < self.settings.window);
+            let limit = if was_refused { usage.allowed } else { usage.allowed / SPEND_FRACTION };
+            // One call at a time is always allowed until one is refused, so that a small share does
+            // not rule them out.
+            let is_first = !was_refused && window.reserved == 0;
+            let is_allowed = is_first || f64::from(usage.retries + window.reserved) + 1.0 <= limit;
+            window.reserved += u32::from(is_allowed);
+            is_allowed
         });
         let service = Name::clone(service);
-        bears.then(|| RetryReservation { budgets: self.clone(), service, is_settled: false })
+        is_allowed.then(|| RetryReservation { budgets: self.clone(), service, is_settled: false })
     }
 
-    /// Takes one repeated send from the budget, if this host's part has one left.
+    /// Withdraws one retry from the budget, if this host's share has one left.
     #[must_use]
     pub fn try_withdraw(&self, service: &Name) -> bool {
         self.with_window(service, |window| {
-            let reading = self.read_window(window);
-            if f64::from(reading.retries + window.reserved) + 1.0 > reading.allowed {
+            let usage = self.window_usage(window);
+            if f64::from(usage.retries + window.reserved) + 1.0 > usage.allowed {
                 return false;
             }
-            window.slice(self.clock.now(), &self.terms).2 += 1;
+            window.bucket(self.clock.now(), &self.settings).2 += 1;
             true
         })
     }
 }
 
-/// A repeated send that is set aside for a call; one whose end never becomes known stays counted.
+/// A retry reserved for a call; it counts as spent if the call's outcome never becomes known.
 #[derive(Debug)]
 pub(crate) struct RetryReservation {
     budgets: RetryBudgets,
@@ -174,13 +178,13 @@
 }
 
 impl RetryReservation {
-    /// The call was taken up, or never sent, and does not count.
+    /// The call was accepted, or never sent, and does not count as a retry.
     pub(crate) fn release(mut self) {
         self.budgets.with_window(&self.service, |window| window.reserved -= 1);
         self.is_settled = true;
     }
 
-    /// The call was refused.
+    /// The call was refused and counts as a retry.
     pub(crate) fn record_refusal(self) {
         let now = self.budgets.clock.now();
         self.budgets.with_window(&self.service, |window| window.refused_at = Some(now));
@@ -192,10 +196,10 @@
         if self.is_settled {
             return;
         }
-        let (terms, now) = (&self.budgets.terms, self.budgets.clock.now());
+        let (settings, now) = (&self.budgets.settings, self.budgets.clock.now());
         self.budgets.with_window(&self.service, |window| {
             window.reserved -= 1;
-            window.slice(now, terms).2 += 1;
+            window.bucket(now, settings).2 += 1;
         });
     }
 }
--- a/crates/dillspool_forward/src/scheduled.rs
+++ b/crates/dillspool_forward/src/scheduled.rs
@@ -1,4 +1,5 @@
-//! Where one host decides on the calls of a service for all: its decision, or this host's knowledge against it.
+//! Calls of services whose calls one host schedules for all: follows its decision, unless this
+//! host's own knowledge overrides it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,71 +17,71 @@
 use crate::trace::{log_call_overruled, log_call_queued, log_call_rejected};
 use crate::tried::TriedBackends;
 
-/// Decisions that may be overruled for one send before this host chooses by itself: its directory and that of the
-/// deciding host then have little in common.
-const MOST_OVERRULED: usize = 8;
+/// Number of decisions that may be overridden for one attempt before this host picks by itself; the
+/// two hosts' directories then have little in common.
+const MAX_OVERRIDES: usize = 8;
 
-/// Where a send goes.
+/// Where an attempt is sent.
 pub(crate) enum ScheduleOutcome {
     /// To this backend server.
     Send(Arc<BackendEntry>, SendPermit),
     /// Nowhere.
     Reject {
         cause: RejectCause,
-        /// When the caller may come back.
+        /// When the client may retry.
         retry_after: Duration,
     },
-    /// Wherever this host sends it: each host decides by itself.
+    /// To a backend server that this host picks by itself.
     Local,
 }
 
-/// Why a decision is not followed.
+/// Why a decision is overridden.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Overruled {
-    /// The backend server takes no new requests, or another start of it runs.
+enum OverrideCause {
+    /// The backend server accepts no new requests, or another instance of it runs.
     Gone,
-    /// What it takes is spent, or it wants nothing for now.
-    Closed,
-    /// The decision is old.
+    /// The backend server's limit is exhausted, or it asked this host to back off.
+    Blocked,
+    /// The decision is too old.
     Stale,
 }
 
-impl Overruled {
+impl OverrideCause {
     fn name(self) -> &'static str {
         match self {
             Self::Gone => "gone",
-            Self::Closed => "closed",
+            Self::Blocked => "closed",
             Self::Stale => "stale",
         }
     }
 }
 
-/// Asks where a call goes that was sent to `tried` already, until its caller's time is over.
+/// Schedules an attempt of a call that was already sent to `tried`, until the request's deadline.
 pub(crate) async fn choose_scheduled(
     context: &ForwardContext,
     request: &RoutedRequest,
     tried: &TriedBackends,
     ticket: &mut CallTicket,
 ) -> ScheduleOutcome {
-    let asking = ask_until_followed(context, request, tried, ticket);
-    let choice = request.clock.timeout_at(request.deadline, asking).await;
-    choice.unwrap_or(ScheduleOutcome::Reject {
+    let scheduling = schedule_call(context, request, tried, ticket);
+    let outcome = request.clock.timeout_at(request.deadline, scheduling).await;
+    outcome.unwrap_or(ScheduleOutcome::Reject {
         cause: RejectCause::NoCapacity,
         retry_after: Duration::ZERO,
     })
 }
 
-async fn ask_until_followed(
+async fn schedule_call(
     context: &ForwardContext,
     request: &RoutedRequest,
     tried: &TriedBackends,
     ticket: &mut CallTicket,
 ) -> ScheduleOutcome {
     let mut gone = Vec::new();
-    let mut closed = 0;
-    for _decision in 0..MOST_OVERRULED {
-        let question = call_request(context, request, tried, &gone);
-        let decision = ticket.ask(&question).await;
+    let mut blocked = 0;
+    for _decision in 0..MAX_OVERRIDES {
+        let call = call_request(context, request, tried, &gone);
+        let decision = ticket.ask(&call).await;
         if let Some(decision) = &decision
             && let Some(waited) = ticket.queued_for()
         {
@@ -89,7 +90,7 @@
         let backend = match decision {
             Some(CallDecision::Send { backend }) => backend,
             Some(CallDecision::Reject { cause: RejectCause::NoServer, .. })
-                if knows_another(context, request, &question.excluded) =>
+                if knows_other_backend(context, request, &call.excluded) =>
             {
                 log_call_overruled(request, "", "no_server");
                 return ScheduleOutcome::Local;
@@ -100,58 +101,66 @@
                 continue;
             }
             Some(CallDecision::Reject { cause, retry_after }) => {
-                log_call_rejected(request, &question, cause, retry_after);
+                log_call_rejected(request, &call, cause, retry_after);
                 return ScheduleOutcome::Reject { cause, retry_after };
             }
             Some(CallDecision::Wait) | None => return ScheduleOutcome::Local,
         };
-        match follow(context, request, ticket, &backend).await {
+        match follow_decision(context, request, ticket, &backend).await {
             Ok((entry, permit)) => return ScheduleOutcome::Send(entry, permit),
-            Err(why) => {
-                log_call_overruled(request, &backend.id, why.name());
+            Err(cause) => {
+                log_call_overruled(request, &backend.id, cause.name());
                 ticket.end(CallOutcome::Abandoned, Duration::ZERO);
-                match why {
-                    Overruled::Gone => gone.push(backend.id),
-                    Overruled::Closed => closed += 1,
-                    Overruled::Stale => {}
+                match cause {
+                    OverrideCause::Gone => gone.push(backend.id),
+                    OverrideCause::Blocked => blocked += 1,
+                    OverrideCause::Stale => {}
                 }
             }
         }
-        if closed >= MAX_BLOCKED_BACKENDS {
+        if blocked >= MAX_BLOCKED_BACKENDS {
             break;
         }
     }
     ScheduleOutcome::Local
 }
 
-/// Follows a decision unless this host knows better.
-async fn follow(
+/// Follows a decision unless this host knows that it cannot be.
+async fn follow_decision(
     context: &ForwardContext,
     request: &RoutedRequest,
     ticket: &CallTicket,
     backend: &BackendInstance,
-) -> Result<(Arc<BackendEntry>, SendPermit), Overruled> {
-    let entry = known_entry(context, backend).ok_or(Overruled::Gone)?;
-    let permit =
-        acquire_permit(context, request, &entry, REQUEST_COST).await.ok_or(Overruled::Closed)?;
-    // The permit may have been waited for, or this process stopped.
+) -> Result<(Arc<BackendEntry>, SendPermit), OverrideCause> {
+    let entry = eligible_entry(context, backend).ok_or(OverrideCause::Gone)?;
+    let permit = acquire_permit(context, request, &entry, REQUEST_COST)
+        .await
+        .ok_or(OverrideCause::Blocked)?;
+    // The host may have waited for the permit, or the process may have been suspended.
     if !ticket.is_fresh() {
         permit.refund();
-        return Err(Overruled::Stale);
+        return Err(OverrideCause::Stale);
     }
     Ok((entry, permit))
 }
 
-/// A start of a backend server, if it takes new requests as far as this host knows.
-fn known_entry(context: &ForwardContext, backend: &BackendInstance) -> Option<Arc<BackendEntry>> {
+/// The entry of a backend server, if that instance accepts new requests as far as this host knows.
+fn eligible_entry(
+    context: &ForwardContext,
+    backend: &BackendInstance,
+) -> Option<Arc<BackendEntry>> {
     let view = context.view();
     let entry = view.entries.get(&backend.id).filter(|entry| view.accepts_requests(entry))?;
     (!BackendStart::are_different(entry.start, backend.start)).then(|| Arc::clone(entry))
 }
 
-/// Whether this host knows a backend server for a request beside these: the deciding host may have lost its
-/// directory.
-fn knows_another(context: &ForwardContext, request: &RoutedRequest, excluded: &[Name]) -> bool {
+/// Whether this host knows a backend server for the request besides the excluded ones; the
+/// scheduling host may have lost its directory.
+fn knows_other_backend(
+    context: &ForwardContext,
+    request: &RoutedRequest,
+    excluded: &[Name],
+) -> bool {
     context.view().ready(&request.service).any(|entry| !excluded.contains(&entry.id))
 }
 
@@ -162,8 +171,8 @@
     gone: &[BackendId],
 ) -> CallRequest {
     let mut excluded = tried.ids(&context.view());
-    let others = gone.iter().cloned().chain(blocked_backends(context, request));
-    for id in others {
+    let unavailable = gone.iter().cloned().chain(blocked_backends(context, request));
+    for id in unavailable {
         if !excluded.contains(&id) {
             excluded.push(id);
         }
--- a/crates/dillspool_forward/src/tried.rs
+++ b/crates/dillspool_forward/src/tried.rs
@@ -1,8 +1,9 @@
-//! The backend servers that one request has tried.
+//! The backend servers that one request was sent to.
 
 use dillspool_routing::{BackendEntry, BackendId, BackendInstance, BackendStart, DirectoryView};
 
-/// Backend servers that a request is not sent to again. One that has started again since counts as another.
+/// Backend servers that a request is not sent to again. After a restart a backend server counts as
+/// another one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TriedBackends {
     tried: Vec<BackendInstance>,
@@ -24,7 +25,7 @@
         self.tried.iter().filter(same).any(|it| !BackendStart::are_different(it.start, entry.start))
     }
 
-    /// Their ids, as far as they are still those that were tried.
+    /// The ids of those that have not restarted since.
     pub(crate) fn ids(&self, view: &DirectoryView) -> Vec<BackendId> {
         let is_tried = |tried: &&BackendInstance| {
             view.entries.get(&tried.id).is_none_or(|entry| self.contains(entry))
--- a/crates/dillspool_forward/src/workspace_limit.rs
+++ b/crates/dillspool_forward/src/workspace_limit.rs
@@ -1,7 +1,8 @@
-//! Whether a workspace's limit has room for a request.
+//! Enforces the rate limit of a request's workspace.
 //!
-//! Load pattern: a workspace that sends many times its usual. What is beyond its limit is refused at
-//! once, before it takes a place at any engine or in any line, and is told when its limit has room.
+//! Load pattern: a workspace sends many times its usual load. Requests beyond its limit are refused
+//! at once, before they occupy an engine or a queue, with the time at which the limit has room
+//! again.
 
 use std::time::Duration;
 
@@ -13,17 +14,19 @@
 use crate::context::ForwardContext;
 use crate::refusal::{Refusal, RefusalCause};
 
-/// Part of its objective for which a request waits for the host that counts its limit. Another one
-/// takes over within some hundred milliseconds, and the other half is left for the answer itself.
-const HOLDER_WAIT_PART: f64 = 0.5;
-/// When to come back if nobody could be asked.
-const UNKNOWN_RETRY: Duration = Duration::from_millis(500);
+/// Fraction of its objective for which a request waits for the limit holder. If the holder fails,
+/// another takes over within some hundred milliseconds; the other half of the objective is left for
+/// the response.
+const HOLDER_WAIT_FRACTION: f64 = 0.5;
+/// Retry delay if no holder could be reached.
+const UNKNOWN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Spends a request's amount of its workspace's limit; `None` where there is no limit.
+/// Spends a request's amount of its workspace's limit; `None` if there is no limit.
 ///
 /// # Errors
 ///
-/// A refusal of a request that has not run and will not.
+/// A refusal, if the limit has no room or its holder cannot be reached. The request was not run and
+/// will not be.
 pub(crate) async fn spend_workspace_limit(
     context: &ForwardContext,
     request: &RoutedRequest,
@@ -35,12 +38,12 @@
         rate: LimitRate { per_s: limit.per_s, burst: limit.burst },
         version: RateVersion::Config(request.config_version),
         amount: limit.amount(request.generation.as_ref()),
-        // One workspace's requests take turns as they come.
+        // Requests of one workspace are served in order of arrival.
         priority: 0,
         unreported: 0.0,
     };
-    let patience = request.route.objective.mul_f64(HOLDER_WAIT_PART).min(request.remaining());
-    match context.limits.spend(&spend, patience).await {
+    let max_wait = request.route.objective.mul_f64(HOLDER_WAIT_FRACTION).min(request.remaining());
+    match context.limits.spend(&spend, max_wait).await {
         Some(SpendDecision::Allowed) => Ok(Some(context.limits.spent(&spend))),
         Some(SpendDecision::Refused { come_back }) => {
             log::info!(
@@ -55,6 +58,6 @@
             );
             Err(Refusal::with_retry_after(RefusalCause::OverLimit, come_back))
         }
-        None => Err(Refusal::with_retry_after(RefusalCause::LimitUnknown, UNKNOWN_RETRY)),
+        None => Err(Refusal::with_retry_after(RefusalCause::LimitUnknown, UNKNOWN_RETRY_AFTER)),
     }
 }
