--- a/crates/dillspool_forward/tests/rests.rs
+++ b/crates/dillspool_forward/tests/backoff.rs
@@ -1,4 +1,5 @@
-//! Backend servers that have asked this host for rest get nothing from it, and callers are told when to come back.
+//! Backend servers that asked this host to back off receive nothing from it, and clients are told
+//! when to retry.
 
 mod common;
 
@@ -10,17 +11,17 @@
 use dillspool_throttle::{BackoffNotice, RateNotice};
 use hyper::header::RETRY_AFTER;
 
-const REST: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 
-/// A backend server says in an answer that it wants nothing for a while.
-fn ask_rest(context: &ForwardContext, id: &str, rest: Duration) {
+/// A backend server asks in a response not to be sent requests for a while.
+fn ask_to_back_off(context: &ForwardContext, id: &str, backoff: Duration) {
     let backend = BackendInstance { id: id.into(), start: None };
     let sent = context.throttle.record_send(backend);
-    sent.record_response(RateNotice::Unlimited, BackoffNotice::For(rest));
+    sent.record_response(RateNotice::Unlimited, BackoffNotice::For(backoff));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_asks_for_rest_during_the_prefill_is_sent_nothing() {
+async fn an_engine_that_asks_to_back_off_during_the_prefill_is_sent_nothing() {
     let site = ScriptedSite::default();
     for decode in ["decode-1", "decode-2"] {
         site.script(decode, [Step::Stream(vec![ONE])]);
@@ -35,7 +36,7 @@
         (record.holds[0].0.clone(), record.prefills[0].clone())
     };
     for engine in [&held, &reader] {
-        ask_rest(&context, engine, REST);
+        ask_to_back_off(&context, engine, BACKOFF);
     }
     assert_eq!(answering.await.unwrap().status().as_u16(), 200);
     context.tasks.close();
@@ -50,11 +51,11 @@
 struct RefusalCase {
     name: &'static str,
     kind: RequestKind,
-    /// Rests that were asked for, by backend server, in milliseconds.
-    rests: &'static [(&'static str, u64)],
+    /// Requested back-off times by backend server, in milliseconds.
+    backoffs: &'static [(&'static str, u64)],
     status: u16,
-    /// Earliest and latest time to come back, in milliseconds.
-    come_back: Option<(u64, u64)>,
+    /// Minimum and maximum retry delay, in milliseconds.
+    retry_after: Option<(u64, u64)>,
 }
 
 /// The objective of all requests here is 300 ms.
@@ -62,42 +63,42 @@
     RefusalCase {
         name: "one of two",
         kind: RequestKind::NonIdempotent,
-        rests: &[("first", 3_000)],
+        backoffs: &[("first", 3_000)],
         status: 200,
-        come_back: None,
+        retry_after: None,
     },
     RefusalCase {
-        name: "both, for long",
+        name: "both, for a long time",
         kind: RequestKind::NonIdempotent,
-        rests: &[("first", 3_000), ("second", 20_000)],
+        backoffs: &[("first", 3_000), ("second", 20_000)],
         status: 503,
-        come_back: Some((90, 270)),
+        retry_after: Some((90, 270)),
     },
     RefusalCase {
-        name: "both, a repeatable call",
+        name: "both, an idempotent call",
         kind: RequestKind::Idempotent,
-        rests: &[("first", 3_000), ("second", 3_000)],
+        backoffs: &[("first", 3_000), ("second", 3_000)],
         status: 503,
-        come_back: Some((90, 270)),
+        retry_after: Some((90, 270)),
     },
     RefusalCase {
         name: "both, a stream of a plain service",
         kind: RequestKind::Streaming,
-        rests: &[("first", 3_000), ("second", 3_000)],
+        backoffs: &[("first", 3_000), ("second", 3_000)],
         status: 503,
-        come_back: Some((90, 270)),
+        retry_after: Some((90, 270)),
     },
     RefusalCase {
-        name: "one for so short that it is waited for",
+        name: "one for a short time that is waited for",
         kind: RequestKind::NonIdempotent,
-        rests: &[("first", 100), ("second", 3_000)],
+        backoffs: &[("first", 100), ("second", 3_000)],
         status: 200,
-        come_back: None,
+        retry_after: None,
     },
 ];
 
 #[tokio::test(start_paused = true)]
-async fn a_request_whose_backend_servers_rest_is_refused_at_once() {
+async fn a_request_whose_backend_servers_all_back_off_is_refused_at_once() {
     for case in &CASES {
         let site = ScriptedSite::default();
         if case.kind == RequestKind::Streaming {
@@ -107,8 +108,8 @@
         }
         let (context, _directory) =
             site.context(view([entry("first", "near", None), entry("second", "far", None)]));
-        for (id, rest_ms) in case.rests {
-            ask_rest(&context, id, Duration::from_millis(*rest_ms));
+        for (id, backoff_ms) in case.backoffs {
+            ask_to_back_off(&context, id, Duration::from_millis(*backoff_ms));
         }
         let asked = tokio::time::Instant::now();
         let answer = handle_request(context.clone(), request(case.kind, 2, false)).await;
@@ -116,13 +117,14 @@
         assert!(asked.elapsed() < Duration::from_millis(150), "{}", case.name);
         let seconds = answer.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
         let seconds = seconds.map(|seconds| seconds.parse::<f64>().expect("a number"));
-        assert_eq!(seconds.is_some(), case.come_back.is_some(), "{}", case.name);
-        if let (Some(seconds), Some((earliest, latest))) = (seconds, case.come_back) {
-            let come_back = Duration::from_secs_f64(seconds);
+        assert_eq!(seconds.is_some(), case.retry_after.is_some(), "{}", case.name);
+        if let (Some(seconds), Some((earliest, latest))) = (seconds, case.retry_after) {
+            let retry_after = Duration::from_secs_f64(seconds);
             let within = Duration::from_millis(earliest)..=Duration::from_millis(latest);
-            assert!(within.contains(&come_back), "{}: {come_back:?}", case.name);
+            assert!(within.contains(&retry_after), "{}: {retry_after:?}", case.name);
         }
-        let longest = case.rests.iter().map(|(_id, rest_ms)| *rest_ms).max().unwrap_or_default();
+        let longest =
+            case.backoffs.iter().map(|(_id, backoff_ms)| *backoff_ms).max().unwrap_or_default();
         tokio::time::sleep(Duration::from_millis(longest)).await;
         let later = handle_request(context, request(case.kind, 2, false)).await;
         assert_eq!(later.status().as_u16(), 200, "{}: later", case.name);
--- a/crates/dillspool_forward/tests/plain.rs
+++ b/crates/dillspool_forward/tests/plain.rs
@@ -1,4 +1,4 @@
-//! Plain requests: what is sent again, what the caller is told.
+//! Plain requests: which attempts are retried, and what the client receives.
 
 mod common;
 
@@ -14,7 +14,7 @@
     name: &'static str,
     kind: RequestKind,
     max_attempts: u32,
-    /// What the first backend server asked does; the second always answers.
+    /// What the first backend server does; the second always answers.
     first: Step,
     status: u16,
     /// Requests that reached a backend server.
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_failure_of_a_backend_server_has_its_answer() {
+async fn each_failure_of_a_backend_server_has_its_response() {
     let case = |name, kind, max_attempts, first, status, arrivals, retry_after| PlainCase {
         name,
         kind,
@@ -35,20 +35,28 @@
     };
     let cases = [
         case("answered", NonIdempotent, 1, Step::Answer(200, "ok"), 200, 1, false),
-        case("own failure, unrepeatable", NonIdempotent, 2, Step::Answer(500, "no"), 500, 1, false),
-        case("own failure, repeatable", Idempotent, 2, Step::Answer(500, "no"), 200, 2, false),
-        case("own failure, one attempt", Idempotent, 1, Step::Answer(500, "no"), 500, 1, false),
-        case("a caller's failure", Idempotent, 2, Step::Answer(404, "no"), 404, 1, false),
+        case(
+            "server error, not idempotent",
+            NonIdempotent,
+            2,
+            Step::Answer(500, "no"),
+            500,
+            1,
+            false,
+        ),
+        case("server error, idempotent", Idempotent, 2, Step::Answer(500, "no"), 200, 2, false),
+        case("server error, one attempt", Idempotent, 1, Step::Answer(500, "no"), 500, 1, false),
+        case("client error", Idempotent, 2, Step::Answer(404, "no"), 404, 1, false),
         case("not run, one attempt", NonIdempotent, 1, Step::NotRun(503), 503, 1, true),
         case("not run, two attempts", NonIdempotent, 2, Step::NotRun(503), 200, 2, false),
         case("another server's address", NonIdempotent, 1, Step::NotRun(421), 503, 1, true),
         case("unreachable", NonIdempotent, 1, Step::Unreachable, 200, 1, false),
-        case("lost, unrepeatable", NonIdempotent, 2, Step::Lost, 502, 1, false),
-        case("lost, repeatable", Idempotent, 2, Step::Lost, 200, 2, false),
-        case("silent, unrepeatable", NonIdempotent, 2, Step::Silent, 504, 1, false),
-        case("silent, repeatable", Idempotent, 2, Step::Silent, 200, 2, false),
-        case("no seal, unrepeatable", NonIdempotent, 2, Step::Unsealed(200), 502, 1, false),
-        case("no seal, repeatable", Idempotent, 2, Step::Unsealed(200), 200, 2, false),
+        case("lost, not idempotent", NonIdempotent, 2, Step::Lost, 502, 1, false),
+        case("lost, idempotent", Idempotent, 2, Step::Lost, 200, 2, false),
+        case("no response, not idempotent", NonIdempotent, 2, Step::Silent, 504, 1, false),
+        case("no response, idempotent", Idempotent, 2, Step::Silent, 200, 2, false),
+        case("no seal, not idempotent", NonIdempotent, 2, Step::Unsealed(200), 502, 1, false),
+        case("no seal, idempotent", Idempotent, 2, Step::Unsealed(200), 200, 2, false),
         case("a refusal without proof", NonIdempotent, 2, Step::Unsealed(503), 502, 1, false),
         case(
             "a sealed refusal without proof",
@@ -59,14 +67,14 @@
             1,
             false,
         ),
-        case("another request's answer", NonIdempotent, 2, Step::OtherRequest, 502, 1, false),
-        case("an encoded answer", NonIdempotent, 2, Step::Encoded, 502, 1, false),
-        case("cut short, unrepeatable", NonIdempotent, 2, Step::Broken(vec!["o"]), 502, 1, false),
-        case("cut short, repeatable", Idempotent, 2, Step::Broken(vec!["o"]), 200, 2, false),
+        case("another request's response", NonIdempotent, 2, Step::OtherRequest, 502, 1, false),
+        case("an encoded response", NonIdempotent, 2, Step::Encoded, 502, 1, false),
+        case("truncated, not idempotent", NonIdempotent, 2, Step::Broken(vec!["o"]), 502, 1, false),
+        case("truncated, idempotent", Idempotent, 2, Step::Broken(vec!["o"]), 200, 2, false),
     ];
     for case in cases {
         let site = ScriptedSite::default();
-        // The near one costs less, so it is asked first.
+        // The near one costs less, so it is picked first.
         site.script("first", [case.first.clone()]);
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
@@ -78,14 +86,14 @@
         let arrivals = site.record.lock().unwrap().arrivals.len();
         assert_eq!(arrivals, case.arrivals, "{}", case.name);
         if answer.status().is_success() {
-            let body = read_response_body(answer.into_body(), 100).await.expect("a whole body");
+            let body = read_response_body(answer.into_body(), 100).await.expect("a complete body");
             assert_eq!(&body[..], b"ok", "{}", case.name);
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_time_budget_is_what_remains() {
+async fn the_time_budget_is_the_remaining_time() {
     let site = ScriptedSite::default();
     site.script("first", [Step::Silent]);
     let backends = [entry("first", "near", None), entry("second", "far", None)];
@@ -111,29 +119,29 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn repeated_sends_end_with_the_budget() {
+async fn retries_end_with_the_budget() {
     let site = ScriptedSite::default();
     site.script("first", [Step::Answer(500, "no")]);
     site.script("second", [Step::Answer(500, "no")]);
     let backends = [entry("first", "near", None), entry("second", "far", None)];
     let (mut context, _directory) = site.context(view(backends));
-    let terms = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
-    context.budgets = RetryBudgets::new(terms, HostClock::steady());
+    let settings = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
+    context.budgets = RetryBudgets::new(settings, HostClock::steady());
     context.budgets.set_host_count(8);
     for _request in 0..100 {
         let _answer = handle_request(context.clone(), request(Idempotent, 2, false)).await;
     }
-    let extras = site.record.lock().unwrap().arrivals.len() - 100;
-    // At most the ratio and this host's part of what is beyond it; most of that is spent.
-    assert!((10..=21).contains(&extras), "{extras}");
+    let retries = site.record.lock().unwrap().arrivals.len() - 100;
+    // At most the ratio and this host's share of the extra retries, of which most are spent.
+    assert!((10..=21).contains(&retries), "{retries}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leaving_backend_server_gets_nothing() {
+async fn a_draining_backend_server_receives_nothing() {
     let site = ScriptedSite::default();
-    let mut leaving = entry("first", "near", None);
-    leaving.state = dillspool_routing::BackendState::Draining;
-    let (context, _directory) = site.context(view([leaving]));
+    let mut draining = entry("first", "near", None);
+    draining.state = dillspool_routing::BackendState::Draining;
+    let (context, _directory) = site.context(view([draining]));
     let answer = handle_request(context, request(NonIdempotent, 1, false)).await;
     assert_eq!(answer.status().as_u16(), 503);
     assert!(site.record.lock().unwrap().arrivals.is_empty());
--- a/crates/dillspool_forward/tests/decided.rs
+++ b/crates/dillspool_forward/tests/scheduled_calls.rs
@@ -1,5 +1,5 @@
-//! Calls of a plain service on which one host decides: every way out frees their places, and what this host knows
-//! goes before the decision.
+//! Calls of a plain service that one host schedules: every outcome frees their slots, and the
+//! knowledge of the forwarding host overrides a decision.
 
 mod common;
 
@@ -41,13 +41,13 @@
     RoutingConfig { version: 1, routes: RouteTable::default(), services, workspaces: None, limits }
 }
 
-/// A server with two slots, which takes some calls more at a time.
-fn small(id: &str, domain: &str) -> BackendEntry {
+/// A server with two slots, which accepts some more calls at a time.
+fn two_slot_server(id: &str, domain: &str) -> BackendEntry {
     BackendEntry { slots: Some(2), start: Some(BackendStart(1)), ..entry(id, domain, None) }
 }
 
-/// A host that decides by its own desk, and what the desk knows.
-struct DecidingHost {
+/// A host that schedules its own calls, and the directory of its scheduler.
+struct SchedulingHost {
     context: ForwardContext,
     desk: CallDesk,
     desk_view: watch::Sender<Arc<DirectoryView>>,
@@ -55,13 +55,13 @@
     _config: watch::Sender<Option<Arc<RoutingConfig>>>,
 }
 
-impl DecidingHost {
+impl SchedulingHost {
     async fn start(site: &ScriptedSite, known: DirectoryView, slots_per_host: f64) -> Self {
-        Self::start_by(site, known, slots_per_host, HostClock::steady()).await
+        Self::start_with_clock(site, known, slots_per_host, HostClock::steady()).await
     }
 
-    /// A host whose decisions grow old by a clock.
-    async fn start_by(
+    /// A host whose decisions age by the given clock.
+    async fn start_with_clock(
         site: &ScriptedSite,
         known: DirectoryView,
         slots_per_host: f64,
@@ -78,25 +78,25 @@
         Self { context, desk, desk_view, directory, _config: config_sender }
     }
 
-    /// Calls that may be in flight at once.
+    /// Limit of calls in flight.
     fn limit(&self) -> usize {
-        let readings = self.desk.read();
-        let servers = readings.iter().flat_map(|(_service, reading)| &reading.servers);
+        let snapshots = self.desk.read();
+        let servers = snapshots.iter().flat_map(|(_service, snapshot)| &snapshot.servers);
         servers.map(|server| server.limit as usize).sum()
     }
 
-    /// Calls that wait or are in flight.
-    fn held(&self) -> usize {
-        let readings = self.desk.read();
-        let count = readings.iter().map(|(_service, reading)| {
-            let in_flight: u32 = reading.servers.iter().map(|server| server.in_flight).sum();
-            reading.waiting + in_flight as usize
+    /// Calls that are queued or in flight.
+    fn held_calls(&self) -> usize {
+        let snapshots = self.desk.read();
+        let count = snapshots.iter().map(|(_service, snapshot)| {
+            let in_flight: u32 = snapshot.servers.iter().map(|server| server.in_flight).sum();
+            snapshot.waiting + in_flight as usize
         });
         count.sum()
     }
 }
 
-struct PathCase {
+struct OutcomeCase {
     name: &'static str,
     kind: RequestKind,
     max_attempts: u32,
@@ -108,10 +108,11 @@
     retry_after: bool,
 }
 
-/// The same answers as those of each host by itself: what may be sent again is not the deciding host's to say.
+/// The responses are the same as without scheduling: whether a call is retried is not up to the
+/// scheduling host.
 #[tokio::test(start_paused = true)]
-async fn each_way_out_frees_the_place() {
-    let case = |name, kind, max_attempts, first, status, arrivals, retry_after| PathCase {
+async fn each_outcome_frees_the_slot() {
+    let case = |name, kind, max_attempts, first, status, arrivals, retry_after| OutcomeCase {
         name,
         kind,
         max_attempts,
@@ -122,45 +123,53 @@
     };
     let cases = [
         case("answered", NonIdempotent, 1, Step::Answer(200, "ok"), 200, 1, false),
-        case("own failure, unrepeatable", NonIdempotent, 2, Step::Answer(500, "no"), 500, 1, false),
-        case("own failure, repeatable", Idempotent, 2, Step::Answer(500, "no"), 200, 2, false),
-        case("own failure, one attempt", Idempotent, 1, Step::Answer(500, "no"), 500, 1, false),
-        case("a caller's failure", Idempotent, 2, Step::Answer(404, "no"), 404, 1, false),
+        case(
+            "server error, not idempotent",
+            NonIdempotent,
+            2,
+            Step::Answer(500, "no"),
+            500,
+            1,
+            false,
+        ),
+        case("server error, idempotent", Idempotent, 2, Step::Answer(500, "no"), 200, 2, false),
+        case("server error, one attempt", Idempotent, 1, Step::Answer(500, "no"), 500, 1, false),
+        case("client error", Idempotent, 2, Step::Answer(404, "no"), 404, 1, false),
         case("not run, one attempt", NonIdempotent, 1, Step::NotRun(503), 503, 1, true),
         case("not run, two attempts", NonIdempotent, 2, Step::NotRun(503), 200, 2, false),
         case("unreachable", NonIdempotent, 1, Step::Unreachable, 200, 1, false),
-        case("lost, unrepeatable", NonIdempotent, 2, Step::Lost, 502, 1, false),
-        case("lost, repeatable", Idempotent, 2, Step::Lost, 200, 2, false),
-        case("silent, unrepeatable", NonIdempotent, 2, Step::Silent, 504, 1, false),
-        case("silent, repeatable", Idempotent, 2, Step::Silent, 200, 2, false),
-        case("cut short, unrepeatable", NonIdempotent, 2, Step::Broken(vec!["o"]), 502, 1, false),
-        case("cut short, repeatable", Idempotent, 2, Step::Broken(vec!["o"]), 200, 2, false),
+        case("lost, not idempotent", NonIdempotent, 2, Step::Lost, 502, 1, false),
+        case("lost, idempotent", Idempotent, 2, Step::Lost, 200, 2, false),
+        case("no response, not idempotent", NonIdempotent, 2, Step::Silent, 504, 1, false),
+        case("no response, idempotent", Idempotent, 2, Step::Silent, 200, 2, false),
+        case("truncated, not idempotent", NonIdempotent, 2, Step::Broken(vec!["o"]), 502, 1, false),
+        case("truncated, idempotent", Idempotent, 2, Step::Broken(vec!["o"]), 200, 2, false),
     ];
-    // Off; on, where the service has slots enough for three hosts; and on, where it has not.
-    for (slots_per_host, is_decided) in [(0.0, false), (1.0, false), (10.0, true)] {
+    // Scheduling off; on, for a service with enough slots for three hosts; and on, for one without.
+    for (slots_per_host, is_scheduled) in [(0.0, false), (1.0, false), (10.0, true)] {
         for case in &cases {
             let name = format!("{} at {slots_per_host} slots a host", case.name);
             let site = ScriptedSite::default();
             site.script("first", [case.first.clone()]);
-            let known = view([small("first", "near"), small("second", "far")]);
-            let host = DecidingHost::start(&site, known, slots_per_host).await;
-            assert_eq!(host.desk.is_scheduled("service"), is_decided, "{name}");
+            let known = view([two_slot_server("first", "near"), two_slot_server("second", "far")]);
+            let host = SchedulingHost::start(&site, known, slots_per_host).await;
+            assert_eq!(host.desk.is_scheduled("service"), is_scheduled, "{name}");
             let routed = request(case.kind, case.max_attempts, false);
             let answer = handle_request(host.context.clone(), routed).await;
             assert_eq!(answer.status().as_u16(), case.status, "{name}");
             assert_eq!(answer.headers().contains_key(RETRY_AFTER), case.retry_after, "{name}");
             let record = site.record.lock().unwrap();
             assert_eq!(record.arrivals.len(), case.arrivals, "{name}");
-            assert_eq!(host.held(), 0, "{name}: a place stays taken");
-            assert_eq!(host.desk.read().is_empty(), !is_decided, "{name}: a queue without a use");
+            assert_eq!(host.held_calls(), 0, "{name}: a slot stays taken");
+            assert_eq!(host.desk.read().is_empty(), !is_scheduled, "{name}: an unused queue");
         }
     }
 }
 
-/// The deciding host learns how calls ended: one connection that cannot be made blocks a server, as do two calls
-/// without an answer.
+/// The scheduling host is told how calls end: one failed connection opens a server's circuit
+/// breaker, as do two calls without a response.
 #[tokio::test(start_paused = true)]
-async fn the_deciding_host_learns_how_calls_end() {
+async fn the_scheduling_host_is_told_how_calls_end() {
     let cases = [
         (Step::Answer(200, "ok"), 2, false),
         (Step::Answer(500, "no"), 2, false),
@@ -172,24 +181,25 @@
     for (step, calls, expected) in cases {
         let site = ScriptedSite::default();
         site.script("first", [step.clone()]);
-        let host = DecidingHost::start(&site, view([small("first", "near")]), 10.0).await;
+        let host =
+            SchedulingHost::start(&site, view([two_slot_server("first", "near")]), 10.0).await;
         for _call in 0..calls {
             let routed = request(NonIdempotent, 1, false);
             let _answer = handle_request(host.context.clone(), routed).await;
         }
-        let (_service, reading) = host.desk.read().pop().expect("a queue");
-        assert_eq!(reading.servers[0].is_circuit_open, expected, "{step:?} {calls} times");
+        let (_service, snapshot) = host.desk.read().pop().expect("a queue");
+        assert_eq!(snapshot.servers[0].is_circuit_open, expected, "{step:?} {calls} times");
     }
 }
 
-/// A caller that leaves while its call runs frees the place, and one that leaves while it waits leaves the queue.
+/// A client that disconnects frees the slot of a running call and the queue entry of a waiting one.
 #[tokio::test(start_paused = true)]
-async fn callers_that_leave_hold_nothing() {
+async fn disconnected_clients_hold_no_slots() {
     let site = ScriptedSite::default();
     site.script("first", [Step::Silent]);
-    let host = DecidingHost::start(&site, view([small("first", "near")]), 10.0).await;
-    let mut callers: Vec<_> = (0..8)
-        .map(|_caller| {
+    let host = SchedulingHost::start(&site, view([two_slot_server("first", "near")]), 10.0).await;
+    let mut clients: Vec<_> = (0..8)
+        .map(|_client| {
             let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
             tokio::spawn(answer)
         })
@@ -197,64 +207,64 @@
     tokio::time::sleep(Duration::from_millis(10)).await;
     let (sent, limit) = (site.record.lock().unwrap().arrivals.len(), host.limit());
     assert!((2..8).contains(&limit), "{limit}");
-    assert_eq!((sent, host.held()), (limit, 8));
-    while let Some(caller) = callers.pop() {
-        caller.abort();
-        let _aborted = caller.await;
-        assert_eq!(host.held(), callers.len());
+    assert_eq!((sent, host.held_calls()), (limit, 8));
+    while let Some(client) = clients.pop() {
+        client.abort();
+        let _aborted = client.await;
+        assert_eq!(host.held_calls(), clients.len());
     }
-    // The last waiting calls left first, so nothing was sent in their stead.
+    // The calls that waited last were dropped first, so none was sent in their place.
     assert_eq!(site.record.lock().unwrap().arrivals.len(), limit);
 }
 
-/// Calls without hope of a place are refused before their time is over, and say when to come back.
+/// Calls that cannot get a slot in time are refused before their deadline, with a retry delay.
 #[tokio::test(start_paused = true)]
-async fn calls_without_room_are_refused_and_not_sent() {
+async fn calls_beyond_capacity_are_refused_and_not_sent() {
     let site = ScriptedSite::default();
     site.script("first", [Step::Silent]);
-    let host = DecidingHost::start(&site, view([small("first", "near")]), 10.0).await;
+    let host = SchedulingHost::start(&site, view([two_slot_server("first", "near")]), 10.0).await;
     let began = Instant::now();
     let calls = 20;
-    let callers = (0..calls).map(|_caller| async {
+    let clients = (0..calls).map(|_client| async {
         let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
-        let invites = answer.headers().contains_key(RETRY_AFTER);
+        let has_retry_after = answer.headers().contains_key(RETRY_AFTER);
         let (status, took) = (answer.status().as_u16(), began.elapsed());
-        let body = read_response_body(answer.into_body(), 100).await.expect("a whole body");
-        (status, String::from_utf8_lossy(&body).into_owned(), invites, took)
+        let body = read_response_body(answer.into_body(), 100).await.expect("a complete body");
+        (status, String::from_utf8_lossy(&body).into_owned(), has_retry_after, took)
     });
-    // Calls without an answer lower the limit later.
+    // Calls without a response lower the limit later.
     let limit = async {
         tokio::time::sleep(Duration::from_millis(1)).await;
         host.limit()
     };
-    let callers = futures_util::future::join_all(callers);
-    let (answers, limit) = futures_util::future::join(callers, limit).await;
+    let clients = futures_util::future::join_all(clients);
+    let (answers, limit) = futures_util::future::join(clients, limit).await;
     let sent = site.record.lock().unwrap().arrivals.len();
     let refused: Vec<_> = answers.iter().filter(|(status, ..)| *status == 503).collect();
     assert!((2..8).contains(&limit), "{limit}");
     assert_eq!((sent, refused.len()), (limit, calls - limit), "{answers:?}");
     let causes: BTreeSet<_> = refused.iter().map(|(_, cause, _, _)| cause.as_str()).collect();
     assert_eq!(causes, BTreeSet::from(["no_room"]));
-    // Three seconds are the callers' own time.
-    let held_up = refused
-        .iter()
-        .filter(|(_, _, invites, took)| !invites || *took >= Duration::from_millis(2_900));
-    assert_eq!(held_up.count(), 0, "{answers:?}");
-    assert_eq!(host.held(), 0);
+    // The clients' own timeout is three seconds.
+    let delayed = refused.iter().filter(|(_, _, has_retry_after, took)| {
+        !has_retry_after || *took >= Duration::from_millis(2_900)
+    });
+    assert_eq!(delayed.count(), 0, "{answers:?}");
+    assert_eq!(host.held_calls(), 0);
 }
 
-/// What differs between this host and the one that decides.
+/// What differs between this host's directory and that of the scheduling host.
 struct KnowledgeCase {
     name: &'static str,
-    /// What the deciding host knows beside both servers being ready.
-    decider: fn(&mut DirectoryView),
-    /// The same of this host.
+    /// Changes the directory of the scheduling host, in which both servers are ready.
+    scheduler: fn(&mut DirectoryView),
+    /// Changes the directory of this host.
     own: fn(&mut DirectoryView),
-    /// Servers that want nothing from this host.
-    resting: &'static [&'static str],
+    /// Servers that asked this host to back off.
+    backing_off: &'static [&'static str],
     status: u16,
-    /// Where the call arrives.
-    arrives_at: &'static [&'static str],
+    /// The backend servers that the call reaches.
+    reaches: &'static [&'static str],
 }
 
 fn change(known: &mut DirectoryView, id: &str, change: impl Fn(&mut BackendEntry)) {
@@ -265,92 +275,92 @@
 
 const KNOWLEDGE: [KnowledgeCase; 9] = [
     KnowledgeCase {
-        name: "this host knows that a server leaves",
-        decider: |_known| {},
+        name: "this host knows that a server is draining",
+        scheduler: |_known| {},
         own: |known| change(known, "first", |entry| entry.state = BackendState::Draining),
-        resting: &[],
+        backing_off: &[],
         status: 200,
-        arrives_at: &["second"],
+        reaches: &["second"],
     },
     KnowledgeCase {
         name: "this host knows that a server is gone",
-        decider: |_known| {},
+        scheduler: |_known| {},
         own: |known| drop(known.entries.remove("first")),
-        resting: &[],
+        backing_off: &[],
         status: 200,
-        arrives_at: &["second"],
+        reaches: &["second"],
     },
     KnowledgeCase {
-        name: "this host knows another start of a server",
-        decider: |_known| {},
+        name: "this host knows that a server restarted",
+        scheduler: |_known| {},
         own: |known| change(known, "first", |entry| entry.start = Some(BackendStart(2))),
-        resting: &[],
+        backing_off: &[],
         status: 200,
-        arrives_at: &["second"],
+        reaches: &["second"],
     },
     KnowledgeCase {
         name: "this host knows that a failure domain is drained",
-        decider: |_known| {},
+        scheduler: |_known| {},
         own: |known| known.drained_domains.extend(["near".into()]),
-        resting: &[],
+        backing_off: &[],
         status: 200,
-        arrives_at: &["second"],
+        reaches: &["second"],
     },
     KnowledgeCase {
         name: "this host knows that all servers are gone",
-        decider: |_known| {},
+        scheduler: |_known| {},
         own: |known| known.entries.clear(),
-        resting: &[],
+        backing_off: &[],
         status: 503,
-        arrives_at: &[],
+        reaches: &[],
     },
     KnowledgeCase {
-        name: "a server wants nothing from this host",
-        decider: |_known| {},
+        name: "a server asked this host to back off",
+        scheduler: |_known| {},
         own: |_known| {},
-        resting: &["first"],
+        backing_off: &["first"],
         status: 200,
-        arrives_at: &["second"],
+        reaches: &["second"],
     },
     KnowledgeCase {
-        name: "no server wants anything from this host",
-        decider: |_known| {},
+        name: "all servers asked this host to back off",
+        scheduler: |_known| {},
         own: |_known| {},
-        resting: &["first", "second"],
+        backing_off: &["first", "second"],
         status: 503,
-        arrives_at: &[],
+        reaches: &[],
     },
     KnowledgeCase {
-        name: "the deciding host has lost its directory",
-        decider: |known| known.entries.clear(),
+        name: "the scheduling host has lost its directory",
+        scheduler: |known| known.entries.clear(),
         own: |known| drop(known.entries.remove("second")),
-        resting: &[],
+        backing_off: &[],
         status: 200,
-        arrives_at: &["first"],
+        reaches: &["first"],
     },
     KnowledgeCase {
         name: "there is no server",
-        decider: |known| known.entries.clear(),
+        scheduler: |known| known.entries.clear(),
         own: |known| known.entries.clear(),
-        resting: &[],
+        backing_off: &[],
         status: 503,
-        arrives_at: &[],
+        reaches: &[],
     },
 ];
 
 #[tokio::test(start_paused = true)]
-async fn what_this_host_knows_goes_before_a_decision() {
+async fn local_knowledge_overrides_a_decision() {
     for case in &KNOWLEDGE {
         let site = ScriptedSite::default();
-        let known = view([small("first", "near"), small("second", "far")]);
-        let host = DecidingHost::start(&site, known.clone(), 10.0).await;
-        let (mut decider, mut own) = (known.clone(), known);
-        (case.decider)(&mut decider);
+        let known = view([two_slot_server("first", "near"), two_slot_server("second", "far")]);
+        let host = SchedulingHost::start(&site, known.clone(), 10.0).await;
+        let (mut scheduler, mut own) = (known.clone(), known);
+        (case.scheduler)(&mut scheduler);
         (case.own)(&mut own);
-        host.desk_view.send_replace(Arc::new(decider));
+        host.desk_view.send_replace(Arc::new(scheduler));
         host.directory.send_replace(Arc::new(own));
         tokio::time::sleep(Duration::from_millis(5)).await;
-        for id in case.resting {
+        for id in case.backing_off {
             let backend = BackendInstance { id: (*id).into(), start: Some(BackendStart(1)) };
             let sent = host.context.throttle.record_send(backend);
             sent.record_response(RateNotice::Unlimited, BackoffNotice::For(Duration::from_secs(3)));
@@ -359,60 +369,60 @@
         let asked = Instant::now();
         let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
         assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
-        assert!(asked.elapsed() < Duration::from_millis(50), "{}: held up", case.name);
+        assert!(asked.elapsed() < Duration::from_millis(50), "{}: delayed", case.name);
         if case.status == 503 {
             assert!(answer.headers().contains_key(RETRY_AFTER), "{}", case.name);
         }
         let record = site.record.lock().unwrap();
         let arrived: Vec<_> = record.arrivals.iter().map(|it| it.backend.as_str()).collect();
-        assert_eq!(arrived, case.arrives_at, "{}", case.name);
-        assert_eq!(host.held(), 0, "{}", case.name);
+        assert_eq!(arrived, case.reaches, "{}", case.name);
+        assert_eq!(host.held_calls(), 0, "{}", case.name);
     }
 }
 
-/// Every send beyond the first is taken from the retry budget.
+/// Every attempt after the first is withdrawn from the retry budget.
 #[tokio::test(start_paused = true)]
-async fn repeated_sends_end_with_the_budget() {
+async fn retries_end_with_the_budget() {
     let site = ScriptedSite::default();
     site.script("first", [Step::Answer(500, "no")]);
     site.script("second", [Step::Answer(500, "no")]);
-    let known = view([small("first", "near"), small("second", "far")]);
-    let mut host = DecidingHost::start(&site, known, 10.0).await;
-    let terms = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
-    host.context.budgets = RetryBudgets::new(terms, HostClock::steady());
+    let known = view([two_slot_server("first", "near"), two_slot_server("second", "far")]);
+    let mut host = SchedulingHost::start(&site, known, 10.0).await;
+    let settings = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
+    host.context.budgets = RetryBudgets::new(settings, HostClock::steady());
     host.context.budgets.set_host_count(8);
     for _request in 0..100 {
         let routed = request(Idempotent, 2, false);
         let _answer = handle_request(host.context.clone(), routed).await;
     }
-    let extras = site.record.lock().unwrap().arrivals.len() - 100;
-    assert!((10..=21).contains(&extras), "{extras}");
-    assert_eq!(host.held(), 0);
+    let retries = site.record.lock().unwrap().arrivals.len() - 100;
+    assert!((10..=21).contains(&retries), "{retries}");
+    assert_eq!(host.held_calls(), 0);
 }
 
-/// A host that is stopped before each decision can be followed chooses by itself: the decisions are old, and their
-/// places are given back.
+/// A host that is suspended before it can follow a decision picks by itself, since the decisions
+/// are too old; their slots are freed.
 #[tokio::test(start_paused = true)]
-async fn decisions_that_are_old_are_not_followed() {
-    for (stop_ms, held) in [(1, 1), (81, 0)] {
+async fn stale_decisions_are_not_followed() {
+    for (suspended_ms, held) in [(1, 1), (81, 0)] {
         let site = ScriptedSite::default();
         site.script("first", [Step::Silent]);
         let (steady, reads) = (HostClock::steady(), AtomicU32::new(0));
-        let is_stopped = Arc::new(AtomicBool::new(false));
-        let stopping = Arc::clone(&is_stopped);
-        // Each read of the clock is so much later than the one before.
+        let is_suspended = Arc::new(AtomicBool::new(false));
+        let suspended = Arc::clone(&is_suspended);
+        // Each read of the clock is later than the previous one by this time.
         let clock = HostClock::from_fn(move || {
-            let reads = reads.fetch_add(u32::from(stopping.load(Relaxed)), Relaxed);
-            steady.now() + Duration::from_millis(stop_ms) * reads
+            let reads = reads.fetch_add(u32::from(suspended.load(Relaxed)), Relaxed);
+            steady.now() + Duration::from_millis(suspended_ms) * reads
         });
-        let known = view([small("first", "near")]);
-        let host = DecidingHost::start_by(&site, known, 10.0, clock).await;
-        is_stopped.store(true, Relaxed);
+        let known = view([two_slot_server("first", "near")]);
+        let host = SchedulingHost::start_with_clock(&site, known, 10.0, clock).await;
+        is_suspended.store(true, Relaxed);
         let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
-        let caller = tokio::spawn(answer);
+        let client = tokio::spawn(answer);
         tokio::time::sleep(Duration::from_millis(1)).await;
-        assert_eq!(site.record.lock().unwrap().arrivals.len(), 1, "{stop_ms} ms");
-        assert_eq!(host.held(), held, "{stop_ms} ms");
-        caller.abort();
+        assert_eq!(site.record.lock().unwrap().arrivals.len(), 1, "{suspended_ms} ms");
+        assert_eq!(host.held_calls(), held, "{suspended_ms} ms");
+        client.abort();
     }
 }
--- a/crates/dillspool_forward/tests/suspects.rs
+++ b/crates/dillspool_forward/tests/suspects.rs
@@ -1,4 +1,5 @@
-//! Runs that broke off: whether the backend server ended, and what follows for the next copy.
+//! Requests whose connection broke: whether the backend server crashed, and how further copies are
+//! handled.
 
 mod common;
 
@@ -17,23 +18,23 @@
 const BEFORE: Option<BackendStart> = Some(BackendStart(1));
 const AFTER: Option<BackendStart> = Some(BackendStart(2));
 
-/// What the directory shows of the backend server some time after the break.
+/// What the directory shows of the backend server some time after the failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Later {
+enum AfterFailure {
     Same,
     Gone,
     Restarted,
     Draining,
 }
 
-struct BreakCase {
+struct FailureCase {
     name: &'static str,
     step: Step,
-    /// Whether a connection is refused after the break; `None` where nobody answers.
+    /// Whether connections are refused after the failure; `None` if there is no response.
     refuses: Option<bool>,
-    /// What the directory shows before the break, and three seconds after it.
+    /// State in the directory before the failure, and what it shows three seconds after it.
     known: BackendState,
-    later: Later,
+    after_failure: AfterFailure,
     decision: SuspectDecision,
 }
 
@@ -41,60 +42,74 @@
 
 const WATCHED: SuspectDecision = SuspectDecision::Watched { ends: 1 };
 
-fn cases() -> Vec<BreakCase> {
+fn cases() -> Vec<FailureCase> {
     let lost = || Step::Lost;
-    let case = |name, step, refuses, known, later, decision| BreakCase {
+    let case = |name, step, refuses, known, after_failure, decision| FailureCase {
         name,
         step,
         refuses,
         known,
-        later,
+        after_failure,
         decision,
     };
     vec![
-        case("it refuses connections", lost(), Some(true), Ready, Later::Same, WATCHED),
-        case("its stream breaks", Step::Broken(vec![ONE]), Some(true), Ready, Later::Same, WATCHED),
-        case("it lives on", lost(), Some(false), Ready, Later::Same, SuspectDecision::Clear),
+        case("it refuses connections", lost(), Some(true), Ready, AfterFailure::Same, WATCHED),
         case(
-            "it takes connections and starts again",
+            "its stream breaks",
+            Step::Broken(vec![ONE]),
+            Some(true),
+            Ready,
+            AfterFailure::Same,
+            WATCHED,
+        ),
+        case(
+            "it keeps running",
+            lost(),
+            Some(false),
+            Ready,
+            AfterFailure::Same,
+            SuspectDecision::Clear,
+        ),
+        case(
+            "it accepts connections and restarts",
             lost(),
             Some(false),
             Ready,
-            Later::Restarted,
+            AfterFailure::Restarted,
             WATCHED,
         ),
         case(
-            "it takes connections and leaves",
+            "it accepts connections and is removed",
             lost(),
             Some(false),
             Ready,
-            Later::Gone,
+            AfterFailure::Gone,
             SuspectDecision::Clear,
         ),
-        case("nobody answers, its row lapses", lost(), None, Ready, Later::Gone, WATCHED),
-        case("nobody answers, another start", lost(), None, Ready, Later::Restarted, WATCHED),
+        case("no response, its row expires", lost(), None, Ready, AfterFailure::Gone, WATCHED),
+        case("no response, it restarts", lost(), None, Ready, AfterFailure::Restarted, WATCHED),
         case(
-            "nobody answers, it is back",
+            "no response, it recovers",
             lost(),
             None,
             Ready,
-            Later::Same,
+            AfterFailure::Same,
             SuspectDecision::Clear,
         ),
         case(
-            "nobody answers, it leaves",
+            "no response, it drains",
             lost(),
             None,
             Ready,
-            Later::Draining,
+            AfterFailure::Draining,
             SuspectDecision::Clear,
         ),
         case(
-            "it was known to leave",
+            "it was known to be draining",
             lost(),
             Some(true),
             Draining,
-            Later::Gone,
+            AfterFailure::Gone,
             SuspectDecision::Clear,
         ),
         case(
@@ -102,15 +117,15 @@
             Step::NotRun(503),
             Some(true),
             Ready,
-            Later::Same,
+            AfterFailure::Same,
             SuspectDecision::Clear,
         ),
         case(
-            "it fails the request",
+            "it responds with an error",
             Step::Answer(500, "failed"),
             Some(true),
             Ready,
-            Later::Same,
+            AfterFailure::Same,
             SuspectDecision::Clear,
         ),
         case(
@@ -118,28 +133,32 @@
             Step::Unreachable,
             Some(true),
             Ready,
-            Later::Same,
+            AfterFailure::Same,
             SuspectDecision::Clear,
         ),
     ]
 }
 
 /// One engine, or one plain backend server.
-fn only(kind: RequestKind, start: Option<BackendStart>, state: BackendState) -> DirectoryView {
+fn single_backend(
+    kind: RequestKind,
+    start: Option<BackendStart>,
+    state: BackendState,
+) -> DirectoryView {
     let part = (kind == RequestKind::Streaming).then_some(EngineStage::Decode);
     view([BackendEntry { start, state, ..entry("one", "near", part) }])
 }
 
-async fn answer(context: &ForwardContext, kind: RequestKind) -> (u16, bool, bool) {
+async fn send(context: &ForwardContext, kind: RequestKind) -> (u16, bool, bool) {
     let response = handle_request(context.clone(), request(kind, 1, false)).await;
-    let (status, invites) =
+    let (status, has_retry_after) =
         (response.status().as_u16(), response.headers().contains_key(RETRY_AFTER));
-    let whole = read_response_body(response.into_body(), 10_000).await.is_ok();
-    (status, invites, whole)
+    let is_complete = read_response_body(response.into_body(), 10_000).await.is_ok();
+    (status, has_retry_after, is_complete)
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_end_stands_against_the_request_only_where_there_was_one() {
+async fn only_a_crash_counts_against_the_request() {
     for kind in [RequestKind::Streaming, RequestKind::NonIdempotent, RequestKind::Idempotent] {
         for case in cases() {
             let name = format!("{kind:?}: {}", case.name);
@@ -150,24 +169,31 @@
                 Some(false) => {}
                 None => site.unclear.lock().unwrap().push("one".to_owned()),
             }
-            let (context, directory) = site.context(only(kind, BEFORE, BackendState::Ready));
+            let (context, directory) =
+                site.context(single_backend(kind, BEFORE, BackendState::Ready));
             tokio::task::yield_now().await;
             let print = request(kind, 1, false).fingerprint;
             let (during, sender) = (context.clone(), directory.clone());
             let known = case.known;
-            // The row changes while the request is under way.
+            // The row changes while the request is in progress.
             site.on_arrival(move || {
                 if known == BackendState::Draining {
-                    sender.send_replace(Arc::new(only(kind, BEFORE, BackendState::Draining)));
+                    sender.send_replace(Arc::new(single_backend(
+                        kind,
+                        BEFORE,
+                        BackendState::Draining,
+                    )));
                 }
             });
-            let _answer = answer(&during, kind).await;
+            let _answer = send(&during, kind).await;
             tokio::time::sleep(Duration::from_secs(3)).await;
-            let shown = match case.later {
-                Later::Same => None,
-                Later::Gone => Some(view([])),
-                Later::Restarted => Some(only(kind, AFTER, BackendState::Ready)),
-                Later::Draining => Some(only(kind, BEFORE, BackendState::Draining)),
+            let shown = match case.after_failure {
+                AfterFailure::Same => None,
+                AfterFailure::Gone => Some(view([])),
+                AfterFailure::Restarted => Some(single_backend(kind, AFTER, BackendState::Ready)),
+                AfterFailure::Draining => {
+                    Some(single_backend(kind, BEFORE, BackendState::Draining))
+                }
             };
             if let Some(shown) = shown {
                 directory.send_replace(Arc::new(shown));
@@ -179,23 +205,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refused_copy_reaches_nobody_and_is_told_so_at_once() {
+async fn a_refused_copy_reaches_no_backend_server_and_is_refused_at_once() {
     for kind in [RequestKind::Streaming, RequestKind::NonIdempotent, RequestKind::Idempotent] {
         let site = ScriptedSite::default();
         site.script("one", [Step::Lost]);
         site.ended.lock().unwrap().push("one".to_owned());
-        let (context, directory) = site.context(only(kind, BEFORE, BackendState::Ready));
+        let (context, directory) = site.context(single_backend(kind, BEFORE, BackendState::Ready));
         for start in 1..=3 {
-            let shown = only(kind, Some(BackendStart(start)), BackendState::Ready);
+            let shown = single_backend(kind, Some(BackendStart(start)), BackendState::Ready);
             directory.send_replace(Arc::new(shown));
             tokio::time::sleep(Duration::from_secs(1)).await;
-            let (status, _invites, _whole) = answer(&context, kind).await;
+            let (status, _has_retry_after, _is_complete) = send(&context, kind).await;
             assert_eq!(status, 502, "{kind:?}");
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
         let before = site.record.lock().unwrap().hold_asks.len();
         let asked = tokio::time::Instant::now();
-        assert_eq!(answer(&context, kind).await, (503, false, true), "{kind:?}");
+        assert_eq!(send(&context, kind).await, (503, false, true), "{kind:?}");
         assert_eq!(asked.elapsed(), Duration::ZERO, "{kind:?}");
         let record = site.record.lock().unwrap();
         assert_eq!((record.arrivals.len(), record.hold_asks.len()), (3, before), "{kind:?}");
@@ -203,19 +229,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_copy_of_a_watched_request_runs_at_a_time_and_a_good_end_clears_it() {
+async fn one_copy_of_a_watched_request_runs_at_a_time_and_a_success_clears_it() {
     let kind = RequestKind::NonIdempotent;
-    // After one end copies run as before: many may ask alike.
+    // After one crash further copies run as before, since many clients may send the same request.
     for (ends, beside) in [(1, (200, false, true)), (2, (503, true, true))] {
         let site = ScriptedSite::default();
         let lost = std::iter::repeat_n(Step::Lost, ends);
         site.script("one", lost.chain([Step::Silent, Step::Answer(200, "ok")]));
-        let (context, directory) = site.context(only(kind, BEFORE, BackendState::Ready));
+        let (context, directory) = site.context(single_backend(kind, BEFORE, BackendState::Ready));
         for start in 0..ends as u64 {
-            let shown = only(kind, Some(BackendStart(start)), BackendState::Ready);
+            let shown = single_backend(kind, Some(BackendStart(start)), BackendState::Ready);
             directory.send_replace(Arc::new(shown));
             site.ended.lock().unwrap().push("one".to_owned());
-            assert_eq!(answer(&context, kind).await.0, 502);
+            assert_eq!(send(&context, kind).await.0, 502);
             tokio::time::sleep(Duration::from_secs(1)).await;
             site.ended.lock().unwrap().clear();
         }
@@ -223,13 +249,13 @@
         assert_eq!(context.suspects.decide(print), SuspectDecision::Watched { ends });
         let running = tokio::spawn({
             let context = context.clone();
-            async move { answer(&context, kind).await }
+            async move { send(&context, kind).await }
         });
         tokio::time::sleep(Duration::from_millis(10)).await;
-        assert_eq!(answer(&context, kind).await, beside, "another copy runs, {ends} ends");
+        assert_eq!(send(&context, kind).await, beside, "another copy runs, {ends} ends");
         running.abort();
         let _aborted = running.await;
-        assert_eq!(answer(&context, kind).await.0, 200, "the other copy is over, {ends} ends");
+        assert_eq!(send(&context, kind).await.0, 200, "the other copy has ended, {ends} ends");
         assert_eq!(context.suspects.decide(print), SuspectDecision::Clear);
     }
 }
--- a/crates/dillspool_forward/tests/throttle.rs
+++ b/crates/dillspool_forward/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Sends to backend servers that name how many requests a second they take.
+//! Requests to backend servers that limit how many they accept per second.
 
 mod common;
 
@@ -20,11 +20,11 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// A rate that leaves room for one request in ten seconds, and for two at once.
-const NEXT_TO_NOTHING: f64 = 0.1;
+/// A rate that allows one request in ten seconds, and a burst of two.
+const MINIMAL_RATE: f64 = 0.1;
 
-/// The backend servers have named a limit in an answer.
-fn name_limits(context: &ForwardContext, ids: &[&str], per_s: f64) {
+/// The backend servers have announced a limit in a response.
+fn announce_limits(context: &ForwardContext, ids: &[&str], per_s: f64) {
     for id in ids {
         let backend = BackendInstance { id: (*id).into(), start: None };
         let rate = RequestRate::new(per_s).expect("a rate");
@@ -40,18 +40,18 @@
     view: fn() -> DirectoryView,
     kind: RequestKind,
     limited: &'static [&'static str],
-    /// Statuses of six requests, one after another, and how many say when to come back.
+    /// Statuses of six requests, one after another, and how many have a retry delay.
     statuses: [u16; 6],
     refused: usize,
-    /// What reached the limited backend servers at most: requests, and prompts to read.
-    most: usize,
+    /// Maximum number of requests and prefills that reach the limited backend servers.
+    max_reached: usize,
 }
 
 fn plain() -> DirectoryView {
     view([entry("first", "near", None), entry("second", "far", None)])
 }
 
-fn readers() -> DirectoryView {
+fn prefill_engines() -> DirectoryView {
     view([
         entry("decode-1", "near", Some(EngineStage::Decode)),
         entry("prefill-1", "near", Some(EngineStage::Prefill)),
@@ -69,25 +69,25 @@
             limited: &["first"],
             statuses: [200; 6],
             refused: 0,
-            most: 2,
+            max_reached: 2,
         },
         ThrottleCase {
-            name: "all plain servers, unrepeatable calls",
+            name: "all plain servers, calls that are not idempotent",
             view: plain,
             kind: NonIdempotent,
             limited: &["first", "second"],
             statuses: [200, 200, 200, 200, 503, 503],
             refused: 2,
-            most: 4,
+            max_reached: 4,
         },
         ThrottleCase {
-            name: "all plain servers, repeatable calls",
+            name: "all plain servers, idempotent calls",
             view: plain,
             kind: Idempotent,
             limited: &["first", "second"],
             statuses: [200, 200, 200, 200, 503, 503],
             refused: 2,
-            most: 4,
+            max_reached: 4,
         },
         ThrottleCase {
             name: "streams of a plain service",
@@ -96,40 +96,40 @@
             limited: &["first", "second"],
             statuses: [200, 200, 200, 200, 503, 503],
             refused: 2,
-            most: 4,
+            max_reached: 4,
         },
         ThrottleCase {
-            name: "an engine that decodes",
+            name: "one decode engine",
             view: pool,
             kind: Streaming,
             limited: &["decode-1"],
             statuses: [200; 6],
             refused: 0,
-            most: 1,
+            max_reached: 1,
         },
         ThrottleCase {
-            name: "all engines that decode",
+            name: "all decode engines",
             view: pool,
             kind: Streaming,
             limited: &["decode-1", "decode-2"],
             statuses: [200, 200, 503, 503, 503, 503],
             refused: 4,
-            most: 2,
+            max_reached: 2,
         },
         ThrottleCase {
-            name: "one engine that prefills",
-            view: readers,
+            name: "one prefill engine",
+            view: prefill_engines,
             kind: Streaming,
             limited: &["prefill-1"],
             statuses: [200; 6],
             refused: 0,
-            most: 2,
+            max_reached: 2,
         },
     ]
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_beyond_goes_to_others_or_is_refused_at_once() {
+async fn requests_beyond_the_limit_go_to_others_or_are_refused_at_once() {
     for case in cases() {
         let site = ScriptedSite::default();
         if case.kind == RequestKind::Streaming {
@@ -139,7 +139,7 @@
         }
         let (context, _directory) = site.context((case.view)());
         tokio::time::sleep(Duration::from_secs(20)).await;
-        name_limits(&context, case.limited, NEXT_TO_NOTHING);
+        announce_limits(&context, case.limited, MINIMAL_RATE);
         let mut refused = 0;
         for status in case.statuses {
             let asked = Instant::now();
@@ -160,16 +160,16 @@
         let arrivals = record.arrivals.iter().map(|arrival| &arrival.backend);
         let reached = arrivals.chain(&record.prefills);
         let limited = reached.filter(|id| case.limited.contains(&id.as_str())).count();
-        assert!(limited <= case.most, "{}: {limited} reached", case.name);
+        assert!(limited <= case.max_reached, "{}: {limited} reached", case.name);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn refused_callers_that_come_when_they_are_told_are_served() {
+async fn refused_clients_that_retry_when_told_are_served() {
     let site = ScriptedSite::default();
     let (context, _directory) = site.context(view([entry("first", "near", None)]));
     tokio::time::sleep(Duration::from_secs(20)).await;
-    name_limits(&context, &["first"], 1.0);
+    announce_limits(&context, &["first"], 1.0);
     let mut served = 0;
     for _turn in 0..5 {
         let routed = request(RequestKind::NonIdempotent, 1, false);
@@ -186,14 +186,14 @@
             None => assert_eq!(answer.status().as_u16(), 200),
         }
     }
-    assert!(served > 0, "nobody was refused, the test shows nothing");
+    assert!(served > 0, "no request was refused, the test checks nothing");
 }
 
 fn peer(host: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, host], 7661))
 }
 
-/// Links host 1 to host 2, which counts what backend servers say they take.
+/// Links host 1 to host 2, the holder of the backend servers' limits.
 async fn link_to_holder(net: &MemoryNet, limits: &LimitClient, cancel: &CancellationToken) {
     let clock = HostClock::steady();
     let desks = ScheduleDesks {
@@ -215,16 +215,16 @@
     tokio::spawn(limits.run_wanted(stack, "host-1".into(), peers, || Some(2), cancel.clone()));
 }
 
-/// A holder that is silent is waited for; not beyond the caller's time.
+/// A holder that does not respond is waited for, but not beyond the request's deadline.
 #[tokio::test(start_paused = true)]
-async fn a_silent_holder_keeps_no_caller_beyond_its_time() {
+async fn an_unresponsive_holder_delays_no_request_beyond_its_deadline() {
     let names = ["first", "second", "third", "fourth"];
     for limit_ms in [20, 60, 3_000] {
         let site = ScriptedSite::default();
         let (context, _directory) = site.context(view(names.map(|id| entry(id, "near", None))));
         let (net, cancel) = (MemoryNet::new(), CancellationToken::new());
         link_to_holder(&net, &context.backend_limits, &cancel).await;
-        name_limits(&context, &names, 1.0);
+        announce_limits(&context, &names, 1.0);
         for id in names {
             context.backend_limits.want(id);
         }
@@ -235,20 +235,20 @@
         let asked = Instant::now();
         let answer = handle_request(context, routed).await;
         let waited = asked.elapsed();
-        let most = Duration::from_millis(limit_ms.min(400) + 1);
-        assert!(waited <= most, "{limit_ms} ms: {} after {waited:?}", answer.status());
+        let max_wait = Duration::from_millis(limit_ms.min(400) + 1);
+        assert!(waited <= max_wait, "{limit_ms} ms: {} after {waited:?}", answer.status());
         cancel.cancel();
     }
 }
 
-/// A limit that leaves room for few requests is not spent by what was never sent.
+/// A request that was never sent does not use up a limit that allows few.
 #[tokio::test(start_paused = true)]
-async fn what_was_not_sent_is_given_back() {
+async fn unsent_requests_are_refunded() {
     let site = ScriptedSite::default();
     site.script("first", [Step::Unreachable, Step::Answer(200, "ok")]);
     let (context, _directory) = site.context(view([entry("first", "near", None)]));
     tokio::time::sleep(Duration::from_secs(20)).await;
-    name_limits(&context, &["first"], NEXT_TO_NOTHING);
+    announce_limits(&context, &["first"], MINIMAL_RATE);
     let first = handle_request(context.clone(), request(RequestKind::NonIdempotent, 1, false));
     assert_eq!(first.await.status().as_u16(), 503);
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -256,12 +256,13 @@
     assert_eq!(second.status().as_u16(), 200);
 }
 
-/// One that names a limit and refuses what is beyond it is not taken for a broken one afterwards.
+/// A backend server that announces a limit and refuses requests beyond it does not count as
+/// failing.
 #[tokio::test(start_paused = true)]
-async fn a_refusal_of_a_limited_backend_server_is_no_failure() {
+async fn a_refusal_by_a_limited_backend_server_is_no_failure() {
     for is_limited in [true, false] {
         let site = ScriptedSite::default();
-        // As long as is assumed of a backend server that has not answered yet.
+        // The latency assumed of a backend server that has not responded yet.
         let answer = Step::Paced(vec![(60, "ok")]);
         let first = vec![Step::NotRun(503); 20].into_iter().chain([answer.clone()]);
         site.script("first", first);
@@ -271,7 +272,7 @@
         let (context, _directory) = site.context(view(entries));
         tokio::time::sleep(Duration::from_secs(20)).await;
         if is_limited {
-            name_limits(&context, &["first"], 1_000.0);
+            announce_limits(&context, &["first"], 1_000.0);
         }
         for _request in 0..400 {
             let routed = request(RequestKind::NonIdempotent, 2, false);
@@ -282,7 +283,8 @@
         let arrivals = Arc::clone(&site.record);
         let arrivals = arrivals.lock().unwrap();
         let first = arrivals.arrivals.iter().filter(|arrival| arrival.backend == "first").count();
-        // Left alone after some failures, asked about as often as the other otherwise.
+        // Without a limit it is avoided after some failures, otherwise it is picked about as often
+        // as the other.
         let asked = if is_limited { 150..=250 } else { 0..=40 };
         assert!(asked.contains(&first), "{is_limited}: asked {first} times");
     }
@@ -291,25 +293,27 @@
 struct WaitCase {
     name: &'static str,
     per_s: f64,
-    /// Requests that come one after another and spend what there is.
+    /// Requests sent one after another that use up the limit.
     before: usize,
-    /// When those that come at once then are served, in ms; the others are refused at once.
+    /// When the requests that then arrive at the same time are served, in ms; the others are
+    /// refused at once.
     served_ms: &'static [u128],
 }
 
-/// One request waits for a server that opens soon enough; those that come meanwhile are refused at once.
+/// One request waits for a server that is unblocked in time; requests that arrive meanwhile are
+/// refused at once.
 #[tokio::test(start_paused = true)]
-async fn one_request_waits_for_a_server_that_opens_in_time() {
+async fn one_request_waits_for_a_server_that_is_unblocked_in_time() {
     let cases = [
-        WaitCase { name: "it opens in time", per_s: 10.0, before: 11, served_ms: &[96] },
-        WaitCase { name: "it opens too late", per_s: 2.0, before: 3, served_ms: &[] },
+        WaitCase { name: "unblocked in time", per_s: 10.0, before: 11, served_ms: &[96] },
+        WaitCase { name: "unblocked too late", per_s: 2.0, before: 3, served_ms: &[] },
         WaitCase { name: "it has room for two", per_s: 10.0, before: 8, served_ms: &[0, 0, 5] },
     ];
     for case in cases {
         let site = ScriptedSite::default();
         let (context, _directory) = site.context(view([entry("first", "near", None)]));
         tokio::time::sleep(Duration::from_secs(20)).await;
-        name_limits(&context, &["first"], case.per_s);
+        announce_limits(&context, &["first"], case.per_s);
         let send = async || {
             let routed = request(RequestKind::NonIdempotent, 1, false);
             handle_request(context.clone(), routed).await.status().as_u16()
