--- a/crates/dillspool_leaving/src/lib.rs
+++ b/crates/dillspool_leaving/src/lib.rs
@@ -1,11 +1,11 @@
-//! Backend servers that say in their answers that they leave.
+//! Backend servers that announce in their answers that they are shutting down.
 //!
-//! The directory's rows say so as well, but not while the store is away. [`LeavingRegistry`] remembers who said it,
-//! without input or output; [`LeavingTracker`] keeps one for a host and logs what is new. See
-//! `docs/design/notices.md`.
+//! Their directory rows say so as well, but not while the store is unavailable. [`LeavingRegistry`]
+//! keeps the announcements without I/O; [`LeavingTracker`] shares one registry within a host and
+//! logs new ones. See `docs/design/notices.md`.
 
-mod book;
-mod desk;
+mod registry;
+mod tracker;
 
-pub use book::{LeavingRegistry, LeavingUpdate};
-pub use desk::LeavingTracker;
+pub use registry::{LeavingRegistry, LeavingUpdate};
+pub use tracker::LeavingTracker;
--- a/crates/dillspool_leaving/src/book.rs
+++ b/crates/dillspool_leaving/src/registry.rs
@@ -1,46 +1,48 @@
-//! Which starts of backend servers have said that they leave.
+//! Instances of backend servers that are shutting down.
 
 use std::collections::{HashMap, VecDeque};
 
 use dillspool_moment::Moment;
 use dillspool_routing::{BackendId, BackendInstance, BackendStart};
 
-/// Starts that are remembered at most; the oldest are forgotten first.
-const MOST_STARTS: usize = 8_192;
+/// Maximum number of instances remembered; the oldest are dropped first.
+const MAX_INSTANCES: usize = 8_192;
 
-/// A backend server has said that it leaves.
+/// A backend server announced that it is shutting down.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeavingUpdate {
-    /// Which start of it.
+    /// The instance that announced it.
     pub backend: BackendInstance,
-    /// When it said so.
+    /// When it was announced.
     pub at: Moment,
 }
 
-/// The starts that have said so. A start never takes it back; the next start of a backend server is another one.
+/// Instances that announced their shutdown. An instance never takes this back; after a restart, the
+/// backend server is another instance.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingRegistry {
     starts: HashMap<BackendId, Vec<Option<BackendStart>>>,
-    /// In the order in which they were noted.
+    /// In the order in which they were recorded.
     order: VecDeque<LeavingUpdate>,
 }
 
 impl LeavingRegistry {
-    /// Notes that a start leaves; whether that is new.
-    pub fn record(&mut self, news: &LeavingUpdate) -> bool {
-        let backend = &news.backend;
+    /// Records that an instance is leaving; returns whether this was new.
+    pub fn record(&mut self, update: &LeavingUpdate) -> bool {
+        let backend = &update.backend;
         if self.is_leaving(backend) {
             return false;
         }
-        if self.order.len() >= MOST_STARTS {
-            self.forget_oldest();
+        if self.order.len() >= MAX_INSTANCES {
+            self.remove_oldest();
         }
         self.starts.entry(BackendId::clone(&backend.id)).or_default().push(backend.start);
-        self.order.push_back(news.clone());
+        self.order.push_back(update.clone());
         true
     }
 
-    /// Whether a start has said that it leaves; one that is not told apart from another counts as the same.
+    /// Whether an instance is leaving. If a start time is unknown, instances with the same ID count
+    /// as one.
     pub fn is_leaving(&self, backend: &BackendInstance) -> bool {
         let starts = self.starts.get(&backend.id);
         starts.is_some_and(|known| {
@@ -48,17 +50,17 @@
         })
     }
 
-    /// The newest `most`, the newest first.
-    pub fn newest(&self, most: usize) -> impl Iterator<Item = &LeavingUpdate> {
-        self.order.iter().rev().take(most)
+    /// The newest `max_updates` announcements, newest first.
+    pub fn newest(&self, max_updates: usize) -> impl Iterator<Item = &LeavingUpdate> {
+        self.order.iter().rev().take(max_updates)
     }
 
-    /// Starts that are remembered.
+    /// Number of instances remembered.
     pub fn count(&self) -> usize {
         self.order.len()
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let Some(LeavingUpdate { backend: oldest, at: _ }) = self.order.pop_front() else { return };
         if let Some(starts) = self.starts.get_mut(&oldest.id) {
             starts.retain(|start| *start != oldest.start);
--- a/crates/dillspool_suspects/src/tracker.rs
+++ b/crates/dillspool_suspects/src/tracker.rs
@@ -133,20 +133,20 @@
         }
     }
 
-    /// The newest `limit` crashes that are held against requests.
-    pub fn newest_updates(&self, limit: usize) -> Vec<SuspectUpdate> {
-        newest(self.state().registry.all_crashes(), limit)
+    /// The newest `max_updates` crashes that are held against requests.
+    pub fn newest_updates(&self, max_updates: usize) -> Vec<SuspectUpdate> {
+        newest(self.state().registry.all_crashes(), max_updates)
     }
 
     /// Like [`Self::newest_updates`], for requests with more than one crash.
-    pub fn newest_repeated(&self, limit: usize) -> Vec<SuspectUpdate> {
+    pub fn newest_repeated(&self, max_updates: usize) -> Vec<SuspectUpdate> {
         let mut crashes = self.state().registry.all_crashes();
         let mut counts: HashMap<RequestFingerprint, usize> = HashMap::new();
         for crash in &crashes {
             *counts.entry(crash.fingerprint).or_default() += 1;
         }
         crashes.retain(|crash| counts.get(&crash.fingerprint).is_some_and(|count| *count > 1));
-        newest(crashes, limit)
+        newest(crashes, max_updates)
     }
 
     /// Removes requests against which no crashes are held any more.
@@ -258,10 +258,10 @@
     }
 }
 
-/// Returns the newest `limit` crashes.
-fn newest(mut crashes: Vec<BackendCrash>, limit: usize) -> Vec<SuspectUpdate> {
+/// Returns the newest `max_updates` crashes.
+fn newest(mut crashes: Vec<BackendCrash>, max_updates: usize) -> Vec<SuspectUpdate> {
     crashes.sort_by_key(|crash| std::cmp::Reverse(crash.at));
-    crashes.into_iter().take(limit).map(SuspectUpdate::Crashed).collect()
+    crashes.into_iter().take(max_updates).map(SuspectUpdate::Crashed).collect()
 }
 
 fn log_decision(fingerprint: RequestFingerprint, decision: SuspectDecision, from: &str) {
