--- a/crates/dillspool_limits/src/bucket.rs
+++ b/crates/dillspool_limits/src/bucket.rs
@@ -1,78 +1,94 @@
-//! One limit: a balance that fills by time and is spent by requests.
+//! Token bucket for one limit.
 
 use std::time::Duration;
 
 use dillspool_moment::Moment;
 
-use crate::claims::ClaimLine;
+use crate::backlog::RefusedBacklog;
 use crate::spend::RateVersion;
 
-/// Longest time to come back that is named: beyond it the callers of a workspace that asks many times
-/// its limit would be told of a time at which others have come first.
-const LONGEST_LINE: Duration = Duration::from_secs(30);
-
-/// Part of a limit that requests get before which more urgent ones go, and how much of it is kept for them.
-const SPARED_PART: f64 = 0.1;
-const MOST_SPARED: f64 = 2.0;
-/// Least time to come back.
-const LEAST_WAIT: Duration = Duration::from_millis(1);
-/// Time whose rate a balance keeps at least: a limit without a burst would else grant nothing.
-const LEAST_KEPT: Duration = Duration::from_millis(20);
-
-/// How much may be spent.
+/// Maximum retry delay that is returned. When clients ask for many times their workspace's limit, a
+/// longer one would be wrong: other requests would have taken the balance by then.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
+
+/// Fraction of a limit that goes to requests even while more urgent ones wait, and the maximum that
+/// is saved up for them.
+const LOW_PRIORITY_FRACTION: f64 = 0.1;
+const MAX_LOW_PRIORITY_RESERVE: f64 = 2.0;
+/// Minimum retry delay that is returned.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(1);
+/// A bucket holds at least what refills in this time; a limit without a burst would otherwise grant
+/// nothing.
+const MIN_CAPACITY_TIME: Duration = Duration::from_millis(20);
+
+/// Rate and burst of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitRate {
-    /// So much a second.
+    /// Refill rate per second.
     pub per_s: f64,
-    /// So much at once beyond that.
+    /// Burst size on top of the refill rate.
     pub burst: f64,
 }
 
-/// How much is charged of what was spent before a limit was known.
+/// How much is charged of what was spent before a limit was known, as time at the full rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct BeforeTerms {
-    /// Time whose worth is not charged.
+pub(crate) struct UnreportedCharge {
+    /// Not charged up to this time's worth.
     pub(crate) free: Duration,
-    /// Time whose worth is charged at most.
-    pub(crate) most: Duration,
+    /// Charged up to this time's worth.
+    pub(crate) max: Duration,
 }
 
-/// Whether an amount may be spent.
+/// Whether an amount may be spent. Log lines print it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SpendDecision {
-    /// It is spent.
+    /// The amount was spent.
     Allowed,
-    /// It is not; the limit has room for it, and for those that were refused before, so much later.
+    /// The amount was not spent; the limit will have room for it and for earlier refused requests
+    /// after `come_back`.
     Refused {
-        /// Time until then.
+        /// Time until a retry can succeed.
         come_back: Duration,
     },
 }
 
-/// A balance under a limit.
+/// Token bucket of one limit.
 #[derive(Clone, Debug)]
-pub(crate) struct LimitBucket {
+pub(crate) struct TokenBucket {
     rate: LimitRate,
-    /// How new the rate is.
+    /// Version of the rate.
     version: RateVersion,
     balance: f64,
-    /// What was spent before the limit was known, as far as its time has not come yet.
-    before: f64,
-    line: ClaimLine,
-    /// What is kept for requests that more urgent ones go before, so that those do not take all.
-    spared: f64,
-    /// Until when the balance is counted.
-    at: Moment,
+    /// Amount spent before the limit was known that has not expired yet.
+    unreported: f64,
+    backlog: RefusedBacklog,
+    /// Balance reserved for requests that more urgent ones would otherwise starve.
+    low_priority_reserve: f64,
+    /// Time up to which the balance has been refilled.
+    updated_at: Moment,
 }
 
-impl LimitBucket {
-    /// A balance that begins to fill at a moment.
-    pub(crate) fn new(rate: LimitRate, version: RateVersion, balance: f64, at: Moment) -> Self {
-        Self { rate, version, balance, before: 0.0, line: ClaimLine::default(), spared: 0.0, at }
+impl TokenBucket {
+    /// Creates a bucket that starts to refill at `updated_at`.
+    pub(crate) fn new(
+        rate: LimitRate,
+        version: RateVersion,
+        balance: f64,
+        updated_at: Moment,
+    ) -> Self {
+        Self {
+            rate,
+            version,
+            balance,
+            unreported: 0.0,
+            backlog: RefusedBacklog::default(),
+            low_priority_reserve: 0.0,
+            updated_at,
+        }
     }
 
-    /// Takes a limit, if it is no older than the one that holds: hosts that hear of changes late
-    /// would else raise it again.
+    /// Sets the rate unless it is older than the current one; otherwise hosts that learn of changes
+    /// late would revert them.
     pub(crate) fn set_rate(&mut self, rate: LimitRate, version: RateVersion) {
         if version >= self.version {
             self.rate = rate;
@@ -80,67 +96,76 @@
         }
     }
 
-    /// Counts up to a moment; `part` of the limit is granted here.
-    pub(crate) fn fill(&mut self, now: Moment, part: f64, headroom: f64) {
-        let passed = now.since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        let gain = passed * self.rate.per_s * part;
-        let least = self.rate.per_s * part * LEAST_KEPT.as_secs_f64();
-        let most = (self.rate.burst * part + headroom).max(least);
-        self.balance = (self.balance + gain).min(most);
-        self.line.pass(gain);
-        self.spared = (self.spared + gain * SPARED_PART).min(MOST_SPARED);
-        self.before = (self.before - gain).max(0.0);
+    /// Refills the bucket up to `now`; `share` is the share of the limit that is granted here.
+    pub(crate) fn refill(&mut self, now: Moment, share: f64, headroom: f64) {
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
+        let refilled = elapsed * self.rate.per_s * share;
+        let min_capacity = self.rate.per_s * share * MIN_CAPACITY_TIME.as_secs_f64();
+        let capacity = (self.rate.burst * share + headroom).max(min_capacity);
+        self.balance = (self.balance + refilled).min(capacity);
+        self.backlog.drain(refilled);
+        self.low_priority_reserve = (self.low_priority_reserve + refilled * LOW_PRIORITY_FRACTION)
+            .min(MAX_LOW_PRIORITY_RESERVE);
+        self.unreported = (self.unreported - refilled).max(0.0);
     }
 
-    /// Charges what was spent before the limit was known, as far as it counts still.
-    pub(crate) fn charge_before(&mut self, amount: f64, terms: &BeforeTerms, part: f64) {
-        let per_s = self.rate.per_s * part;
-        let (free, most) = (terms.free.as_secs_f64() * per_s, terms.most.as_secs_f64() * per_s);
-        let charge = |before: f64| (before - free).clamp(0.0, most);
-        let charged = charge(self.before);
-        self.before += amount;
-        self.balance -= charge(self.before) - charged;
+    /// Charges what was spent before the limit was known, within the given bounds.
+    pub(crate) fn charge_unreported(&mut self, amount: f64, bounds: &UnreportedCharge, share: f64) {
+        let per_s = self.rate.per_s * share;
+        let (free, max) = (bounds.free.as_secs_f64() * per_s, bounds.max.as_secs_f64() * per_s);
+        let charge = |unreported: f64| (unreported - free).clamp(0.0, max);
+        let charged = charge(self.unreported);
+        self.unreported += amount;
+        self.balance -= charge(self.unreported) - charged;
     }
 
-    /// Spends an amount of a rank while the balance is above `least`: the amount itself, or zero where a
-    /// request may run the balance into debt. What more urgent requests were told to come back for is left
-    /// to them.
-    pub(crate) fn spend(&mut self, amount: f64, rank: u32, least: f64, part: f64) -> SpendDecision {
-        let claimed = self.line.before(rank);
-        let is_free = self.balance > claimed && self.balance >= least;
-        let is_spared = !is_free && claimed > 0.0 && self.spared >= amount;
-        if is_free || is_spared {
-            if is_spared {
-                self.spared -= amount;
+    /// Spends an amount of a priority if the balance is at least `min_balance`: the amount itself, or
+    /// zero where a request may overdraw the balance. What more urgent requests were refused and
+    /// told to retry for is left to them.
+    pub(crate) fn spend(
+        &mut self,
+        amount: f64,
+        priority: u32,
+        min_balance: f64,
+        share: f64,
+    ) -> SpendDecision {
+        let amount_ahead = self.backlog.ahead_of(priority);
+        let is_available = self.balance > amount_ahead && self.balance >= min_balance;
+        let uses_reserve =
+            !is_available && amount_ahead > 0.0 && self.low_priority_reserve >= amount;
+        if is_available || uses_reserve {
+            if uses_reserve {
+                self.low_priority_reserve -= amount;
             }
-            if least <= 0.0 {
-                // It is lent what it takes, and the debt says how long others wait for that.
-                self.line.come_back(rank, amount);
+            if min_balance <= 0.0 {
+                // The amount is on credit, and the debt already accounts for the waiting time of
+                // others.
+                self.backlog.remove(priority, amount);
             }
             self.balance -= amount;
             return SpendDecision::Allowed;
         }
-        let per_s = self.rate.per_s * part;
-        let least = least.max(per_s * LEAST_WAIT.as_secs_f64());
-        let missing = (least - self.balance).max(0.0) + self.line.up_to(rank);
+        let per_s = self.rate.per_s * share;
+        let min_balance = min_balance.max(per_s * MIN_RETRY_DELAY.as_secs_f64());
+        let missing = (min_balance - self.balance).max(0.0) + self.backlog.up_to(priority);
         let seconds = if per_s > 0.0 { missing / per_s } else { f64::INFINITY };
-        let longest = LONGEST_LINE.as_secs_f64();
-        if seconds < longest {
-            self.line.add(rank, amount);
+        let max_seconds = MAX_RETRY_DELAY.as_secs_f64();
+        if seconds < max_seconds {
+            self.backlog.add(priority, amount);
         }
-        SpendDecision::Refused { come_back: Duration::from_secs_f64(seconds.min(longest)) }
+        SpendDecision::Refused { come_back: Duration::from_secs_f64(seconds.min(max_seconds)) }
     }
 
-    /// Gives an amount back that was not used after all.
-    pub(crate) fn give_back(&mut self, amount: f64) {
+    /// Refunds an amount that was not used.
+    pub(crate) fn refund(&mut self, amount: f64) {
         self.balance += amount;
     }
 
-    /// Begins again at a moment, with at most so much.
-    pub(crate) fn begin_again(&mut self, most: f64, now: Moment) {
-        self.balance = self.balance.min(most);
-        self.at = self.at.max(now);
+    /// Caps the balance and restarts the refill at `now`.
+    pub(crate) fn reset(&mut self, max_balance: f64, now: Moment) {
+        self.balance = self.balance.min(max_balance);
+        self.updated_at = self.updated_at.max(now);
     }
 
     pub(crate) fn balance(&self) -> f64 {
@@ -151,7 +176,7 @@
         self.rate
     }
 
-    pub(crate) fn at(&self) -> Moment {
-        self.at
+    pub(crate) fn updated_at(&self) -> Moment {
+        self.updated_at
     }
 }
--- a/crates/dillspool_limits/src/holder.rs
+++ b/crates/dillspool_limits/src/holder.rs
@@ -1,165 +1,175 @@
-//! The host that counts limits for all, and a host that has lost it.
+//! The holder, which counts limits for all hosts, and the local quota of a host that has lost it.
 
 use std::time::Duration;
 
 use dillspool_moment::Moment;
 
 use crate::bucket::SpendDecision;
-use crate::fleet::{BACKEND_OWN_TERM, FleetSize};
-use crate::ledger::{KeyedLimiter, LimitStatus, LimiterSettings};
+use crate::fleet_size::{BACKEND_QUOTA_TERM, FleetSize};
+use crate::limiter::{KeyedLimiter, LimitStatus, LimiterSettings};
 use crate::spend::SpendRequest;
 
-/// Time from its first host on for which a holder takes it that as many hosts again ask another one,
-/// where nobody has told it of so many: where all hosts start at once, those that were there first
-/// choose different holders, and look for the best one each two seconds.
-const SETTLES_AFTER: Duration = Duration::from_secs(4);
-/// Part of the limits that it grants until then: two such holders stay within the limit together.
-const AT_START: f64 = 0.5;
+/// Time after its first host joined during which a holder assumes that another holder serves as
+/// many hosts, unless it was told the host count. When all hosts start at once, the early ones
+/// choose different holders, and they look for the best one every two seconds.
+const STARTUP_PERIOD: Duration = Duration::from_secs(4);
+/// Share of the limits that is granted until then; two such holders stay within the limit together.
+const STARTUP_SHARE: f64 = 0.5;
 
-/// Counts limits for the hosts that ask.
+/// Counts limits for the hosts that ask it.
 ///
-/// Any host can be one, and two may be at once: what keeps them within a limit together is that
-/// each grants the part of the hosts it serves, and begins with nothing.
+/// Any host can be the holder, and there may be two at once. They stay within a limit together
+/// because each grants only the share of the hosts that it serves, and starts with an empty
+/// balance.
 #[derive(Clone, Debug)]
 pub struct LimitHolder {
-    ledger: KeyedLimiter,
-    fleet: FleetSize,
-    /// Hosts that ask here; this one is among them only while it asks itself.
-    served: usize,
-    /// When a host asked here for the first time.
+    limiter: KeyedLimiter,
+    fleet_size: FleetSize,
+    /// Hosts that ask this holder; includes its own host only while that asks it.
+    served_hosts: usize,
+    /// When the first host joined.
     first_join: Option<Moment>,
-    /// The most hosts that any host told of.
-    most_told: usize,
+    /// Highest host count that any host reported.
+    max_reported_hosts: usize,
 }
 
 impl LimitHolder {
-    /// A holder of workspaces' limits that serves nobody yet; the site allows `slack` beyond them in a window.
+    /// Creates a holder of workspace limits without any hosts; `slack` is what the site tolerates
+    /// beyond a limit per window.
     pub fn new(slack: f64, now: Moment) -> Self {
-        Self::of_terms(LimiterSettings::holder(slack), now)
+        Self::with_settings(LimiterSettings::holder(slack), now)
     }
 
-    /// A holder of the limits that backend servers name.
+    /// Creates a holder of limits that backend servers announce.
     pub fn for_backend_servers(now: Moment) -> Self {
-        Self::of_terms(LimiterSettings::backend_servers(), now)
+        Self::with_settings(LimiterSettings::holder_for_backend_servers(), now)
     }
 
-    fn of_terms(terms: LimiterSettings, now: Moment) -> Self {
-        let ledger = KeyedLimiter::new(terms, now);
-        Self { ledger, fleet: FleetSize::default(), served: 0, first_join: None, most_told: 0 }
+    fn with_settings(settings: LimiterSettings, now: Moment) -> Self {
+        let limiter = KeyedLimiter::new(settings, now);
+        Self {
+            limiter,
+            fleet_size: FleetSize::default(),
+            served_hosts: 0,
+            first_join: None,
+            max_reported_hosts: 0,
+        }
     }
 
-    /// Notes how many hosts share the limits at least, by the word of others.
+    /// Records a minimum for the number of hosts that share the limits, as reported by others.
     pub fn record_host_count(&mut self, hosts: usize, now: Moment) {
-        self.most_told = self.most_told.max(hosts);
-        self.fleet.record(hosts, now);
+        self.max_reported_hosts = self.max_reported_hosts.max(hosts);
+        self.fleet_size.record(hosts, now);
     }
 
-    /// A host asks here from now on, and knows of so many hosts.
-    pub fn join(&mut self, told: Option<usize>, now: Moment) {
+    /// Adds a host that asks this holder from now on, with the host count that it reports.
+    pub fn join(&mut self, reported_hosts: Option<usize>, now: Moment) {
         let has_served = self.first_join.is_some();
-        if (self.served == 0 && has_served) || (!has_served && told.is_some()) {
-            // Others were asked meanwhile, or before.
-            self.ledger.reset(now);
+        if (self.served_hosts == 0 && has_served) || (!has_served && reported_hosts.is_some()) {
+            // Other holders were asked in the meantime, or before.
+            self.limiter.reset(now);
         }
         self.first_join.get_or_insert(now);
-        self.served += 1;
-        if let Some(told) = told {
-            self.record_host_count(told, now);
+        self.served_hosts += 1;
+        if let Some(reported_hosts) = reported_hosts {
+            self.record_host_count(reported_hosts, now);
         }
-        self.fleet.record(self.served, now);
+        self.fleet_size.record(self.served_hosts, now);
     }
 
-    /// A host asks here no more.
+    /// Removes a host that no longer asks this holder.
     pub fn leave(&mut self, now: Moment) {
-        // The larger count stands for a while.
-        self.fleet.record(self.served, now);
-        self.served = self.served.saturating_sub(1);
+        // The larger count stays in force for a while.
+        self.fleet_size.record(self.served_hosts, now);
+        self.served_hosts = self.served_hosts.saturating_sub(1);
     }
 
-    /// Hosts that share the limits, as far as this one knows; what it tells those that ask here. A
-    /// holder of few would else have each of them take itself for one of few.
+    /// Number of hosts known to share the limits, which is reported to the hosts that ask here. If
+    /// the holder only reported the few that it serves, each would assume a small fleet and take
+    /// too large a local quota.
     pub fn known_hosts(&self, now: Moment) -> usize {
-        self.fleet.largest(now).unwrap_or(self.served).max(self.served)
+        self.fleet_size.largest(now).unwrap_or(self.served_hosts).max(self.served_hosts)
     }
 
     /// Decides on a request.
     pub fn spend(&mut self, request: &SpendRequest, now: Moment) -> SpendDecision {
-        self.fleet.record(self.served, now);
-        self.ledger.spend(request, self.granted_share(now), now)
+        self.fleet_size.record(self.served_hosts, now);
+        self.limiter.spend(request, self.granted_share(now), now)
     }
 
-    /// Takes back what a request did not use.
+    /// Refunds what a request did not use.
     pub fn refund(&mut self, subject: &str, amount: f64) {
-        self.ledger.refund(subject, amount);
+        self.limiter.refund(subject, amount);
     }
 
-    /// How a limit stands.
+    /// Current state of a limit.
     pub fn status(&self, subject: &str) -> Option<LimitStatus> {
-        self.ledger.status(subject)
+        self.limiter.status(subject)
     }
 
-    /// Part of the limits that is granted here now.
+    /// Share of the limits that is granted here now.
     pub fn granted_share(&self, now: Moment) -> f64 {
-        let part = self.fleet.holder_share(self.served, now);
-        if self.is_settled(now) { part } else { part.min(AT_START) }
+        let share = self.fleet_size.holder_share(self.served_hosts, now);
+        if self.is_settled(now) { share } else { share.min(STARTUP_SHARE) }
     }
 
-    /// Whether all hosts ask here that ever will, or are known.
+    /// Whether the startup period is over, or all hosts that are known have joined.
     fn is_settled(&self, now: Moment) -> bool {
-        let starts = self.first_join.is_some_and(|first| now.since(first) < SETTLES_AFTER);
-        !starts || self.served <= self.most_told
+        let is_starting = self.first_join.is_some_and(|first| now.since(first) < STARTUP_PERIOD);
+        !is_starting || self.served_hosts <= self.max_reported_hosts
     }
 }
 
-/// A host's own part of the limits while it has no holder.
+/// The share of the limits that a host may spend while it has no holder.
 #[derive(Clone, Debug)]
 pub struct LocalQuota {
-    ledger: KeyedLimiter,
-    fleet: FleetSize,
-    /// When a holder was heard of last.
-    word: Option<Moment>,
-    /// Time after that for which the parts are spent.
+    limiter: KeyedLimiter,
+    fleet_size: FleetSize,
+    /// When a holder was last heard from.
+    last_heartbeat: Option<Moment>,
+    /// How long after that the quota may be spent.
     term: Duration,
 }
 
 impl LocalQuota {
-    /// Parts of a host that has heard of no holder yet: none.
+    /// Creates an empty quota for a host that has not heard from a holder yet.
     pub fn new(now: Moment) -> Self {
-        Self::of_terms(LimiterSettings::own_part(), FleetSize::LOCAL_QUOTA_TERM, now)
+        Self::with_settings(LimiterSettings::local_quota(), FleetSize::LOCAL_QUOTA_TERM, now)
     }
 
-    /// The same of limits that backend servers name; `phase` is from 0 to 1, another one on each host.
+    /// The same for limits that backend servers announce; `phase` is between 0 and 1 and differs
+    /// per host.
     pub fn for_backend_servers(phase: f64, now: Moment) -> Self {
-        let terms = LimiterSettings::own_part_of_backend_servers(phase);
-        Self::of_terms(terms, BACKEND_OWN_TERM, now)
+        let settings = LimiterSettings::local_quota_for_backend_servers(phase);
+        Self::with_settings(settings, BACKEND_QUOTA_TERM, now)
     }
 
-    fn of_terms(terms: LimiterSettings, term: Duration, now: Moment) -> Self {
-        let ledger = KeyedLimiter::new(terms, now);
-        Self { ledger, fleet: FleetSize::default(), word: None, term }
+    fn with_settings(settings: LimiterSettings, term: Duration, now: Moment) -> Self {
+        let limiter = KeyedLimiter::new(settings, now);
+        Self { limiter, fleet_size: FleetSize::default(), last_heartbeat: None, term }
     }
 
-    /// Notes a holder's word that it counts for this host, and for how many.
+    /// Records a holder's heartbeat, which reports the number of hosts.
     pub fn record_heartbeat(&mut self, hosts: usize, now: Moment) {
         if hosts > 0 {
-            self.fleet.record(hosts, now);
+            self.fleet_size.record(hosts, now);
         }
-        self.word = Some(now);
-        self.ledger.reset(now);
+        self.last_heartbeat = Some(now);
+        self.limiter.reset(now);
     }
 
-    /// Hosts that share the limits, by the word of holders.
+    /// Number of hosts that share the limits, as reported by holders.
     pub fn known_hosts(&self, now: Moment) -> Option<usize> {
-        self.fleet.largest(now)
+        self.fleet_size.largest(now)
     }
 
-    /// Decides on a request without a holder; `None` when there is no part left to decide by.
+    /// Decides on a request without a holder; `None` if there is no quota left.
     pub fn spend(&mut self, request: &SpendRequest, now: Moment) -> Option<SpendDecision> {
-        let silent = now.since(self.word?);
-        if silent > self.term {
+        let silence = now.since(self.last_heartbeat?);
+        if silence > self.term {
             return None;
         }
-        let part = self.fleet.local_share(now)?;
-        Some(self.ledger.spend(request, part, now))
+        let share = self.fleet_size.local_share(now)?;
+        Some(self.limiter.spend(request, share, now))
     }
 }
--- a/crates/dillspool_limits/src/lib.rs
+++ b/crates/dillspool_limits/src/lib.rs
@@ -1,19 +1,20 @@
-//! Limits that a whole fleet keeps, counted at one host for all.
+//! Rate limits that a whole fleet of hosts shares, counted by one host for all.
 //!
-//! A workspace's limit holds over all hosts together, and may be as small as two requests a second:
-//! a part of it for each host would be worth nothing. So one host, the holder, counts the requests of
-//! all; hosts that cannot reach it spend a small part of their own. These are decisions over a clock
-//! that is passed in: no input or output, no task, no log. See `docs/design/limits.md`.
+//! A workspace's limit holds for all hosts together and can be as small as two requests a second,
+//! so a fixed share per host would be useless. Instead, one host, the holder, counts the requests
+//! of all; hosts that cannot reach it spend a small local quota. The crate makes decisions on times
+//! passed in by the caller and does no I/O, spawns no tasks and logs nothing. See
+//! `docs/design/limits.md`.
 
+mod backlog;
 mod bucket;
-mod claims;
-mod fleet;
+mod fleet_size;
 mod holder;
-mod ledger;
+mod limiter;
 mod spend;
 
 pub use bucket::{LimitRate, SpendDecision};
-pub use fleet::FleetSize;
+pub use fleet_size::FleetSize;
 pub use holder::{LimitHolder, LocalQuota};
-pub use ledger::{KeyedLimiter, LimitStatus, LimiterSettings};
+pub use limiter::{KeyedLimiter, LimitStatus, LimiterSettings};
 pub use spend::{RateVersion, SpendRequest};
--- a/crates/dillspool_limits/src/spend.rs
+++ b/crates/dillspool_limits/src/spend.rs
@@ -1,32 +1,32 @@
-//! What a request asks of a limit.
+//! Requests to spend from a limit.
 
 use dillspool_moment::Moment;
 use dillspool_schema::Name;
 
 use crate::bucket::LimitRate;
 
-/// Which of two statements of one limit is the newer.
+/// Orders several statements of the same limit by age.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum RateVersion {
     /// Version of the configuration that states it.
     Config(u64),
-    /// When it was heard.
+    /// Time at which the backend server announced it.
     Observed(Moment),
 }
 
-/// What a request asks of a limit.
+/// A request to spend from a limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpendRequest {
-    /// Whose limit: a workspace, or the start of a backend server.
+    /// Key of the limit: a workspace, or an instance of a backend server.
     pub subject: Name,
-    /// The limit, as the host of the request knows it.
+    /// Rate as known to the host that asks.
     pub rate: LimitRate,
-    /// How new that is.
+    /// Version of the rate.
     pub version: RateVersion,
     /// How much the request counts for.
     pub amount: f64,
-    /// How urgent it is; 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// What the host spent before it knew of the limit, told once.
+    /// Amount that the host spent before it knew of the limit; reported once.
     pub unreported: f64,
 }
--- a/crates/dillspool_limits/tests/cold_start.rs
+++ b/crates/dillspool_limits/tests/cold_start.rs
@@ -1,8 +1,8 @@
 //! All hosts start at once, and none knows how many others there are.
 //!
-//! Replays what 60 hosts did after all had lost their power: those that were there first found different
-//! hosts to count a limit, each of which took itself for the only one, and found the best of them at
-//! their next look, two seconds later. All the while the workspace asked for more than its limit.
+//! Replays what 60 hosts did after a power failure of all of them: the early ones chose different
+//! holders, each of which believed that it was the only one, and all moved to the best holder at
+//! their next look, two seconds later. Meanwhile the workspace requested more than its limit.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 
 /// Step of the replay, in ms.
 const STEP_MS: u64 = 20;
-/// Window of the limit, in steps, and what is allowed beyond it: a tenth, and so much.
+/// Window of the limit in steps, and what is allowed beyond it: a tenth, plus the slack.
 const WINDOW_STEPS: usize = 400;
 const EXCESS: f64 = 0.1;
 const SLACK: f64 = 60_000.0;
-/// Steps at which hosts find their first holder, and the best one.
-const FOUND: std::ops::Range<u64> = 0..15;
-const MOVED: std::ops::Range<u64> = 105..125;
+/// Steps during which hosts find their first holder, and the best one.
+const FIRST_HOLDER_STEPS: std::ops::Range<u64> = 0..15;
+const BEST_HOLDER_STEPS: std::ops::Range<u64> = 105..125;
 
-struct StartCase {
+struct ColdStartCase {
     name: &'static str,
-    /// Hosts that ask each holder first; the first one is the best.
-    served: &'static [usize],
+    /// Number of hosts that ask each holder at first; the first holder is the best one.
+    hosts_per_holder: &'static [usize],
     per_s: f64,
 }
 
@@ -30,34 +30,34 @@
     Moment::after_origin(Duration::from_millis(step * STEP_MS))
 }
 
-/// The step of the replay at which one of so many hosts does something.
+/// Spreads the hosts evenly over a span of steps.
 fn step_of(host: usize, hosts: usize, span: &std::ops::Range<u64>) -> u64 {
     let length = usize::try_from(span.end - span.start).expect("a short span");
     span.start + u64::try_from(host * length / hosts).expect("few hosts")
 }
 
-/// What all holders grant in each step.
-fn replay(case: &StartCase) -> Vec<f64> {
+/// Amount granted by all holders together in each step.
+fn replay(case: &ColdStartCase) -> Vec<f64> {
     let limit = LimitRate { per_s: case.per_s, burst: case.per_s };
     let mut holders: Vec<LimitHolder> =
-        case.served.iter().map(|_served| LimitHolder::new(SLACK, at(0))).collect();
+        case.hosts_per_holder.iter().map(|_hosts| LimitHolder::new(SLACK, at(0))).collect();
     let mut granted = Vec::new();
     for step in 0..2 * u64::try_from(WINDOW_STEPS).expect("few steps") {
-        for (number, served) in case.served.iter().enumerate() {
-            for host in 0..*served {
-                if step_of(host, *served, &FOUND) == step {
+        for (number, hosts_per_holder) in case.hosts_per_holder.iter().enumerate() {
+            for host in 0..*hosts_per_holder {
+                if step_of(host, *hosts_per_holder, &FIRST_HOLDER_STEPS) == step {
                     holders[number].join(None, at(step));
                 }
-                if number > 0 && step_of(host, *served, &MOVED) == step {
-                    let told = holders[number].known_hosts(at(step));
+                if number > 0 && step_of(host, *hosts_per_holder, &BEST_HOLDER_STEPS) == step {
+                    let reported_hosts = holders[number].known_hosts(at(step));
                     holders[number].leave(at(step));
-                    holders[0].join(Some(told), at(step));
+                    holders[0].join(Some(reported_hosts), at(step));
                 }
             }
         }
         let mut sum = 0.0;
         for (number, holder) in holders.iter_mut().enumerate() {
-            let is_asked = number == 0 || step <= MOVED.end;
+            let is_asked = number == 0 || step <= BEST_HOLDER_STEPS.end;
             for amount in [9_000.0, 200.0, 200.0] {
                 let request = SpendRequest {
                     subject: "w".into(),
@@ -78,14 +78,14 @@
 }
 
 #[test]
-fn holders_that_do_not_know_of_each_other_keep_the_limit() {
-    let case = |name, served, per_s| StartCase { name, served, per_s };
+fn holders_unaware_of_each_other_keep_the_limit() {
+    let case = |name, hosts_per_holder, per_s| ColdStartCase { name, hosts_per_holder, per_s };
     let cases = [
         case("one holder", &[60][..], 80_000.0),
         case("two holders, half of the hosts each", &[31, 28], 80_000.0),
         case("a larger limit", &[31, 28], 300_000.0),
         case("a smaller limit", &[36, 23], 29_000.0),
-        case("the best has few at first", &[1, 58], 80_000.0),
+        case("the best holder has few hosts at first", &[1, 58], 80_000.0),
     ];
     for case in cases {
         let granted = replay(&case);
@@ -93,7 +93,7 @@
         let largest =
             granted.windows(WINDOW_STEPS).map(|window| window.iter().sum()).fold(0.0, f64::max);
         assert!(largest <= allowed, "{}: {largest} of {allowed}", case.name);
-        // Nor is the limit kept by granting next to nothing.
+        // The limit must not be kept by granting next to nothing.
         let later: f64 = granted[WINDOW_STEPS..].iter().sum();
         assert!(later >= case.per_s * 7.9, "{}: {later} in the second window", case.name);
     }
