--- a/crates/dillspool_forward/src/throttle.rs
+++ b/crates/dillspool_forward/src/throttle.rs
@@ -95,7 +95,7 @@
         Some(SpendDecision::Allowed) => {
             return Some(SendPermit { spent: Some(context.backend_limits.spent(&spend)) });
         }
-        Some(SpendDecision::Refused { come_back }) => come_back.max(MIN_BLOCK_TIME),
+        Some(SpendDecision::Refused { come_back: retry_after }) => retry_after.max(MIN_BLOCK_TIME),
         None => UNKNOWN_BLOCK_TIME,
     };
     context.metrics.record_throttled();
--- a/crates/dillspool_forward/src/tried.rs
+++ b/crates/dillspool_forward/src/tried.rs
@@ -22,7 +22,10 @@
 
     pub(crate) fn contains(&self, entry: &BackendEntry) -> bool {
         let same = |tried: &&BackendInstance| tried.id == entry.id;
-        self.tried.iter().filter(same).any(|it| !BackendStart::are_different(it.start, entry.start))
+        self.tried
+            .iter()
+            .filter(same)
+            .any(|tried| !BackendStart::are_different(tried.start, entry.start))
     }
 
     /// The ids of those that have not restarted since.
--- a/crates/dillspool_forward/src/workspace_limit.rs
+++ b/crates/dillspool_forward/src/workspace_limit.rs
@@ -45,7 +45,7 @@
     let max_wait = request.route.objective.mul_f64(HOLDER_WAIT_FRACTION).min(request.remaining());
     match context.limits.spend(&spend, max_wait).await {
         Some(SpendDecision::Allowed) => Ok(Some(context.limits.spent(&spend))),
-        Some(SpendDecision::Refused { come_back }) => {
+        Some(SpendDecision::Refused { come_back: retry_after }) => {
             log::info!(
                 "event=over_limit id={} workspace={} amount={} per_s={} burst={} config={} come_back_ms={}",
                 request.id,
@@ -54,9 +54,9 @@
                 limit.per_s,
                 limit.burst,
                 request.config_version,
-                come_back.as_millis(),
+                retry_after.as_millis(),
             );
-            Err(Refusal::with_retry_after(RefusalCause::OverLimit, come_back))
+            Err(Refusal::with_retry_after(RefusalCause::OverLimit, retry_after))
         }
         None => Err(Refusal::with_retry_after(RefusalCause::LimitUnknown, UNKNOWN_RETRY_AFTER)),
     }
--- a/crates/dillspool_forward/tests/backoff.rs
+++ b/crates/dillspool_forward/tests/backoff.rs
@@ -28,7 +28,7 @@
     }
     *site.prefill_takes.lock().unwrap() = Duration::from_millis(300);
     let (context, _directory) = site.context(pool());
-    let answering =
+    let responding =
         tokio::spawn(handle_request(context.clone(), request(RequestKind::Streaming, 1, false)));
     tokio::time::sleep(Duration::from_millis(100)).await;
     let (held, reader) = {
@@ -38,7 +38,7 @@
     for engine in [&held, &reader] {
         ask_to_back_off(&context, engine, BACKOFF);
     }
-    assert_eq!(answering.await.unwrap().status().as_u16(), 200);
+    assert_eq!(responding.await.unwrap().status().as_u16(), 200);
     context.tasks.close();
     context.tasks.wait().await;
     let record = site.record.lock().unwrap();
@@ -111,11 +111,11 @@
         for (id, backoff_ms) in case.backoffs {
             ask_to_back_off(&context, id, Duration::from_millis(*backoff_ms));
         }
-        let asked = tokio::time::Instant::now();
-        let answer = handle_request(context.clone(), request(case.kind, 2, false)).await;
-        assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
-        assert!(asked.elapsed() < Duration::from_millis(150), "{}", case.name);
-        let seconds = answer.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
+        let started = tokio::time::Instant::now();
+        let response = handle_request(context.clone(), request(case.kind, 2, false)).await;
+        assert_eq!(response.status().as_u16(), case.status, "{}", case.name);
+        assert!(started.elapsed() < Duration::from_millis(150), "{}", case.name);
+        let seconds = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
         let seconds = seconds.map(|seconds| seconds.parse::<f64>().expect("a number"));
         assert_eq!(seconds.is_some(), case.retry_after.is_some(), "{}", case.name);
         if let (Some(seconds), Some((earliest, latest))) = (seconds, case.retry_after) {
--- a/crates/dillspool_forward/tests/plain.rs
+++ b/crates/dillspool_forward/tests/plain.rs
@@ -79,14 +79,15 @@
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
         let routed = request(case.kind, case.max_attempts, false);
-        let answer = handle_request(context, routed).await;
-        assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
-        let retry_after = answer.headers().contains_key("retry-after");
+        let response = handle_request(context, routed).await;
+        assert_eq!(response.status().as_u16(), case.status, "{}", case.name);
+        let retry_after = response.headers().contains_key("retry-after");
         assert_eq!(retry_after, case.retry_after, "{}", case.name);
         let arrivals = site.record.lock().unwrap().arrivals.len();
         assert_eq!(arrivals, case.arrivals, "{}", case.name);
-        if answer.status().is_success() {
-            let body = read_response_body(answer.into_body(), 100).await.expect("a complete body");
+        if response.status().is_success() {
+            let body =
+                read_response_body(response.into_body(), 100).await.expect("a complete body");
             assert_eq!(&body[..], b"ok", "{}", case.name);
         }
     }
@@ -98,8 +99,8 @@
     site.script("first", [Step::Silent]);
     let backends = [entry("first", "near", None), entry("second", "far", None)];
     let (context, _directory) = site.context(view(backends));
-    let answer = handle_request(context, request(Idempotent, 2, false)).await;
-    assert_eq!(answer.status().as_u16(), 200);
+    let response = handle_request(context, request(Idempotent, 2, false)).await;
+    assert_eq!(response.status().as_u16(), 200);
     let record = site.record.lock().unwrap();
     let budgets: Vec<_> = record.arrivals.iter().map(|it| it.terms.time_budget).collect();
     assert_eq!(budgets, [Duration::from_secs(3), Duration::from_millis(1500)]);
@@ -111,8 +112,8 @@
     site.script("first", [Step::Silent]);
     let backends = [entry("first", "near", None), entry("second", "far", None)];
     let (context, _directory) = site.context(view(backends));
-    let answer = handle_request(context, request(Idempotent, 2, false));
-    let left = tokio::time::timeout(Duration::from_millis(200), answer).await;
+    let response = handle_request(context, request(Idempotent, 2, false));
+    let left = tokio::time::timeout(Duration::from_millis(200), response).await;
     assert!(left.is_err());
     tokio::time::sleep(Duration::from_secs(5)).await;
     assert_eq!(site.record.lock().unwrap().arrivals.len(), 1);
@@ -129,7 +130,7 @@
     context.budgets = RetryBudgets::new(settings, HostClock::steady());
     context.budgets.set_host_count(8);
     for _request in 0..100 {
-        let _answer = handle_request(context.clone(), request(Idempotent, 2, false)).await;
+        let _response = handle_request(context.clone(), request(Idempotent, 2, false)).await;
     }
     let retries = site.record.lock().unwrap().arrivals.len() - 100;
     // At most the ratio and this host's share of the extra retries, of which most are spent.
@@ -142,7 +143,7 @@
     let mut draining = entry("first", "near", None);
     draining.state = dillspool_routing::BackendState::Draining;
     let (context, _directory) = site.context(view([draining]));
-    let answer = handle_request(context, request(NonIdempotent, 1, false)).await;
-    assert_eq!(answer.status().as_u16(), 503);
+    let response = handle_request(context, request(NonIdempotent, 1, false)).await;
+    assert_eq!(response.status().as_u16(), 503);
     assert!(site.record.lock().unwrap().arrivals.is_empty());
 }
--- a/crates/dillspool_forward/tests/scheduled_calls.rs
+++ b/crates/dillspool_forward/tests/scheduled_calls.rs
@@ -155,9 +155,9 @@
             let host = SchedulingHost::start(&site, known, slots_per_host).await;
             assert_eq!(host.desk.is_scheduled("service"), is_scheduled, "{name}");
             let routed = request(case.kind, case.max_attempts, false);
-            let answer = handle_request(host.context.clone(), routed).await;
-            assert_eq!(answer.status().as_u16(), case.status, "{name}");
-            assert_eq!(answer.headers().contains_key(RETRY_AFTER), case.retry_after, "{name}");
+            let response = handle_request(host.context.clone(), routed).await;
+            assert_eq!(response.status().as_u16(), case.status, "{name}");
+            assert_eq!(response.headers().contains_key(RETRY_AFTER), case.retry_after, "{name}");
             let record = site.record.lock().unwrap();
             assert_eq!(record.arrivals.len(), case.arrivals, "{name}");
             assert_eq!(host.held_calls(), 0, "{name}: a slot stays taken");
@@ -185,7 +185,7 @@
             SchedulingHost::start(&site, view([two_slot_server("first", "near")]), 10.0).await;
         for _call in 0..calls {
             let routed = request(NonIdempotent, 1, false);
-            let _answer = handle_request(host.context.clone(), routed).await;
+            let _response = handle_request(host.context.clone(), routed).await;
         }
         let (_service, snapshot) = host.desk.read().pop().expect("a queue");
         assert_eq!(snapshot.servers[0].is_circuit_open, expected, "{step:?} {calls} times");
@@ -200,8 +200,8 @@
     let host = SchedulingHost::start(&site, view([two_slot_server("first", "near")]), 10.0).await;
     let mut clients: Vec<_> = (0..8)
         .map(|_client| {
-            let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
-            tokio::spawn(answer)
+            let response = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
+            tokio::spawn(response)
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(10)).await;
@@ -226,10 +226,10 @@
     let began = Instant::now();
     let calls = 20;
     let clients = (0..calls).map(|_client| async {
-        let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
-        let has_retry_after = answer.headers().contains_key(RETRY_AFTER);
-        let (status, took) = (answer.status().as_u16(), began.elapsed());
-        let body = read_response_body(answer.into_body(), 100).await.expect("a complete body");
+        let response = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
+        let has_retry_after = response.headers().contains_key(RETRY_AFTER);
+        let (status, took) = (response.status().as_u16(), began.elapsed());
+        let body = read_response_body(response.into_body(), 100).await.expect("a complete body");
         (status, String::from_utf8_lossy(&body).into_owned(), has_retry_after, took)
     });
     // Calls without a response lower the limit later.
@@ -238,18 +238,18 @@
         host.limit()
     };
     let clients = futures_util::future::join_all(clients);
-    let (answers, limit) = futures_util::future::join(clients, limit).await;
+    let (responses, limit) = futures_util::future::join(clients, limit).await;
     let sent = site.record.lock().unwrap().arrivals.len();
-    let refused: Vec<_> = answers.iter().filter(|(status, ..)| *status == 503).collect();
+    let refused: Vec<_> = responses.iter().filter(|(status, ..)| *status == 503).collect();
     assert!((2..8).contains(&limit), "{limit}");
-    assert_eq!((sent, refused.len()), (limit, calls - limit), "{answers:?}");
+    assert_eq!((sent, refused.len()), (limit, calls - limit), "{responses:?}");
     let causes: BTreeSet<_> = refused.iter().map(|(_, cause, _, _)| cause.as_str()).collect();
     assert_eq!(causes, BTreeSet::from(["no_room"]));
     // The clients' own timeout is three seconds.
     let delayed = refused.iter().filter(|(_, _, has_retry_after, took)| {
         !has_retry_after || *took >= Duration::from_millis(2_900)
     });
-    assert_eq!(delayed.count(), 0, "{answers:?}");
+    assert_eq!(delayed.count(), 0, "{responses:?}");
     assert_eq!(host.held_calls(), 0);
 }
 
@@ -366,12 +366,12 @@
             sent.record_response(RateNotice::Unlimited, BackoffNotice::For(Duration::from_secs(3)));
         }
         assert!(host.desk.is_scheduled("service"), "{}", case.name);
-        let asked = Instant::now();
-        let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
-        assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
-        assert!(asked.elapsed() < Duration::from_millis(50), "{}: delayed", case.name);
+        let started = Instant::now();
+        let response = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
+        assert_eq!(response.status().as_u16(), case.status, "{}", case.name);
+        assert!(started.elapsed() < Duration::from_millis(50), "{}: delayed", case.name);
         if case.status == 503 {
-            assert!(answer.headers().contains_key(RETRY_AFTER), "{}", case.name);
+            assert!(response.headers().contains_key(RETRY_AFTER), "{}", case.name);
         }
         let record = site.record.lock().unwrap();
         let arrived: Vec<_> = record.arrivals.iter().map(|it| it.backend.as_str()).collect();
@@ -393,7 +393,7 @@
     host.context.budgets.set_host_count(8);
     for _request in 0..100 {
         let routed = request(Idempotent, 2, false);
-        let _answer = handle_request(host.context.clone(), routed).await;
+        let _response = handle_request(host.context.clone(), routed).await;
     }
     let retries = site.record.lock().unwrap().arrivals.len() - 100;
     assert!((10..=21).contains(&retries), "{retries}");
@@ -418,8 +418,8 @@
         let known = view([two_slot_server("first", "near")]);
         let host = SchedulingHost::start_with_clock(&site, known, 10.0, clock).await;
         is_suspended.store(true, Relaxed);
-        let answer = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
-        let client = tokio::spawn(answer);
+        let response = handle_request(host.context.clone(), request(NonIdempotent, 1, false));
+        let client = tokio::spawn(response);
         tokio::time::sleep(Duration::from_millis(1)).await;
         assert_eq!(site.record.lock().unwrap().arrivals.len(), 1, "{suspended_ms} ms");
         assert_eq!(host.held_calls(), held, "{suspended_ms} ms");
--- a/crates/dillspool_forward/tests/suspects.rs
+++ b/crates/dillspool_forward/tests/suspects.rs
@@ -185,7 +185,7 @@
                     )));
                 }
             });
-            let _answer = send(&during, kind).await;
+            let _response = send(&during, kind).await;
             tokio::time::sleep(Duration::from_secs(3)).await;
             let shown = match case.after_failure {
                 AfterFailure::Same => None,
@@ -220,9 +220,9 @@
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
         let before = site.record.lock().unwrap().reservation_requests.len();
-        let asked = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         assert_eq!(send(&context, kind).await, (503, false, true), "{kind:?}");
-        assert_eq!(asked.elapsed(), Duration::ZERO, "{kind:?}");
+        assert_eq!(started.elapsed(), Duration::ZERO, "{kind:?}");
         let record = site.record.lock().unwrap();
         assert_eq!(
             (record.arrivals.len(), record.reservation_requests.len()),
--- a/crates/dillspool_forward/tests/throttle.rs
+++ b/crates/dillspool_forward/tests/throttle.rs
@@ -142,18 +142,18 @@
         announce_limits(&context, case.limited, MINIMAL_RATE);
         let mut refused = 0;
         for status in case.statuses {
-            let asked = Instant::now();
-            let answer = handle_request(context.clone(), request(case.kind, 2, false)).await;
-            assert_eq!(answer.status().as_u16(), status, "{}", case.name);
-            let retry_after = answer.headers().get("retry-after");
+            let started = Instant::now();
+            let response = handle_request(context.clone(), request(case.kind, 2, false)).await;
+            assert_eq!(response.status().as_u16(), status, "{}", case.name);
+            let retry_after = response.headers().get("retry-after");
             let retry_after = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
             if let Some(seconds) = retry_after {
                 let seconds: f64 = seconds;
                 assert!((1.0..=22.0).contains(&seconds), "{}: {seconds} s", case.name);
-                assert!(asked.elapsed() < Duration::from_millis(10), "{}", case.name);
+                assert!(started.elapsed() < Duration::from_millis(10), "{}", case.name);
                 refused += 1;
             }
-            let _body = dillspool_io::read_response_body(answer.into_body(), 10_000).await;
+            let _body = dillspool_io::read_response_body(response.into_body(), 10_000).await;
         }
         assert_eq!(refused, case.refused, "{}", case.name);
         let record = site.record.lock().unwrap();
@@ -173,8 +173,8 @@
     let mut served = 0;
     for _turn in 0..5 {
         let routed = request(RequestKind::NonIdempotent, 1, false);
-        let answer = handle_request(context.clone(), routed).await;
-        match answer.headers().get("retry-after").and_then(|value| value.to_str().ok()) {
+        let response = handle_request(context.clone(), routed).await;
+        match response.headers().get("retry-after").and_then(|value| value.to_str().ok()) {
             Some(seconds) => {
                 let seconds = seconds.parse().expect("seconds");
                 tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
@@ -183,7 +183,7 @@
                 assert_eq!(again.status().as_u16(), 200);
                 served += 1;
             }
-            None => assert_eq!(answer.status().as_u16(), 200),
+            None => assert_eq!(response.status().as_u16(), 200),
         }
     }
     assert!(served > 0, "no request was refused, the test checks nothing");
@@ -232,11 +232,11 @@
         net.set_link(peer(1).ip(), peer(2).ip(), LinkMode::Frozen);
         let mut routed = request(RequestKind::NonIdempotent, 1, false);
         routed.deadline = routed.arrived + Duration::from_millis(limit_ms);
-        let asked = Instant::now();
-        let answer = handle_request(context, routed).await;
-        let waited = asked.elapsed();
+        let started = Instant::now();
+        let response = handle_request(context, routed).await;
+        let waited = started.elapsed();
         let max_wait = Duration::from_millis(limit_ms.min(400) + 1);
-        assert!(waited <= max_wait, "{limit_ms} ms: {} after {waited:?}", answer.status());
+        assert!(waited <= max_wait, "{limit_ms} ms: {} after {waited:?}", response.status());
         cancel.cancel();
     }
 }
@@ -263,10 +263,10 @@
     for is_limited in [true, false] {
         let site = ScriptedSite::default();
         // The latency assumed of a backend server that has not responded yet.
-        let answer = Step::Paced(vec![(60, "ok")]);
-        let first = vec![Step::NotRun(503); 20].into_iter().chain([answer.clone()]);
+        let response = Step::Paced(vec![(60, "ok")]);
+        let first = vec![Step::NotRun(503); 20].into_iter().chain([response.clone()]);
         site.script("first", first);
-        site.script("second", [answer]);
+        site.script("second", [response]);
         let entries: [BackendEntry; 2] =
             [entry("first", "near", None), entry("second", "near", None)];
         let (context, _directory) = site.context(view(entries));
@@ -276,8 +276,8 @@
         }
         for _request in 0..400 {
             let routed = request(RequestKind::NonIdempotent, 2, false);
-            let answer = handle_request(context.clone(), routed).await;
-            assert_eq!(answer.status().as_u16(), 200);
+            let response = handle_request(context.clone(), routed).await;
+            assert_eq!(response.status().as_u16(), 200);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         let arrivals = Arc::clone(&site.record);
@@ -285,8 +285,8 @@
         let first = arrivals.arrivals.iter().filter(|arrival| arrival.backend == "first").count();
         // Without a limit it is avoided after some failures, otherwise it is picked about as often
         // as the other.
-        let asked = if is_limited { 150..=250 } else { 0..=40 };
-        assert!(asked.contains(&first), "{is_limited}: asked {first} times");
+        let expected = if is_limited { 150..=250 } else { 0..=40 };
+        assert!(expected.contains(&first), "{is_limited}: picked {first} times");
     }
 }
 
@@ -321,8 +321,9 @@
         for _request in 0..case.before {
             assert_eq!(send().await, 200, "{}: before", case.name);
         }
-        let asked = Instant::now();
-        let requests = (0..5).map(|_request| async { (send().await, asked.elapsed().as_millis()) });
+        let started = Instant::now();
+        let requests =
+            (0..5).map(|_request| async { (send().await, started.elapsed().as_millis()) });
         let ended = futures_util::future::join_all(requests).await;
         let (served, refused): (Vec<_>, Vec<_>) =
             ended.into_iter().partition(|(status, _after)| *status == 200);
--- a/crates/dillspool_forward/tests/workspace_limits.rs
+++ b/crates/dillspool_forward/tests/workspace_limits.rs
@@ -23,8 +23,8 @@
 async fn statuses(context: &ForwardContext, routed: &RoutedRequest, count: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for _request in 0..count {
-        let answer = handle_request(context.clone(), routed.clone()).await;
-        statuses.push(answer.status().as_u16());
+        let response = handle_request(context.clone(), routed.clone()).await;
+        statuses.push(response.status().as_u16());
     }
     statuses
 }
@@ -79,9 +79,9 @@
     let before = tokio::time::Instant::now();
     let mut retry_delays = Vec::new();
     for _request in 0..3 {
-        let answer = handle_request(context.clone(), routed.clone()).await;
-        assert_eq!(answer.status().as_u16(), 429);
-        let after = answer.headers()["retry-after"].to_str().expect("text").to_owned();
+        let response = handle_request(context.clone(), routed.clone()).await;
+        assert_eq!(response.status().as_u16(), 429);
+        let after = response.headers()["retry-after"].to_str().expect("text").to_owned();
         retry_delays.push(after.parse::<f64>().expect("seconds"));
     }
     assert_eq!(before.elapsed(), Duration::ZERO);
--- a/crates/dillspool_watch/src/follow.rs
+++ b/crates/dillspool_watch/src/follow.rs
@@ -289,9 +289,9 @@
 ) {
     let since = Instant::now();
     while since.elapsed() < settings.probe_timeout {
-        let answered = status.borrow().last_answered;
-        let is_answered =
-            answered.is_some_and(|answered| answered + settings.min_poll_interval >= since);
+        let last_answered = status.borrow().last_answered;
+        let is_answered = last_answered
+            .is_some_and(|answered_at| answered_at + settings.min_poll_interval >= since);
         if is_answered || fresh_until(replica, settings).is_some() {
             return;
         }
@@ -381,16 +381,16 @@
     let changes = (store.changes)(Arc::clone(&replica.table), version, wait);
     let limit = wait + slack;
     let clock = replica.freshness().clock();
-    let answer = tokio::select! {
+    let response = tokio::select! {
         biased;
-        answer = clock.timeout(limit, changes) => answer,
+        response = clock.timeout(limit, changes) => response,
         // The response would reflect the time before the suspension.
         () = clock.stalled() => return Ok(PollOutcome::Abandoned),
         // A restored store may hold the poll open until it times out, waiting for a version of the
         // previous era.
         era = restore_detected(status, version) => return Err(WatchError::Restored { era }),
     };
-    let delta = answer.map_err(|MomentPassed| timeout_error(limit))??;
+    let delta = response.map_err(|MomentPassed| timeout_error(limit))??;
     replica.merge(&delta);
     Ok(PollOutcome::Answered)
 }
--- a/crates/dillspool_watch/src/snapshot.rs
+++ b/crates/dillspool_watch/src/snapshot.rs
@@ -39,14 +39,14 @@
     cause: SnapshotCause,
     role: FollowRole,
     polled_at: Instant,
-    answer: Option<&StoreVersion>,
+    response: Option<&StoreVersion>,
 ) {
-    let answer = answer.map_or_else(|| "none".to_owned(), StoreVersion::to_string);
+    let response = response.map_or_else(|| "none".to_owned(), StoreVersion::to_string);
     let unheard = replica.freshness().since_relayed();
     let unheard_ms =
         unheard.map_or_else(|| "none".to_owned(), |passed| passed.as_millis().to_string());
     log::info!(
-        "event=table_read table={} cause={} role={role:?} answer={answer} rows={} version={} after_ms={} unheard_ms={unheard_ms}",
+        "event=table_read table={} cause={} role={role:?} answer={response} rows={} version={} after_ms={} unheard_ms={unheard_ms}",
         replica.table,
         cause.name(),
         replica.subscribe().borrow().rows.len(),
@@ -85,9 +85,9 @@
     settings: &FollowSettings,
 ) -> Result<StoreVersion, WatchError> {
     let snapshot = (store.snapshot)(Arc::clone(&replica.table));
-    let answer = replica.freshness().clock().timeout(settings.snapshot_timeout, snapshot).await;
-    let answer = answer.map_err(|MomentPassed| timeout_error(settings.snapshot_timeout))?;
-    let delta = answer.map_err(|source| WatchError::Store { source })?;
+    let response = replica.freshness().clock().timeout(settings.snapshot_timeout, snapshot).await;
+    let response = response.map_err(|MomentPassed| timeout_error(settings.snapshot_timeout))?;
+    let delta = response.map_err(|source| WatchError::Store { source })?;
     replica.merge(&delta);
     Ok(delta.version)
 }
--- a/crates/dillspool_watch/tests/relay.rs
+++ b/crates/dillspool_watch/tests/relay.rs
@@ -39,7 +39,7 @@
 enum Access {
     Served,
     Rejected,
-    Silent,
+    NoResponse,
 }
 
 impl TestStore {
@@ -97,7 +97,7 @@
     match access {
         Access::Served => Ok(()),
         Access::Rejected => Err(PlatformError::NotDone { reason: "rejected".to_owned() }),
-        Access::Silent => std::future::pending().await,
+        Access::NoResponse => std::future::pending().await,
     }
 }
 
@@ -205,7 +205,7 @@
     let cases = [
         OutageCase { access: Access::Rejected, within: 3500 },
         // The poll in progress must first time out.
-        OutageCase { access: Access::Silent, within: 4500 },
+        OutageCase { access: Access::NoResponse, within: 4500 },
     ];
     for case in cases {
         let store = TestStore::default();
@@ -296,7 +296,7 @@
         SourceFault { name: "cut off", access: Access::Served, link: LinkMode::Cut },
         SourceFault { name: "paused", access: Access::Served, link: LinkMode::Frozen },
         SourceFault { name: "rejected", access: Access::Rejected, link: LinkMode::Open },
-        SourceFault { name: "no response", access: Access::Silent, link: LinkMode::Open },
+        SourceFault { name: "no response", access: Access::NoResponse, link: LinkMode::Open },
     ];
     for case in cases {
         let (store, net) = (TestStore::default(), MemoryNet::new());
--- a/crates/dillspool_watch/tests/table_freshness.rs
+++ b/crates/dillspool_watch/tests/table_freshness.rs
@@ -28,7 +28,7 @@
 enum Access {
     Served,
     Rejected,
-    Silent,
+    NoResponse,
     /// Changes are compacted, and snapshot reads get no response.
     HistoryGone,
     /// Changes are compacted, and snapshot reads are rejected.
@@ -80,7 +80,7 @@
                     match access {
                         Access::Served => Ok(store.delta(&table, true, 0)),
                         Access::Rejected | Access::HistoryGoneAndRejected => Err(rejected()),
-                        Access::Silent | Access::HistoryGone | Access::CutOff => {
+                        Access::NoResponse | Access::HistoryGone | Access::CutOff => {
                             std::future::pending().await
                         }
                     }
@@ -95,7 +95,7 @@
                         Access::Rejected => {
                             return Err(WatchError::Store { source: rejected() });
                         }
-                        Access::Silent | Access::CutOff => std::future::pending().await,
+                        Access::NoResponse | Access::CutOff => std::future::pending().await,
                         Access::HistoryGone | Access::HistoryGoneAndRejected => {
                             return Err(WatchError::HistoryGone);
                         }
@@ -188,10 +188,10 @@
     let case = |name, root, between| FreshnessCase { name, root, between };
     let cases = [
         case("rejected", Access::Rejected, 0),
-        case("silent", Access::Silent, 0),
+        case("no response", Access::NoResponse, 0),
         case("history gone", Access::HistoryGone, 0),
         case("history gone, rejected", Access::HistoryGoneAndRejected, 0),
-        case("silent, two relays deep", Access::Silent, 1),
+        case("no response, two relays deep", Access::NoResponse, 1),
         case("history gone, two relays deep", Access::HistoryGone, 1),
         case("history gone, three relays deep", Access::HistoryGone, 2),
     ];
@@ -276,9 +276,9 @@
 async fn a_suspended_source_does_not_count_as_fresh() {
     let case = |name, root, suspended_ms| SuspendedCase { name, root, suspended_ms };
     let cases = [
-        case("its poll gets no response", Access::Silent, 10_000),
+        case("its poll gets no response", Access::NoResponse, 10_000),
         case("its poll is rejected", Access::Rejected, 10_000),
-        case("for an hour", Access::Silent, 3_600_000),
+        case("for an hour", Access::NoResponse, 3_600_000),
     ];
     for case in cases {
         let (store, net) = (TestStore::with_rows(), MemoryNet::new());
@@ -308,7 +308,7 @@
     let (store, net) = (TestStore::with_rows(), MemoryNet::new());
     let host = start_host(&net, &store, "10.0.0.1:8146", None, FollowRole::Alone).await;
     advance(5000).await;
-    host.access.send_replace(Access::Silent);
+    host.access.send_replace(Access::NoResponse);
     // This makes the next poll the one that is lost.
     store.write(CONFIG);
     advance(500).await;
--- a/crates/dillspool_watch/tests/table_subsets.rs
+++ b/crates/dillspool_watch/tests/table_subsets.rs
@@ -50,7 +50,7 @@
 /// A source whose rows a test writes, and a host that receives its subset of them.
 struct SubsetPair {
     source: SharedReplica,
-    held: SharedReplica,
+    client: SharedReplica,
     version: u64,
 }
 
@@ -59,18 +59,18 @@
         let net = MemoryNet::new();
         let source = replica();
         serve(&net.stack(address(1).ip()), &source).await;
-        let held = replica();
+        let client = replica();
         let peers =
             || RelayPeers { sources: vec![address(1)], all: vec![], subset_seed: Some(SEED) };
         let status = watch::Sender::new(StoreReachability::unknown());
         tokio::spawn(relay_from_peers(
             net.stack(address(2).ip()),
             peers,
-            vec![held.clone()],
+            vec![client.clone()],
             status,
             CancellationToken::new(),
         ));
-        Self { source, held, version: 0 }
+        Self { source, client, version: 0 }
     }
 
     fn write(&mut self, rows: &[(String, Option<String>)]) {
@@ -87,14 +87,14 @@
 
     /// The source's rows that are in the host's subset, which must fit the size of the table.
     fn expected(&self, case: &str) -> Vec<(String, String)> {
-        let rows = live(&self.source);
+        let rows = existing_rows(&self.source);
         let mut counts = RowCounts::default();
         for (_key, text) in &rows {
             if let Some((class, _text)) = text.split_once(' ') {
                 *counts.rows.entry(class.into()).or_default() += 1;
             }
         }
-        let subset = self.held.subscribe().borrow().subset.clone();
+        let subset = self.client.subscribe().borrow().subset.clone();
         assert!(!TableSubset::needs_resize(subset.as_deref(), &counts), "{case}: {subset:?}");
         let of_part = |(key, text): &(String, String)| {
             let Some((class, _text)) = text.split_once(' ') else { return false };
@@ -104,7 +104,7 @@
     }
 }
 
-fn live(replica: &SharedReplica) -> Vec<(String, String)> {
+fn existing_rows(replica: &SharedReplica) -> Vec<(String, String)> {
     let rows = replica.changes_since(0.into()).rows.into_iter();
     rows.filter_map(|row| Some((row.key.to_string(), row.value?.to_string()))).collect()
 }
@@ -206,15 +206,16 @@
         pair.write(&rows("many", 0..case.before));
         pair.write(&rows("few", 0..6));
         advance(3_000).await;
-        assert_eq!(live(&pair.held), pair.expected(case.name), "{}: before", case.name);
+        assert_eq!(existing_rows(&pair.client), pair.expected(case.name), "{}: before", case.name);
         pair.write(&(case.change)());
         advance(12_000).await;
-        let mut held = live(&pair.held);
+        let mut held = existing_rows(&pair.client);
         held.retain(|(_key, text)| text.contains(' '));
         assert_eq!(held, pair.expected(case.name), "{}", case.name);
         // While it holds a subset, the host keeps tombstones only for rows of its own.
-        let is_subset = pair.held.subscribe().borrow().subset.is_some();
-        let tombstones = pair.held.changes_since(0.into()).rows.len() - live(&pair.held).len();
+        let is_subset = pair.client.subscribe().borrow().subset.is_some();
+        let tombstones =
+            pair.client.changes_since(0.into()).rows.len() - existing_rows(&pair.client).len();
         assert!(!is_subset || tombstones <= case.before / 8, "{}: {tombstones}", case.name);
     }
 }
