--- a/crates/dillspool_capacity/src/lib.rs
+++ b/crates/dillspool_capacity/src/lib.rs
@@ -1,14 +1,14 @@
-//! What the requests of a pool ask of its engines, learnt from what passes through a host, and the
-//! split into prefill and decode engines that follows from it.
+//! Estimates the resources that the requests of a pool need, from the requests that pass through a
+//! host, and derives the split into prefill and decode engines.
 //!
-//! The sums are pure functions over readings. `docs/design/split.md` has the derivation and the
-//! ways weighed.
+//! The calculations are pure functions of observations. `docs/design/split.md` has the derivation
+//! and the alternatives considered.
 
 mod decay;
+mod demand;
 mod meter;
-mod need;
 mod target;
 
+pub use demand::{DemandEstimate, EngineCapacity, RoleLoads, required_prefill_engines, role_loads};
 pub use meter::{DemandMeter, MemoryGuard};
-pub use need::{DemandEstimate, EngineCapacity, RoleLoads, required_prefill_engines, role_loads};
 pub use target::{SplitTarget, TargetChange};
--- a/crates/dillspool_capacity/src/target.rs
+++ b/crates/dillspool_capacity/src/target.rs
@@ -1,91 +1,94 @@
-//! The number of prefill engines that a pool keeps, changed only for a reason that lasts.
+//! Maintains the number of prefill engines of a pool, with hysteresis.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Distance of the need from the target, in engines, above which it asks for a change: half an
-/// engine by rounding, and what readings of some dozen requests vary by.
-const DEAD_BAND: f64 = 0.65;
-/// The same as a part of the target, for large pools: readings of some dozen requests vary by a
-/// fifth, and of many hosts the one that is furthest off would decide.
-const DEAD_PART: f64 = 0.25;
-/// Part of the dead band by which a smaller target stays above the need, since the host that asks
-/// for it is mostly one that reads too low.
-const CAUTION: f64 = 0.33;
-/// Time for which the need must be below the target. A prefill engine has nothing to finish before
-/// it turns, and decode memory is what most requests are refused for, so this costs little.
-const FEWER_SPAN: Duration = Duration::from_secs(2);
-/// Time for which the need must be above it. A decode engine ends its answers before it turns and is
-/// gone for ten seconds and more, which costs up to a tenth of the worth of half a minute
-/// (`docs/DECIDING.md`); a need that lasts for less than a minute, as in a burst, does not repay it.
-const MORE_SPAN: Duration = Duration::from_mins(1);
+/// Deviation of the required number from the target, in engines, above which the target may change:
+/// half an engine from rounding, plus the variation of estimates from a few dozen requests.
+const DEAD_BAND_ENGINES: f64 = 0.65;
+/// The same as a fraction of the target, for large pools: estimates from a few dozen requests vary
+/// by a fifth, and of many hosts the one with the largest error would decide.
+const DEAD_BAND_FRACTION: f64 = 0.25;
+/// Fraction of the dead band that is added when the target decreases, since the host that requests
+/// the decrease is usually one whose estimate is too low.
+const DECREASE_MARGIN: f64 = 0.33;
+/// Time for which the required number must stay below the target. A prefill engine has nothing to
+/// finish before it changes its role, and most rejections are for lack of decode memory, so a
+/// decrease costs little.
+const DECREASE_DELAY: Duration = Duration::from_secs(2);
+/// Time for which the required number must stay above the target. A decode engine completes its
+/// answers before it changes its role and is unavailable for ten seconds or more, which costs up to
+/// a tenth of the value of half a minute (`docs/DECIDING.md`). A shorter deviation, such as a
+/// burst, does not repay this.
+const INCREASE_DELAY: Duration = Duration::from_mins(1);
 
-/// The target of one pool as this host knows it.
+/// The target of a pool as known to this host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SplitTarget {
-    /// Prefill engines.
+    /// Number of prefill engines.
     pub prefill_engines: usize,
-    /// Since when the need has been off, and in which direction.
-    off: Option<OffNeed>,
+    /// The current deviation of the required number from the target, if it exceeds the dead band.
+    deviation: Option<TargetDeviation>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct OffNeed {
-    more: bool,
+struct TargetDeviation {
+    is_above: bool,
     since: Instant,
 }
 
 /// A change of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetChange {
-    /// Prefill engines before.
+    /// Previous number of prefill engines.
     pub from: usize,
-    /// Prefill engines from now on.
+    /// New number of prefill engines.
     pub to: usize,
 }
 
 impl SplitTarget {
-    /// A target that nothing speaks against yet.
-    pub fn new(engines: usize) -> Self {
-        Self { prefill_engines: engines, off: None }
+    /// Creates a target without a pending deviation.
+    pub fn new(prefill_engines: usize) -> Self {
+        Self { prefill_engines, deviation: None }
     }
 
-    /// Takes the need at a moment; the target moves at once to what the need asks for when that
-    /// has been so for long enough.
+    /// Updates the target from the required number of prefill engines at `now`; a deviation that
+    /// has lasted long enough moves the target to the required number at once.
     ///
-    /// `all` is the number of engines of the pool; at least one of them prefills and, if there are
-    /// two, one decodes.
-    pub fn update(&mut self, need: f64, all: usize, now: Instant) -> Option<TargetChange> {
+    /// `total` is the number of engines of the pool; at least one of them prefills and, if there
+    /// are two, at least one decodes.
+    pub fn update(&mut self, required: f64, total: usize, now: Instant) -> Option<TargetChange> {
         #[expect(clippy::cast_precision_loss, reason = "engines are counted in thousands")]
         let target = self.prefill_engines as f64;
-        let (distance, band) = (need - target, DEAD_BAND.max(DEAD_PART * target));
+        let (distance, band) =
+            (required - target, DEAD_BAND_ENGINES.max(DEAD_BAND_FRACTION * target));
         if distance.abs() <= band {
-            self.off = None;
+            self.deviation = None;
             return None;
         }
-        let more = distance > 0.0;
-        let before = self.off.filter(|off| off.more == more);
-        let since = before.map_or(now, |off| off.since);
-        self.off = Some(OffNeed { more, since });
-        let span = if more { MORE_SPAN } else { FEWER_SPAN };
-        if now.saturating_duration_since(since) < span {
+        let is_above = distance > 0.0;
+        let previous = self.deviation.filter(|deviation| deviation.is_above == is_above);
+        let since = previous.map_or(now, |deviation| deviation.since);
+        self.deviation = Some(TargetDeviation { is_above, since });
+        let delay = if is_above { INCREASE_DELAY } else { DECREASE_DELAY };
+        if now.saturating_duration_since(since) < delay {
             return None;
         }
         let from = self.prefill_engines;
-        let need = if more { need } else { need + CAUTION * band };
-        *self = Self::new(engines_for(need, all));
+        let required = if is_above { required } else { required + DECREASE_MARGIN * band };
+        *self = Self::new(whole_engines(required, total));
         (from != self.prefill_engines).then_some(TargetChange { from, to: self.prefill_engines })
     }
 }
 
-/// Whole engines for a need.
+/// Rounds the required number; each role keeps at least one engine if there are two.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a need lies between 0 and the number of engines"
+    reason = "the required number lies between 0 and the number of engines"
 )]
-fn engines_for(need: f64, all: usize) -> usize {
-    let whole = need.round().max(1.0) as usize;
-    whole.min(all.saturating_sub(1)).max(1)
+fn whole_engines(required: f64, total: usize) -> usize {
+    let engines = required.round().max(1.0) as usize;
+    engines.min(total.saturating_sub(1)).max(1)
 }
--- a/crates/dillspool_capacity/tests/split.rs
+++ b/crates/dillspool_capacity/tests/split.rs
@@ -1,4 +1,4 @@
-//! What readings say of the split, and when the target follows.
+//! The split derived from estimates, and when the target follows it.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use proptest::prelude::*;
 use tokio::time::Instant;
 
-const MEMORY: EngineCapacity = EngineCapacity { memory_tokens: 41_000, slots: 64 };
+const CAPACITY: EngineCapacity = EngineCapacity { memory_tokens: 41_000, slots: 64 };
 
-fn reading(prompt_ms: f64, held_token_s: f64, held_s: f64) -> DemandEstimate {
+fn estimate(prompt_ms: f64, held_token_s: f64, held_s: f64) -> DemandEstimate {
     let prefill_s = prompt_ms / 1000.0;
     DemandEstimate {
         prompts: 50.0,
@@ -23,172 +23,178 @@
     }
 }
 
-struct NeedCase {
+struct RequiredCase {
     name: &'static str,
     engines: usize,
-    reading: DemandEstimate,
-    memory: EngineCapacity,
-    /// Prefill engines, rounded.
-    need: u32,
+    estimate: DemandEstimate,
+    capacity: EngineCapacity,
+    /// Required prefill engines, rounded.
+    required: u32,
 }
 
 #[test]
-fn the_need_follows_from_the_times_of_both_kinds() {
-    let few_slots = EngineCapacity { slots: 4, ..MEMORY };
+fn required_engines_follow_from_prefill_and_decode_times() {
+    let few_slots = EngineCapacity { slots: 4, ..CAPACITY };
     let cases = [
-        NeedCase {
+        RequiredCase {
             name: "prompts and answers of one kind",
             engines: 9,
-            reading: reading(137.0, 13_500.0, 3.6),
-            memory: MEMORY,
-            need: 3,
+            estimate: estimate(137.0, 13_500.0, 3.6),
+            capacity: CAPACITY,
+            required: 3,
         },
-        NeedCase {
+        RequiredCase {
             name: "twice as long prompts",
             engines: 9,
-            reading: reading(274.0, 24_000.0, 3.6),
-            memory: EngineCapacity { memory_tokens: 82_000, ..MEMORY },
-            need: 5,
+            estimate: estimate(274.0, 24_000.0, 3.6),
+            capacity: EngineCapacity { memory_tokens: 82_000, ..CAPACITY },
+            required: 5,
         },
-        NeedCase {
+        RequiredCase {
             name: "twice as long answers",
             engines: 9,
-            reading: reading(137.0, 30_000.0, 7.2),
-            memory: MEMORY,
-            need: 2,
+            estimate: estimate(137.0, 30_000.0, 7.2),
+            capacity: CAPACITY,
+            required: 2,
         },
-        NeedCase {
+        RequiredCase {
             name: "slots run out before memory does",
             engines: 9,
-            reading: reading(137.0, 3_500.0, 3.6),
-            memory: few_slots,
-            need: 1,
+            estimate: estimate(137.0, 3_500.0, 3.6),
+            capacity: few_slots,
+            required: 1,
         },
-        NeedCase {
+        RequiredCase {
             name: "ten times the pool",
             engines: 90,
-            reading: reading(137.0, 13_500.0, 3.6),
-            memory: MEMORY,
-            need: 31,
+            estimate: estimate(137.0, 13_500.0, 3.6),
+            capacity: CAPACITY,
+            required: 31,
         },
-        NeedCase {
+        RequiredCase {
             name: "no prefills",
             engines: 9,
-            reading: reading(0.0, 13_500.0, 3.6),
-            memory: MEMORY,
-            need: 0,
+            estimate: estimate(0.0, 13_500.0, 3.6),
+            capacity: CAPACITY,
+            required: 0,
         },
     ];
     for case in cases {
-        let need = required_prefill_engines(case.engines, &case.reading, case.memory);
-        assert!((need - f64::from(case.need)).abs() <= 0.5, "{}: {need}", case.name);
+        let required = required_prefill_engines(case.engines, &case.estimate, case.capacity);
+        assert!((required - f64::from(case.required)).abs() <= 0.5, "{}: {required}", case.name);
     }
 }
 
 struct TargetCase {
     name: &'static str,
     /// Engines of the pool.
-    all: usize,
+    total: usize,
     from: usize,
-    /// Seconds and the need that is seen then, in order.
-    needs: &'static [(u64, f64)],
+    /// Times in seconds and the number required from then on, in order.
+    required: &'static [(u64, f64)],
     to: usize,
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_target_follows_a_need_that_lasts() {
+async fn the_target_follows_a_lasting_deviation() {
     let cases = [
-        TargetCase { name: "as needed", all: 9, from: 3, needs: &[(0, 3.2), (90, 2.8)], to: 3 },
+        TargetCase {
+            name: "as required",
+            total: 9,
+            from: 3,
+            required: &[(0, 3.2), (90, 2.8)],
+            to: 3,
+        },
         TargetCase {
             name: "one too many, for a while",
-            all: 9,
+            total: 9,
             from: 3,
-            needs: &[(0, 2.0), (2, 2.1)],
+            required: &[(0, 2.0), (2, 2.1)],
             to: 2,
         },
         TargetCase {
             name: "one too many, for a moment",
-            all: 9,
+            total: 9,
             from: 3,
-            needs: &[(0, 2.0), (1, 2.1)],
+            required: &[(0, 2.0), (1, 2.1)],
             to: 3,
         },
         TargetCase {
             name: "within the dead band",
-            all: 9,
+            total: 9,
             from: 3,
-            needs: &[(0, 2.4), (60, 2.4)],
+            required: &[(0, 2.4), (60, 2.4)],
             to: 3,
         },
         TargetCase {
             name: "too few, in a burst",
-            all: 9,
+            total: 9,
             from: 2,
-            needs: &[(0, 4.0), (30, 4.0)],
+            required: &[(0, 4.0), (30, 4.0)],
             to: 2,
         },
         TargetCase {
             name: "too few, for a minute",
-            all: 9,
+            total: 9,
             from: 2,
-            needs: &[(0, 4.0), (60, 4.1)],
+            required: &[(0, 4.0), (60, 4.1)],
             to: 4,
         },
         TargetCase {
-            name: "too few, with a calm moment between",
-            all: 9,
+            name: "too few, interrupted by a calm moment",
+            total: 9,
             from: 2,
-            needs: &[(0, 4.0), (40, 2.0), (60, 4.0), (100, 4.0)],
+            required: &[(0, 4.0), (40, 2.0), (60, 4.0), (100, 4.0)],
             to: 2,
         },
         TargetCase {
-            name: "a large pool, a reading a fifth too low",
-            all: 90,
+            name: "a large pool, an estimate a fifth too low",
+            total: 90,
             from: 30,
-            needs: &[(0, 24.0), (60, 24.0)],
+            required: &[(0, 24.0), (60, 24.0)],
             to: 30,
         },
         TargetCase {
-            name: "a large pool, a third too many: not all the way to one host's reading",
-            all: 90,
+            name: "a large pool, a third too many: does not go all the way to one host's estimate",
+            total: 90,
             from: 30,
-            needs: &[(0, 20.0), (2, 20.0)],
+            required: &[(0, 20.0), (2, 20.0)],
             to: 22,
         },
         TargetCase {
             name: "a large pool, too few for a minute",
-            all: 90,
+            total: 90,
             from: 20,
-            needs: &[(0, 28.0), (60, 28.0)],
+            required: &[(0, 28.0), (60, 28.0)],
             to: 28,
         },
         TargetCase {
             name: "one engine always prefills",
-            all: 9,
+            total: 9,
             from: 2,
-            needs: &[(0, 0.1), (2, 0.1)],
+            required: &[(0, 0.1), (2, 0.1)],
             to: 1,
         },
         TargetCase {
-            name: "one always decodes",
-            all: 9,
+            name: "one engine always decodes",
+            total: 9,
             from: 8,
-            needs: &[(0, 9.0), (60, 9.0)],
+            required: &[(0, 9.0), (60, 9.0)],
             to: 8,
         },
     ];
     for case in cases {
         let start = Instant::now();
         let mut target = SplitTarget::new(case.from);
-        for (at_s, need) in case.needs {
-            target.update(*need, case.all, start + Duration::from_secs(*at_s));
+        for (at_s, required) in case.required {
+            target.update(*required, case.total, start + Duration::from_secs(*at_s));
         }
         assert_eq!(target.prefill_engines, case.to, "{}", case.name);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_tells_both_ends_and_is_told_once() {
+async fn a_change_is_reported_once() {
     let start = Instant::now();
     let mut target = SplitTarget::new(4);
     let second = |at| start + Duration::from_secs(at);
@@ -201,35 +207,43 @@
     #![proptest_config(fixed_cases(256))]
 
     #[test]
-    fn a_need_lies_within_the_pool_and_grows_with_prompts(
+    fn required_engines_are_within_the_pool_and_grow_with_prompts(
         engines in 1..5_000_usize,
-        read_ms in 0.0..10_000.0_f64,
+        prefill_ms in 0.0..10_000.0_f64,
         held_token_s in 0.0..1e9_f64,
         held_s in 0.0..1e4_f64,
         longer in 1.0..10.0_f64,
         tokens in 0..10_000_000_u64,
         slots in 0..4_096_u32,
     ) {
-        let memory = EngineCapacity { memory_tokens: tokens, slots };
-        let need = required_prefill_engines(engines, &reading(read_ms, held_token_s, held_s), memory);
-        let more = required_prefill_engines(engines, &reading(read_ms * longer, held_token_s, held_s), memory);
+        let capacity = EngineCapacity { memory_tokens: tokens, slots };
+        let required = required_prefill_engines(
+            engines,
+            &estimate(prefill_ms, held_token_s, held_s),
+            capacity,
+        );
+        let more = required_prefill_engines(
+            engines,
+            &estimate(prefill_ms * longer, held_token_s, held_s),
+            capacity,
+        );
         #[expect(clippy::cast_precision_loss, reason = "thousands")]
         let all = engines as f64;
-        prop_assert!((0.0..=all).contains(&need), "{need}");
-        prop_assert!(more >= need - 1e-9, "{more} < {need}");
+        prop_assert!((0.0..=all).contains(&required), "{required}");
+        prop_assert!(more >= required - 1e-9, "{more} < {required}");
     }
 
     #[test]
-    fn a_target_leaves_an_engine_for_each_part(
+    fn a_target_leaves_an_engine_for_each_role(
         from in 1..100_usize,
         all in 2..100_usize,
-        needs in prop::collection::vec((0..200_u64, 0.0..100.0_f64), 1..40),
+        numbers in prop::collection::vec((0..200_u64, 0.0..100.0_f64), 1..40),
     ) {
         let mut target = SplitTarget::new(from);
         let mut now = Instant::now();
-        for (pause_s, need) in needs {
+        for (pause_s, required) in numbers {
             now += Duration::from_secs(pause_s);
-            if let Some(change) = target.update(need, all, now) {
+            if let Some(change) = target.update(required, all, now) {
                 prop_assert!(change.to >= 1 && change.to < all, "{change:?} of {all}");
                 prop_assert_ne!(change.from, change.to);
             }
