--- a/crates/dillspool_survival/src/curve.rs
+++ b/crates/dillspool_survival/src/curve.rs
@@ -1,60 +1,60 @@
-//! The estimate of Kaplan and Meier.
+//! The Kaplan-Meier estimator.
 
-/// A life as far as it was seen.
+/// An observed lifetime, which may be right-censored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LifetimeSample {
-    /// Its length until now, in any unit.
+    /// The lifetime up to now, in any unit.
     pub lifetime: f64,
-    /// Whether it has ended; else it goes on.
+    /// Whether it has ended; otherwise the sample is censored.
     pub has_ended: bool,
 }
 
-/// The part of lives that are longer than a length.
+/// The fraction of lifetimes that exceed a given duration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SurvivalCurve {
-    /// Lengths at which lives ended, rising, and the part that lives on behind each.
+    /// Durations at which lifetimes ended, ascending, with the fraction that survives each.
     steps: Vec<(f64, f64)>,
-    /// The longest length that was seen.
+    /// The longest lifetime observed.
     longest: f64,
 }
 
 impl SurvivalCurve {
-    /// Estimates the curve; lives that go on count for as long as they were seen.
+    /// Estimates the curve; samples that have not ended count for as long as they were observed.
     #[expect(clippy::cast_precision_loss, reason = "samples are counted in thousands")]
     pub fn estimate(mut samples: Vec<LifetimeSample>) -> Self {
         samples.sort_by(|a, b| a.lifetime.total_cmp(&b.lifetime));
         let longest = samples.last().map_or(0.0, |sample| sample.lifetime);
-        let (mut left, mut part) = (samples.len(), 1.0);
+        let (mut at_risk, mut surviving) = (samples.len(), 1.0);
         let mut steps = Vec::new();
         for sample in samples {
             if sample.has_ended {
-                part *= 1.0 - 1.0 / left as f64;
-                steps.push((sample.lifetime, part));
+                surviving *= 1.0 - 1.0 / at_risk as f64;
+                steps.push((sample.lifetime, surviving));
             }
-            left -= 1;
+            at_risk -= 1;
         }
         Self { steps, longest }
     }
 
-    /// A curve of known steps: lengths, rising, and the part that lives on behind each.
+    /// A curve from known steps: durations, ascending, with the fraction that survives each.
     pub fn from_steps(steps: Vec<(f64, f64)>) -> Self {
-        let longest = steps.last().map_or(0.0, |(length, _part)| *length);
+        let longest = steps.last().map_or(0.0, |(lifetime, _surviving)| *lifetime);
         Self { steps, longest }
     }
 
-    /// Part of the lives that are longer than a length.
-    pub fn survival_at(&self, length: f64) -> f64 {
-        let after = self.steps.partition_point(|(step, _part)| *step <= length);
-        after.checked_sub(1).map_or(1.0, |step| self.steps[step].1)
+    /// Fraction of the lifetimes that exceed `lifetime`.
+    pub fn survival_at(&self, lifetime: f64) -> f64 {
+        let passed = self.steps.partition_point(|(step, _surviving)| *step <= lifetime);
+        passed.checked_sub(1).map_or(1.0, |step| self.steps[step].1)
     }
 
-    /// Mean length, with those that outlive the longest one seen counted as that long.
+    /// Mean lifetime, where those that outlive the longest observation count as that long.
     pub fn mean(&self) -> f64 {
-        let (mut mean, mut before, mut part) = (0.0, 0.0, 1.0);
-        for (length, after) in &self.steps {
-            mean += part * (length - before);
-            (before, part) = (*length, *after);
+        let (mut mean, mut previous, mut surviving) = (0.0, 0.0, 1.0);
+        for (lifetime, after) in &self.steps {
+            mean += surviving * (lifetime - previous);
+            (previous, surviving) = (*lifetime, *after);
         }
-        mean + part * (self.longest - before)
+        mean + surviving * (self.longest - previous)
     }
 }
--- a/crates/dillspool_survival/src/lib.rs
+++ b/crates/dillspool_survival/src/lib.rs
@@ -1,7 +1,8 @@
-//! How long things last, estimated while some of them still last.
+//! Estimates lifetimes while some of them are still in progress.
 //!
-//! Lives that have ended are short ones at first, and the total time seen over the number of ends holds for
-//! lives without memory only. The estimate of Kaplan and Meier needs neither assumption.
+//! The lifetimes that have ended first are short ones, and dividing the total time observed by the
+//! number of ends is valid for memoryless lifetimes only. The Kaplan-Meier estimator needs neither
+//! assumption.
 
 mod curve;
 
