--- a/crates/dillspool_moment/src/lib.rs
+++ b/crates/dillspool_moment/src/lib.rs
@@ -1,31 +1,31 @@
-//! Moments of a clock that the caller passes in.
+//! Points in time of a clock that the caller passes in.
 
 use std::ops::Add;
 use std::time::Duration;
 
-/// A moment, as the time since the caller's own origin.
+/// A point in time, as the time since the origin of the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(Duration);
 
 impl Moment {
-    /// The moment so long after the origin.
+    /// The point `time` after the origin.
     pub fn after_origin(time: Duration) -> Self {
         Self(time)
     }
 
-    /// The moment so long before; not before the origin.
+    /// Subtracts `time`, saturating at the origin.
     #[must_use]
     pub fn saturating_sub(self, time: Duration) -> Self {
         Self(self.0.saturating_sub(time))
     }
 
-    /// The moment so long before; `None` if that is before the origin.
+    /// Subtracts `time`; `None` if the result would be before the origin.
     #[must_use]
     pub fn checked_sub(self, time: Duration) -> Option<Self> {
         self.0.checked_sub(time).map(Self)
     }
 
-    /// Time since an earlier moment; zero if it is not earlier.
+    /// Time elapsed since `earlier`; zero if it is not earlier.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
