--- a/crates/dillspool_forward/src/context.rs
+++ b/crates/dillspool_forward/src/context.rs
@@ -66,7 +66,7 @@
     }
 
     /// The scheduled backend server, if it accepts new requests as far as this host knows. A scheduler that is
-    /// partitioned from the store may have older data; a decision that is overruled for it is logged and counted.
+    /// partitioned from the store may decide on older data. Overruled decisions are logged and counted.
     pub(crate) fn ready_entry(
         &self,
         request: &RoutedRequest,
--- a/crates/dillspool_forward/src/generate.rs
+++ b/crates/dillspool_forward/src/generate.rs
@@ -72,8 +72,8 @@
     Failure(Response<ResponseBody>),
 }
 
-/// A request that a decode engine responded to.
-struct AcceptedRequest {
+/// An attempt that a decode engine responded to.
+struct SentAttempt {
     entry: Arc<BackendEntry>,
     ticket: StreamTicket,
     /// Whether the decode engine prefills the prompt itself.
@@ -209,8 +209,8 @@
                 Some(prepared) => prepared,
                 None => self.prepare().await?,
             };
-            if let Some(end) = self.send(prepared).await? {
-                return Ok(end);
+            if let Some(outcome) = self.send(prepared).await? {
+                return Ok(outcome);
             }
         }
     }
@@ -221,17 +221,17 @@
         if !self.may_have_run && matches!(decision, SuspectDecision::Refused { .. }) {
             return Refusal::new(RefusalCause::Deadly);
         }
-        let over = self.request.remaining().is_zero();
-        match (self.may_have_run, over) {
+        let is_past_deadline = self.request.remaining().is_zero();
+        match (self.may_have_run, is_past_deadline) {
             (true, true) => Refusal::new(RefusalCause::TimedOut),
             (true, false) => Refusal::new(RefusalCause::Unknown),
             (false, true) => Refusal::new(RefusalCause::TooLateNotRun),
-            (false, false) => retry_after_random(RefusalCause::NotRun, NOT_RUN_RETRY_AFTER_MS),
+            (false, false) => refusal_with_jitter(RefusalCause::NotRun, NOT_RUN_RETRY_AFTER_MS),
         }
     }
 }
 
-fn retry_after_random(cause: RefusalCause, range: std::ops::Range<u64>) -> Refusal {
+fn refusal_with_jitter(cause: RefusalCause, range: std::ops::Range<u64>) -> Refusal {
     let after = rand::rng().random_range(range);
     Refusal::with_retry_after(cause, Duration::from_millis(after))
 }
--- a/crates/dillspool_forward/src/generate/prepare.rs
+++ b/crates/dillspool_forward/src/generate/prepare.rs
@@ -70,8 +70,8 @@
     /// Requests that miss their objective in any case, as when many callers retry at once, yield to those
     /// that can meet theirs.
     fn priority(&self) -> WorkPriority {
-        let under_way = !self.is_before_first_event();
-        if self.request.is_past_objective() && !under_way {
+        let is_streaming = !self.is_before_first_event();
+        if self.request.is_past_objective() && !is_streaming {
             WorkPriority::Late
         } else {
             WorkPriority::Normal
@@ -126,10 +126,12 @@
     /// Longest useful wait for engines: callers disconnect after some time without an event.
     fn max_wait(&self) -> Duration {
         let route = &self.request.route;
-        let silence = (route.objective * CALLER_SILENCE_OBJECTIVES).max(MIN_CALLER_SILENCE);
-        let silence =
-            route.max_event_gap.map_or(silence, |it| silence.max(it * CALLER_SILENCE_EVENT_GAPS));
-        let remaining = self.request.remaining().min(silence.saturating_sub(self.request.age()));
+        let max_silence = (route.objective * CALLER_SILENCE_OBJECTIVES).max(MIN_CALLER_SILENCE);
+        let max_silence = route
+            .max_event_gap
+            .map_or(max_silence, |it| max_silence.max(it * CALLER_SILENCE_EVENT_GAPS));
+        let remaining =
+            self.request.remaining().min(max_silence.saturating_sub(self.request.age()));
         self.engine_wait_deadline.map_or(remaining, |until| {
             remaining.min(until.saturating_duration_since(Instant::now()))
         })
@@ -138,8 +140,8 @@
     /// Places a stream like a plain request, for services whose backend servers have no stages.
     async fn place_without_stages(&self, view: &DirectoryView) -> Result<Placement, Refusal> {
         let (context, request) = (&self.context, &self.request);
-        let choose = || context.picker(view).pick_plain(&request.service, &self.tried);
-        if let Some((entry, _permit)) = pick_with_permit(context, request, choose).await {
+        let pick = || context.picker(view).pick_plain(&request.service, &self.tried);
+        if let Some((entry, _permit)) = pick_with_permit(context, request, pick).await {
             return Ok(Placement::without_reservation(context, entry));
         }
         let none = Refusal::with_retry_after(RefusalCause::NoBackend, NO_ENGINE_RETRY_AFTER);
--- a/crates/dillspool_forward/src/generate/send.rs
+++ b/crates/dillspool_forward/src/generate/send.rs
@@ -10,7 +10,7 @@
 use dillspool_scheduler::DeskNote;
 use hyper::{HeaderMap, Response, StatusCode};
 
-use super::{AcceptedRequest, ModelRequest, OpenOutcome, OpenStream, PreparedAttempt};
+use super::{ModelRequest, OpenOutcome, OpenStream, PreparedAttempt, SentAttempt};
 use crate::backend_probe::spawn_failure_probe;
 use crate::calls::{BackendResponse, CallError, ForwardParams};
 use crate::context::RESTARTED_CAUSE;
@@ -35,7 +35,7 @@
         let Placement { entry, reserved_tokens, mut reservation, ticket, prefill: _ } = placement;
         let params = ForwardParams {
             time_budget: self.request.remaining(),
-            reservation: reservation.reservation.clone(),
+            reservation: reservation.id.clone(),
             prefilled: prefill.prefilled.clone(),
             resume_after: self.last_event,
         };
@@ -47,12 +47,12 @@
             return Ok(None);
         }
         self.attempts += 1;
-        reservation.reservation = None;
+        reservation.id = None;
         prefill.prefilled = None;
         match sent {
             Ok(response) => {
-                let accepted = AcceptedRequest { entry, ticket, read_at_decode };
-                self.handle_response_head(accepted, response).await
+                let sent = SentAttempt { entry, ticket, read_at_decode };
+                self.handle_response_head(sent, response).await
             }
             Err(CallError::Refused { status }) => {
                 self.record_refused_reservation(&entry, &ticket, status);
@@ -74,8 +74,8 @@
             return false;
         }
         let view = self.context.view();
-        let prefiller = prepared.prefill.prefilled.as_ref().map(|prefilled| &prefilled.engine);
-        let mut engines = iter::once(decode).chain(prefiller);
+        let prefill_engine = prepared.prefill.prefilled.as_ref().map(|prefilled| &prefilled.engine);
+        let mut engines = iter::once(decode).chain(prefill_engine);
         let lost = engines.find(|engine| view.has_restarted(engine));
         if let Some(lost) = lost {
             // The restart lost the reservation or the prefill's result.
@@ -119,10 +119,10 @@
 
     async fn handle_response_head(
         &mut self,
-        sent: AcceptedRequest,
+        sent: SentAttempt,
         response: BackendResponse,
     ) -> Result<Option<OpenOutcome>, Refusal> {
-        let AcceptedRequest { entry, ticket, read_at_decode } = sent;
+        let SentAttempt { entry, ticket, read_at_decode } = sent;
         if response.did_not_run {
             self.record_refused_reservation(&entry, &ticket, response.status);
             return Ok(None);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// An engine's failure response, for the caller.
+    /// Records an engine's failure and builds its response for the caller.
     fn relay_failure(
         &self,
         entry: &BackendEntry,
--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -33,29 +33,30 @@
 pub(crate) struct ReservationGuard {
     context: ForwardContext,
     entry: Arc<BackendEntry>,
-    pub(crate) reservation: Option<Name>,
+    /// Id of the reservation at its engine.
+    pub(crate) id: Option<Name>,
 }
 
 impl ReservationGuard {
     /// A guard without a reservation, for backend servers that have no memory to reserve.
     pub(crate) fn empty(context: &ForwardContext, entry: &Arc<BackendEntry>) -> Self {
-        Self { context: context.clone(), entry: Arc::clone(entry), reservation: None }
+        Self { context: context.clone(), entry: Arc::clone(entry), id: None }
     }
 }
 
 impl Drop for ReservationGuard {
     fn drop(&mut self) {
-        let Some(reservation) = self.reservation.take() else { return };
+        let Some(reservation) = self.id.take() else { return };
         if !should_release(&self.context, &self.entry) {
             return;
         }
         let release =
             (self.context.calls.release_reservation)(Arc::clone(&self.entry), reservation);
-        let id = BackendId::clone(&self.entry.id);
+        let backend = BackendId::clone(&self.entry.id);
         self.context.tasks.spawn(async move {
             // A reservation that is not released expires.
             if let Err(error) = release.await {
-                log::debug!("event=hold_not_released backend={id} cause=\"{error}\"");
+                log::debug!("event=hold_not_released backend={backend} cause=\"{error}\"");
             }
         });
     }
@@ -251,7 +252,7 @@
     let reservation = ReservationGuard {
         context: context.clone(),
         entry: Arc::clone(&entry),
-        reservation: Some(reservation),
+        id: Some(reservation),
     };
     let ticket = StreamTicket { schedule: Some(ticket), _load: None };
     Placement { entry, reserved_tokens, prefill: placement.prefill_engine, reservation, ticket }
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -282,12 +282,12 @@
         Ok(Ok((status, headers, BufferedBody::Complete(body)))) => {
             SendOutcome::Whole(WholeAnswer { status, headers, body })
         }
-        Ok(Ok((status, headers, BufferedBody::Partial(parts, body)))) => {
+        Ok(Ok((status, headers, BufferedBody::Partial(chunks, body)))) => {
             let entry = Arc::clone(entry);
             let answer = PartialResponse {
                 status,
                 headers,
-                parts,
+                chunks,
                 body,
                 entry,
                 _ticket: ticket,
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -20,10 +20,11 @@
 use crate::trace::log_retry_budget_exhausted;
 
 /// Longest wait for a prefill; an engine processes its queued prompts one after another. The engine may
-/// still compute an abandoned prefill, which wastes nearly as much work as its response is worth.
+/// still compute an abandoned prefill, which costs nearly as much as a useful response.
 const PREFILL_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Request age from which a failed prefill is not retried, since the first event would be late.
 const MAX_AGE_FOR_RETRY: Duration = Duration::from_millis(700);
+
 /// The result of a prefill; dropping it releases the result unless it was used.
 pub(crate) struct PrefillGuard {
     context: ForwardContext,
@@ -85,22 +86,22 @@
             next = next_prefill_engine(context, request, placement, priority, &tried).await;
             continue;
         };
-        let Some(send) = acquire_permit(context, request, &entry, REQUEST_COST).await else {
+        let Some(send_permit) = acquire_permit(context, request, &entry, REQUEST_COST).await else {
             if tried.len() >= MAX_BLOCKED_BACKENDS {
                 return None;
             }
             next = next_prefill_engine(context, request, placement, priority, &tried).await;
             continue;
         };
-        let Some(permit) = context.budgets.reserve(&request.service) else {
+        let Some(retry) = context.budgets.reserve(&request.service) else {
             log_retry_budget_exhausted(request, &context.budgets);
-            send.refund();
+            send_permit.refund();
             return None;
         };
         let started = Instant::now();
         let error = match request_prefill(context, request, &entry, priority).await {
             Ok(prefilled) => {
-                permit.release();
+                retry.release();
                 placement.ticket.record(&DeskNote::Prefilled { took: started.elapsed() });
                 return Some(prefilled);
             }
@@ -114,7 +115,7 @@
         );
         placement.ticket.record_fault(&entry, prefill_fault(&error));
         if matches!(error, CallError::NotSent { .. }) {
-            send.refund();
+            send_permit.refund();
         }
         if matches!(error, CallError::Lost { .. }) {
             let mut probe = Some(spawn_failure_probe(context, request, &entry));
@@ -122,7 +123,7 @@
                 return None;
             }
         }
-        if !settle_failed_prefill(context, request, &error, permit) {
+        if !settle_failed_prefill(context, request, &error, retry) {
             return None;
         }
         next = next_prefill_engine(context, request, placement, priority, &tried).await;
@@ -177,23 +178,23 @@
     context: &ForwardContext,
     request: &RoutedRequest,
     error: &CallError,
-    permit: RetryReservation,
+    retry: RetryReservation,
 ) -> bool {
     let in_time = request.age() < MAX_AGE_FOR_RETRY;
     match error {
         CallError::NotSent { .. } => {
-            permit.release();
+            retry.release();
             in_time
         }
         CallError::Refused { .. } => {
-            permit.record_refusal();
+            retry.record_refusal();
             in_time
         }
         CallError::Lost { .. } => {
             // Only one retry is charged: the next prefill if it is allowed, otherwise this one.
             let again = in_time && context.budgets.try_withdraw(&request.service);
             if again {
-                permit.release();
+                retry.release();
             }
             again
         }
--- a/crates/dillspool_forward/src/relay.rs
+++ b/crates/dillspool_forward/src/relay.rs
@@ -29,6 +29,7 @@
 
 /// Result of reading on for the caller.
 enum NextPart {
+    /// Events for the caller.
     Events(Bytes),
     End,
     /// The engine's stream is unusable, for this cause.
--- a/crates/dillspool_forward/src/response_body.rs
+++ b/crates/dillspool_forward/src/response_body.rs
@@ -55,17 +55,17 @@
             .map(BufferedBody::Complete);
     }
     let mut body = body;
-    let mut parts = ChargedChunks::default();
-    while parts.length <= terms.answer_bytes {
+    let mut chunks = ChargedChunks::default();
+    while chunks.length <= terms.answer_bytes {
         match next_chunk(&request.held_bytes, &mut body).await? {
-            Some((bytes, guard)) => parts.push(bytes, guard),
-            None => return Ok(BufferedBody::Complete(parts.join())),
+            Some((bytes, guard)) => chunks.push(bytes, guard),
+            None => return Ok(BufferedBody::Complete(chunks.join())),
         }
     }
     if body.is_end_stream() {
-        return Ok(BufferedBody::Complete(parts.join()));
+        return Ok(BufferedBody::Complete(chunks.join()));
     }
-    Ok(BufferedBody::Partial(parts.into_chunks(), body))
+    Ok(BufferedBody::Partial(chunks.into_bytes(), body))
 }
 
 /// Reads the complete body of a response of at most `limit` bytes and charges its bytes as they arrive.
@@ -77,14 +77,14 @@
     if held.terms().is_none() {
         return read_response_body(body, limit).await;
     }
-    let mut parts = ChargedChunks::default();
+    let mut chunks = ChargedChunks::default();
     while let Some((bytes, guard)) = next_chunk(held, &mut body).await? {
-        parts.push(bytes, guard);
-        if parts.length > limit {
+        chunks.push(bytes, guard);
+        if chunks.length > limit {
             return Err(format!("the body is over {limit} bytes").into());
         }
     }
-    Ok(parts.join())
+    Ok(chunks.join())
 }
 
 /// The next chunk of a body, once it fits into the byte budget.
@@ -104,28 +104,28 @@
 
 #[derive(Default)]
 struct ChargedChunks {
-    parts: VecDeque<(Bytes, ByteGuard)>,
+    chunks: VecDeque<(Bytes, ByteGuard)>,
     length: usize,
 }
 
 impl ChargedChunks {
     fn push(&mut self, bytes: Bytes, guard: ByteGuard) {
         self.length += bytes.len();
-        self.parts.push_back((bytes, guard));
+        self.chunks.push_back((bytes, guard));
     }
 
-    fn into_chunks(self) -> VecDeque<Bytes> {
-        self.parts.into_iter().map(|(bytes, guard)| guard.attach(bytes)).collect()
+    fn into_bytes(self) -> VecDeque<Bytes> {
+        self.chunks.into_iter().map(|(bytes, guard)| guard.attach(bytes)).collect()
     }
 
     fn join(mut self) -> Bytes {
-        let Some((first, mut guard)) = self.parts.pop_front() else { return Bytes::new() };
-        if self.parts.is_empty() {
+        let Some((first, mut guard)) = self.chunks.pop_front() else { return Bytes::new() };
+        if self.chunks.is_empty() {
             return guard.attach(first);
         }
         let mut joined = BytesMut::with_capacity(self.length);
         joined.extend_from_slice(&first);
-        for (bytes, other) in self.parts {
+        for (bytes, other) in self.chunks {
             joined.extend_from_slice(&bytes);
             guard.merge(other);
         }
@@ -137,7 +137,7 @@
 pub(crate) struct PartialResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    pub(crate) parts: VecDeque<Bytes>,
+    pub(crate) chunks: VecDeque<Bytes>,
     pub(crate) body: ResponseBody,
     pub(crate) entry: Arc<BackendEntry>,
     /// Held until the last byte is read.
@@ -164,7 +164,7 @@
         *response.headers_mut() = self.headers.clone();
         // The caller detects a truncated response by its length, or else by its missing last chunk.
         response.headers_mut().remove(CONTENT_LENGTH);
-        let read: u64 = self.parts.iter().map(|part| part.len() as u64).sum();
+        let read: u64 = self.chunks.iter().map(|chunk| chunk.len() as u64).sum();
         if let Some(left) = self.body.size_hint().exact() {
             response.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(read + left));
         }
@@ -238,21 +238,21 @@
             };
             self.caller_stalled += request.clock.since(since);
             let Ok(permit) = permit else { return RelayOutcome::CallerGone };
-            if let Some(part) = self.response.parts.pop_front() {
-                permit.send(Ok(part));
+            if let Some(chunk) = self.response.chunks.pop_front() {
+                permit.send(Ok(chunk));
                 continue;
             }
-            let part = tokio::select! {
+            let chunk = tokio::select! {
                 biased;
                 cause = &mut cutoff => return RelayOutcome::Broken(cause.to_owned()),
                 () = sender.closed() => return RelayOutcome::CallerGone,
-                part = next_chunk(&request.held_bytes, &mut self.response.body) => part,
+                chunk = next_chunk(&request.held_bytes, &mut self.response.body) => chunk,
                 () = tokio::time::sleep(stall) => {
                     request.held_bytes.note_stalled(StalledSide::Backend);
                     return RelayOutcome::Broken(format!("no data for {stall:?}"));
                 }
             };
-            match part {
+            match chunk {
                 Ok(Some((bytes, guard))) => permit.send(Ok(guard.attach(bytes))),
                 Ok(None) => return RelayOutcome::Complete,
                 Err(error) => return RelayOutcome::Broken(error.to_string()),
