--- a/crates/dillspool_forward/src/handle.rs
+++ b/crates/dillspool_forward/src/handle.rs
@@ -49,7 +49,7 @@
                     }
                     Ok(response)
                 }
-                Ok(PlainResponse::Streamed(response)) => {
+                Ok(PlainResponse::Partial(response)) => {
                     Ok(response.relay(&context, &request, trace, copy))
                 }
                 Err(refusal) => Err((refusal, trace)),
