--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -292,12 +292,12 @@
         Ok(Ok((status, headers, BufferedBody::Complete(body)))) => {
             AttemptOutcome::Complete(CompleteResponse { status, headers, body })
         }
-        Ok(Ok((status, headers, BufferedBody::Partial(parts, body)))) => {
+        Ok(Ok((status, headers, BufferedBody::Partial(chunks, body)))) => {
             let entry = Arc::clone(entry);
             let response = PartialResponse {
                 status,
                 headers,
-                parts,
+                chunks,
                 body,
                 entry,
                 _ticket: load_guard,
