--- a/crates/dillspool_forward/tests/admission.rs
+++ b/crates/dillspool_forward/tests/admission.rs
@@ -92,18 +92,18 @@
         generation.expected_output_tokens = case.hint;
     }
     let started = tokio::time::Instant::now();
-    let answer = handle_request(context, routed).await;
+    let response = handle_request(context, routed).await;
     let status = if case.placed.is_some() { 200 } else { 503 };
-    assert_eq!(answer.status().as_u16(), status, "{}", case.name);
+    assert_eq!(response.status().as_u16(), status, "{}", case.name);
     assert!(started.elapsed() < Duration::from_millis(75), "{}: decided at once", case.name);
-    let has_retry_after = answer.headers().contains_key("retry-after");
+    let has_retry_after = response.headers().contains_key("retry-after");
     assert_eq!(
         has_retry_after,
         case.placed.is_none(),
         "{}: it has a Retry-After header",
         case.name
     );
-    drop(answer);
+    drop(response);
     tasks.close();
     tasks.wait().await;
     let record = site.record.lock().unwrap();
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub backend: String,
-    pub terms: ForwardParams,
+    pub params: ForwardParams,
     pub at: Instant,
 }
 
@@ -99,9 +99,9 @@
     /// Backends that refuse reservations.
     pub full: Arc<Mutex<Vec<String>>>,
     /// Backends that have crashed and refuse connections.
-    pub ended: Arc<Mutex<Vec<String>>>,
+    pub crashed: Arc<Mutex<Vec<String>>>,
     /// Backends whose machines do not respond to connections.
-    pub unclear: Arc<Mutex<Vec<String>>>,
+    pub unresponsive: Arc<Mutex<Vec<String>>>,
     /// Called when a backend server receives a request.
     pub arrival_hook: Arc<Mutex<Option<ArrivalHook>>>,
     /// Backends whose address now belongs to another backend.
@@ -198,13 +198,13 @@
         let (reservation_releaser, prefill_releaser) = (self.clone(), self.clone());
         let prober = self.clone();
         BackendCalls {
-            forward: Arc::new(move |entry, _request, terms| {
+            forward: Arc::new(move |entry, _request, params| {
                 let site = site.clone();
                 Box::pin(async move {
                     let step = site.next_step(&entry.id);
                     if !matches!(step, Step::Unreachable) {
                         let arrival =
-                            Arrival { backend: entry.id.to_string(), terms, at: Instant::now() };
+                            Arrival { backend: entry.id.to_string(), params, at: Instant::now() };
                         site.record.lock().unwrap().arrivals.push(arrival);
                     }
                     if let Some(hook) = &*site.arrival_hook.lock().unwrap() {
@@ -213,13 +213,13 @@
                     play(step).await
                 })
             }),
-            prefill: Arc::new(move |engine, request, terms| {
+            prefill: Arc::new(move |engine, request, params| {
                 let site = prefiller.clone();
                 Box::pin(async move {
                     {
                         let mut record = site.record.lock().unwrap();
                         record.prefills.push(engine.id.to_string());
-                        record.priorities.push(terms.priority);
+                        record.priorities.push(params.priority);
                     }
                     let takes = *site.prefill_takes.lock().unwrap();
                     tokio::time::sleep(takes).await;
@@ -233,7 +233,7 @@
                     Ok(PrefilledPrompt { engine, handle: "handle".into(), tokens })
                 })
             }),
-            reserve: Arc::new(move |entry, terms| {
+            reserve: Arc::new(move |entry, params| {
                 let site = reserver.clone();
                 Box::pin(async move {
                     site.record.lock().unwrap().reservation_requests.push(entry.id.to_string());
@@ -244,14 +244,14 @@
                         return Err(CallError::Refused { status: StatusCode::SERVICE_UNAVAILABLE });
                     }
                     if let Some(free) = site.memory.lock().unwrap().get_mut(&*entry.id) {
-                        let Some(left) = free.checked_sub(terms.tokens) else {
+                        let Some(left) = free.checked_sub(params.tokens) else {
                             let status = StatusCode::SERVICE_UNAVAILABLE;
                             return Err(CallError::Refused { status });
                         };
                         *free = left;
                     }
                     let mut record = site.record.lock().unwrap();
-                    record.reservations.push((entry.id.to_string(), terms.tokens));
+                    record.reservations.push((entry.id.to_string(), params.tokens));
                     Ok(format!("hold-{}", record.reservations.len()).into())
                 })
             }),
@@ -271,9 +271,9 @@
             }),
             probe: Arc::new(move |entry| {
                 let id = entry.id.to_string();
-                let ended = prober.ended.lock().unwrap().contains(&id);
-                let unclear = prober.unclear.lock().unwrap().contains(&id);
-                let result = match (ended, unclear) {
+                let crashed = prober.crashed.lock().unwrap().contains(&id);
+                let unresponsive = prober.unresponsive.lock().unwrap().contains(&id);
+                let result = match (crashed, unresponsive) {
                     (true, _) => ProbeResult::Refused,
                     (false, true) => ProbeResult::NoResponse,
                     (false, false) => ProbeResult::Reachable,
@@ -364,23 +364,23 @@
         Step::Unreachable => Err(CallError::NotSent { reason: "unreachable".to_owned() }),
         Step::Lost => Err(CallError::Lost { reason: "reset".to_owned() }),
         Step::Silent => std::future::pending().await,
-        Step::Stream(parts) => {
-            Ok(BackendResponse { body: chunked_body(parts, true), ..complete(200, "") })
+        Step::Stream(chunks) => {
+            Ok(BackendResponse { body: chunked_body(chunks, true), ..complete(200, "") })
         }
-        Step::Broken(parts) => {
-            Ok(BackendResponse { body: chunked_body(parts, false), ..complete(200, "") })
+        Step::Broken(chunks) => {
+            Ok(BackendResponse { body: chunked_body(chunks, false), ..complete(200, "") })
         }
-        Step::Paced(parts) => {
-            Ok(BackendResponse { body: paced_body(parts, Duration::ZERO), ..complete(200, "") })
+        Step::Paced(chunks) => {
+            Ok(BackendResponse { body: paced_body(chunks, Duration::ZERO), ..complete(200, "") })
         }
         Step::StalledFailure(status) => {
             let body = paced_body(vec![(0, "part")], Duration::from_mins(10));
             Ok(BackendResponse { body, ..complete(status, "") })
         }
-        Step::Stalled(parts) => {
-            let parts = parts.into_iter().map(|part| (0, part)).collect();
+        Step::Stalled(chunks) => {
+            let chunks = chunks.into_iter().map(|chunk| (0, chunk)).collect();
             Ok(BackendResponse {
-                body: paced_body(parts, Duration::from_mins(10)),
+                body: paced_body(chunks, Duration::from_mins(10)),
                 ..complete(200, "")
             })
         }
--- a/crates/dillspool_forward/tests/late_causes.rs
+++ b/crates/dillspool_forward/tests/late_causes.rs
@@ -122,8 +122,8 @@
             let (context, _directory) = site.context(pool());
             let mut routed = request(RequestKind::Streaming, 2, true);
             (case.change)(&mut routed);
-            let answer = handle_request(context, routed).await;
-            read_response_body(answer.into_body(), 10_000).await.expect("a complete stream");
+            let response = handle_request(context, routed).await;
+            read_response_body(response.into_body(), 10_000).await.expect("a complete stream");
         });
         let lines = CAPTURE.lines.lock().unwrap();
         let last = lines.last().expect("a last line");
--- a/crates/dillspool_forward/tests/log_lines.rs
+++ b/crates/dillspool_forward/tests/log_lines.rs
@@ -72,8 +72,8 @@
             let part = PromptPart { id: secrets.part.as_str().into(), tokens: 1000 };
             generation.prompt_parts.push(part);
         }
-        let answer = handle_request(context, routed).await;
-        let _complete_or_broken = read_response_body(answer.into_body(), 10_000).await;
+        let response = handle_request(context, routed).await;
+        let _complete_or_broken = read_response_body(response.into_body(), 10_000).await;
     });
     CAPTURE.lines.lock().unwrap().clone()
 }
--- a/crates/dillspool_forward/tests/long_responses.rs
+++ b/crates/dillspool_forward/tests/long_responses.rs
@@ -73,9 +73,10 @@
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
         let budget = budget();
-        let answer = handle_request(context.clone(), budgeted_request(&budget, case.kind, 2)).await;
-        assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
-        let (body, is_complete) = read_chunks(answer.into_body()).await;
+        let response =
+            handle_request(context.clone(), budgeted_request(&budget, case.kind, 2)).await;
+        assert_eq!(response.status().as_u16(), case.status, "{}", case.name);
+        let (body, is_complete) = read_chunks(response.into_body()).await;
         let expected = if case.name == "long" { format!("{LONG}b") } else { case.body.to_owned() };
         if case.status < 502 {
             assert_eq!(body, expected, "{}", case.name);
@@ -118,7 +119,7 @@
     is_complete: bool,
 }
 
-/// The deadline and a restart of the backend server apply until the last byte is read.
+/// A relayed response counts as load, and ends at the deadline or a restart, until its last byte is read.
 #[tokio::test(start_paused = true)]
 async fn relaying_ends_at_the_deadline_a_restart_or_a_disconnect() {
     let case = |name, reads_after_ms, restarts, is_complete| RelayCase {
@@ -141,9 +142,9 @@
         backend.start = Some(BackendStart(1));
         let (context, directory) = site.context(view([backend.clone()]));
         let budget = budget();
-        let answer =
+        let response =
             handle_request(context.clone(), budgeted_request(&budget, NonIdempotent, 1)).await;
-        let mut body = answer.into_body();
+        let mut body = response.into_body();
         let first = body.frame().await.expect("a chunk").expect("no break");
         assert_eq!(first.into_data().expect("data"), Bytes::from(LONG), "{}", case.name);
         if case.restarts {
@@ -179,13 +180,13 @@
         let budget = budget();
         let routed = budgeted_request(&budget, NonIdempotent, 1);
         let unbounded = request(NonIdempotent, 1, false);
-        let answer = handle_request(context, if is_bounded { routed } else { unbounded }).await;
+        let response = handle_request(context, if is_bounded { routed } else { unbounded }).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         let before = taken.load(Ordering::Relaxed);
         assert!(before <= max_taken, "{before} chunks taken");
         let held = budget.read().most_held;
         assert!(held <= 2 * LONG.len() as u64, "{held}");
-        let (text, is_complete) = read_chunks(answer.into_body()).await;
+        let (text, is_complete) = read_chunks(response.into_body()).await;
         assert!(is_complete && text.len() == 60 * LONG.len());
     }
 }
@@ -236,9 +237,9 @@
         site.script("first", [first.clone()]);
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
-        let answer = handle_request(context, request(Idempotent, 2, false)).await;
-        assert_eq!(answer.status().as_u16(), status);
-        let body = read_response_body(answer.into_body(), 1_000_000).await.expect("whole");
+        let response = handle_request(context, request(Idempotent, 2, false)).await;
+        assert_eq!(response.status().as_u16(), status);
+        let body = read_response_body(response.into_body(), 1_000_000).await.expect("whole");
         assert_eq!(body.len(), if arrivals == 1 { long.len() } else { 2 });
         assert_eq!(site.record.lock().unwrap().arrivals.len(), arrivals);
     }
@@ -253,6 +254,6 @@
     let budget = budget();
     let routed =
         RoutedRequest { accepts_chunked: false, ..budgeted_request(&budget, NonIdempotent, 1) };
-    let answer = handle_request(context, routed).await;
-    assert_eq!(answer.status().as_u16(), 502);
+    let response = handle_request(context, routed).await;
+    assert_eq!(response.status().as_u16(), 502);
 }
--- a/crates/dillspool_forward/tests/plain.rs
+++ b/crates/dillspool_forward/tests/plain.rs
@@ -101,7 +101,7 @@
     let answer = handle_request(context, request(Idempotent, 2, false)).await;
     assert_eq!(answer.status().as_u16(), 200);
     let record = site.record.lock().unwrap();
-    let budgets: Vec<_> = record.arrivals.iter().map(|it| it.terms.time_budget).collect();
+    let budgets: Vec<_> = record.arrivals.iter().map(|it| it.params.time_budget).collect();
     assert_eq!(budgets, [Duration::from_secs(3), Duration::from_millis(1500)]);
 }
 
--- a/crates/dillspool_forward/tests/prefills.rs
+++ b/crates/dillspool_forward/tests/prefills.rs
@@ -106,13 +106,13 @@
     context.budgets.set_host_count(1);
     for _request in 0..2 {
         let routed = request(RequestKind::Streaming, 1, false);
-        let answer = handle_request(context.clone(), routed).await;
-        assert_eq!(answer.status().as_u16(), 200, "{}", case.name);
+        let response = handle_request(context.clone(), routed).await;
+        assert_eq!(response.status().as_u16(), 200, "{}", case.name);
     }
     let record = site.record.lock().unwrap();
     assert_eq!(record.prefills, case.asked, "{}", case.name);
     let prefilled: Vec<bool> =
-        record.arrivals.iter().map(|arrival| arrival.terms.prefilled.is_some()).collect();
+        record.arrivals.iter().map(|arrival| arrival.params.prefilled.is_some()).collect();
     assert_eq!(prefilled, case.prefilled, "{}", case.name);
 }
 
@@ -160,8 +160,8 @@
                 routed.route = route.into();
                 handle_request(context.clone(), routed)
             });
-            for answer in futures_util::future::join_all(all).await {
-                assert_eq!(answer.status(), StatusCode::OK, "{}", case.name);
+            for response in futures_util::future::join_all(all).await {
+                assert_eq!(response.status(), StatusCode::OK, "{}", case.name);
             }
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
@@ -225,8 +225,8 @@
         context.directory = directory;
         let mut registry = Registry::default();
         context.metrics.register(&mut registry);
-        let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
-        assert_eq!(answer.status().as_u16(), 200, "{}", case.name);
+        let response = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
+        assert_eq!(response.status().as_u16(), 200, "{}", case.name);
         let record = site.record.lock().unwrap();
         let reservations = record.reservations.iter().map(|(backend, _tokens)| backend.as_str());
         let sends = record.arrivals.iter().map(|arrival| arrival.backend.as_str());
--- a/crates/dillspool_forward/tests/priorities.rs
+++ b/crates/dillspool_forward/tests/priorities.rs
@@ -68,8 +68,8 @@
             let mut routed = request(RequestKind::Streaming, 2, true);
             routed.spent_before = Duration::from_millis(case.spent_before_ms);
             routed.resume_after = case.resume_after;
-            let answer = handle_request(context, routed).await;
-            read_response_body(answer.into_body(), 10_000).await.expect("a complete stream");
+            let response = handle_request(context, routed).await;
+            read_response_body(response.into_body(), 10_000).await.expect("a complete stream");
             assert_eq!(site.record.lock().unwrap().priorities, case.priorities, "{}", case.name);
         });
     }
--- a/crates/dillspool_forward/tests/restarts.rs
+++ b/crates/dillspool_forward/tests/restarts.rs
@@ -130,13 +130,13 @@
     for case in cases() {
         let site = ScriptedSite::default();
         let is_pool = case.kind == RequestKind::Streaming;
-        let answer = if is_pool { Step::Stream(vec![TWO]) } else { Step::Answer(200, "ok") };
+        let response = if is_pool { Step::Stream(vec![TWO]) } else { Step::Answer(200, "ok") };
         for id in ["one", "two"] {
             let fresh = matches!(case.step, Step::Stream(_));
             let steps = if fresh {
                 vec![case.step.clone()]
             } else {
-                vec![case.step.clone(), answer.clone()]
+                vec![case.step.clone(), response.clone()]
             };
             site.script(id, steps);
         }
@@ -151,9 +151,9 @@
             std::future::pending::<()>().await;
         });
         let routed = request(case.kind, case.attempts, case.resumable);
-        let answer = handle_request(context, routed).await;
-        let status = answer.status().as_u16();
-        let body = read_response_body(answer.into_body(), 1000).await.ok();
+        let response = handle_request(context, routed).await;
+        let status = response.status().as_u16();
+        let body = read_response_body(response.into_body(), 1000).await.ok();
         let body = body.map(|bytes| String::from_utf8(bytes.to_vec()).unwrap());
         let took = started.elapsed();
         assert_eq!(status, case.status, "{}", case.name);
@@ -167,7 +167,7 @@
         for arrival in &record.arrivals {
             let sent_later = arrival.at - started >= Duration::from_millis(case.at_ms);
             let prefiller =
-                arrival.terms.prefilled.as_ref().map(|it| (&*it.engine.id, it.engine.start));
+                arrival.params.prefilled.as_ref().map(|it| (&*it.engine.id, it.engine.start));
             if let Some((id, start)) = prefiller
                 && sent_later
                 && case.restarted_ids.contains(&id)
--- a/crates/dillspool_forward/tests/stalls.rs
+++ b/crates/dillspool_forward/tests/stalls.rs
@@ -111,8 +111,8 @@
         full.lock().unwrap().clear();
     });
     let routed = request(RequestKind::Streaming, 2, true);
-    let answer = handle_request(context, routed).await;
-    let body = read_response_body(answer.into_body(), 10_000).await;
+    let response = handle_request(context, routed).await;
+    let body = read_response_body(response.into_body(), 10_000).await;
     let text = body.ok().map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
     assert_eq!(
         text == Some(format!("{ONE}{TWO}{THREE}")),
@@ -138,8 +138,8 @@
         let routed = request(kind, 1, false);
         let limit = routed.remaining();
         let started = tokio::time::Instant::now();
-        let answer = handle_request(context, routed).await;
-        assert_eq!(answer.status().as_u16(), 504, "{kind:?}");
+        let response = handle_request(context, routed).await;
+        assert_eq!(response.status().as_u16(), 504, "{kind:?}");
         assert!(started.elapsed() <= limit + Duration::from_millis(5), "{kind:?}");
     }
 }
--- a/crates/dillspool_forward/tests/streams.rs
+++ b/crates/dillspool_forward/tests/streams.rs
@@ -11,8 +11,8 @@
 use dillspool_routing::RequestKind;
 use hyper::Response;
 
-async fn body_of(answer: Response<ResponseBody>) -> Result<String, String> {
-    let body = read_response_body(answer.into_body(), 10_000).await;
+async fn body_of(response: Response<ResponseBody>) -> Result<String, String> {
+    let body = read_response_body(response.into_body(), 10_000).await;
     body.map(|bytes| String::from_utf8_lossy(&bytes).into_owned())
         .map_err(|error| error.to_string())
 }
@@ -89,14 +89,14 @@
         site.script("decode-2", [case.second]);
         let (context, _directory) = site.context(pool());
         let routed = request(RequestKind::Streaming, 2, case.resumable);
-        let answer = handle_request(context, routed).await;
-        assert_eq!(answer.status().as_u16(), 200, "{}", case.name);
-        let body = body_of(answer).await.ok();
+        let response = handle_request(context, routed).await;
+        assert_eq!(response.status().as_u16(), 200, "{}", case.name);
+        let body = body_of(response).await.ok();
         assert_eq!(body, case.body, "{}", case.name);
         let record = site.record.lock().unwrap();
         assert_eq!(record.arrivals.len(), case.arrivals, "{}", case.name);
         if let Some(second) = record.arrivals.get(1) {
-            assert!(second.terms.resume_after.is_some(), "{}", case.name);
+            assert!(second.params.resume_after.is_some(), "{}", case.name);
         }
     }
 }
@@ -106,13 +106,13 @@
     let site = ScriptedSite::default();
     site.script("decode-1", [Step::Stream(vec![ONE])]);
     let (context, _directory) = site.context(pool());
-    let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
-    assert_eq!(body_of(answer).await.as_deref(), Ok(ONE));
+    let response = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
+    assert_eq!(body_of(response).await.as_deref(), Ok(ONE));
     let record = site.record.lock().unwrap();
     // 1,000 for the prompt, and the minimum response of 500, since the estimate is lower.
     assert_eq!(record.reservations, [("decode-1".to_owned(), 1500)]);
     assert_eq!(record.prefills, ["prefill-1"]);
-    let sent = &record.arrivals[0].terms;
+    let sent = &record.arrivals[0].params;
     assert_eq!(sent.reservation.as_deref(), Some("hold-1"));
     assert_eq!(sent.prefilled.as_ref().map(|it| &*it.handle), Some("handle"));
     assert!(record.released_reservations.is_empty() && record.released_prefills.is_empty());
@@ -124,9 +124,9 @@
     site.full.lock().unwrap().extend(["decode-1".to_owned(), "decode-2".to_owned()]);
     let (context, _directory) = site.context(pool());
     let started = tokio::time::Instant::now();
-    let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
-    assert_eq!(answer.status().as_u16(), 503);
-    assert!(answer.headers().contains_key("retry-after"));
+    let response = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
+    assert_eq!(response.status().as_u16(), 503);
+    assert!(response.headers().contains_key("retry-after"));
     assert!(started.elapsed() < Duration::from_millis(75), "the refusal is immediate");
     let record = site.record.lock().unwrap();
     assert!(record.prefills.is_empty() && record.arrivals.is_empty());
@@ -138,11 +138,11 @@
     site.script("decode-1", [Step::Stream(vec![ONE])]);
     *site.refuses_prefill.lock().unwrap() = true;
     let (context, _directory) = site.context(pool());
-    let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
-    assert_eq!(body_of(answer).await.as_deref(), Ok(ONE));
+    let response = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
+    assert_eq!(body_of(response).await.as_deref(), Ok(ONE));
     let record = site.record.lock().unwrap();
-    assert_eq!(record.arrivals[0].terms.prefilled, None);
-    assert!(record.arrivals[0].terms.reservation.is_some());
+    assert_eq!(record.arrivals[0].params.prefilled, None);
+    assert!(record.arrivals[0].params.reservation.is_some());
 }
 
 #[tokio::test(start_paused = true)]
@@ -152,8 +152,8 @@
     site.script("decode-2", [Step::Unreachable]);
     let (context, _directory) = site.context(pool());
     let tasks = context.tasks.clone();
-    let answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
-    assert_eq!(answer.status().as_u16(), 503);
+    let response = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
+    assert_eq!(response.status().as_u16(), 503);
     tasks.close();
     tasks.wait().await;
     let record = site.record.lock().unwrap();
@@ -178,8 +178,8 @@
         site.script("decode-1", [case.step.clone()]);
         site.script("decode-2", [Step::Stream(vec![ONE])]);
         let (context, _directory) = site.context(pool());
-        let answer = handle_request(context, request(RequestKind::Streaming, 2, false)).await;
-        assert_eq!(answer.status().as_u16(), case.status, "{:?}", case.step);
+        let response = handle_request(context, request(RequestKind::Streaming, 2, false)).await;
+        assert_eq!(response.status().as_u16(), case.status, "{:?}", case.step);
     }
 }
 
@@ -198,8 +198,8 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         full.lock().unwrap().clear();
     });
-    let answer = handle_request(context, routed).await;
-    assert_eq!(answer.status().as_u16(), 200);
+    let response = handle_request(context, routed).await;
+    assert_eq!(response.status().as_u16(), 200);
 }
 
 #[tokio::test(start_paused = true)]
@@ -213,7 +213,7 @@
     context.budgets.set_host_count(8);
     for _request in 0..100 {
         let routed = request(RequestKind::Streaming, 2, false);
-        let _answer = handle_request(context.clone(), routed).await;
+        let _response = handle_request(context.clone(), routed).await;
     }
     let record = site.record.lock().unwrap();
     let (repeats, prefills) = (record.arrivals.len() - 100, record.prefills.len());
@@ -232,11 +232,11 @@
     let (context, _directory) = site.context(pool());
     for _request in 0..10 {
         let routed = request(RequestKind::Streaming, 1, false);
-        let answer = handle_request(context.clone(), routed).await;
-        assert_eq!(body_of(answer).await.as_deref(), Ok(ONE));
+        let response = handle_request(context.clone(), routed).await;
+        assert_eq!(body_of(response).await.as_deref(), Ok(ONE));
     }
     assert_eq!(site.record.lock().unwrap().prefills.len(), 1);
     tokio::time::sleep(Duration::from_millis(1100)).await;
-    let _answer = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
+    let _response = handle_request(context, request(RequestKind::Streaming, 1, false)).await;
     assert_eq!(site.record.lock().unwrap().prefills.len(), 2);
 }
--- a/crates/dillspool_forward/tests/suspects.rs
+++ b/crates/dillspool_forward/tests/suspects.rs
@@ -165,9 +165,9 @@
             let site = ScriptedSite::default();
             site.script("one", [case.step.clone()]);
             match case.refuses {
-                Some(true) => site.ended.lock().unwrap().push("one".to_owned()),
+                Some(true) => site.crashed.lock().unwrap().push("one".to_owned()),
                 Some(false) => {}
-                None => site.unclear.lock().unwrap().push("one".to_owned()),
+                None => site.unresponsive.lock().unwrap().push("one".to_owned()),
             }
             let (context, directory) =
                 site.context(single_backend(kind, BEFORE, BackendState::Ready));
@@ -209,7 +209,7 @@
     for kind in [RequestKind::Streaming, RequestKind::NonIdempotent, RequestKind::Idempotent] {
         let site = ScriptedSite::default();
         site.script("one", [Step::Lost]);
-        site.ended.lock().unwrap().push("one".to_owned());
+        site.crashed.lock().unwrap().push("one".to_owned());
         let (context, directory) = site.context(single_backend(kind, BEFORE, BackendState::Ready));
         for start in 1..=3 {
             let shown = single_backend(kind, Some(BackendStart(start)), BackendState::Ready);
@@ -244,10 +244,10 @@
         for start in 0..ends as u64 {
             let shown = single_backend(kind, Some(BackendStart(start)), BackendState::Ready);
             directory.send_replace(Arc::new(shown));
-            site.ended.lock().unwrap().push("one".to_owned());
+            site.crashed.lock().unwrap().push("one".to_owned());
             assert_eq!(send(&context, kind).await.0, 502);
             tokio::time::sleep(Duration::from_secs(1)).await;
-            site.ended.lock().unwrap().clear();
+            site.crashed.lock().unwrap().clear();
         }
         let print = request(kind, 1, false).fingerprint;
         assert_eq!(context.suspects.decide(print), SuspectDecision::Watched { ends });
--- a/crates/dillspool_forward/tests/suspended.rs
+++ b/crates/dillspool_forward/tests/suspended.rs
@@ -79,18 +79,18 @@
         let second = if is_stream { Step::Stream(vec![ONE, TWO]) } else { Step::Answer(200, "ok") };
         site.script(one, [case.first.clone()]);
         site.script(two, [second]);
-        let shown = if is_stream {
+        let directory_view = if is_stream {
             pool()
         } else {
             view([entry(one, "near", None), entry(two, "far", None)])
         };
-        let (context, _directory) = site.context(shown);
+        let (context, _directory) = site.context(directory_view);
         tokio::task::yield_now().await;
         let clock = jumps.clock();
         let fresh = request(case.kind, 2, true);
-        let life = fresh.deadline.since(fresh.arrived);
+        let time_limit = fresh.deadline.since(fresh.arrived);
         let arrived = clock.now();
-        let routed = RoutedRequest { clock, arrived, deadline: arrived + life, ..fresh };
+        let routed = RoutedRequest { clock, arrived, deadline: arrived + time_limit, ..fresh };
         *site.prefill_takes.lock().unwrap() = Duration::from_millis(50);
         match case.when {
             When::Never => {}
@@ -113,7 +113,7 @@
         assert_eq!(status, case.status, "{}", case.name);
         assert_eq!(site.record.lock().unwrap().arrivals.len(), case.sends, "{}", case.name);
         if let Some(arrival) = site.record.lock().unwrap().arrivals.last() {
-            assert!(arrival.terms.time_budget <= life, "{}", case.name);
+            assert!(arrival.params.time_budget <= time_limit, "{}", case.name);
         }
     }
 }
@@ -169,22 +169,22 @@
             site.script(id, [case.step.clone()]);
         }
         let is_stream = case.kind == Streaming;
-        let shown = if is_stream { pool() } else { view([entry("one", "near", None)]) };
-        let (context, _directory) = site.context(shown);
+        let directory_view = if is_stream { pool() } else { view([entry("one", "near", None)]) };
+        let (context, _directory) = site.context(directory_view);
         tokio::task::yield_now().await;
         *site.prefill_takes.lock().unwrap() = case.prefill_takes;
         let clock = jumps.clock();
         let cancel = CancellationToken::new();
         let _awake = AwakeWatch::start(clock.clone(), cancel.clone());
         let fresh = request(case.kind, 1, false);
-        let life = fresh.deadline.since(fresh.arrived);
+        let time_limit = fresh.deadline.since(fresh.arrived);
         assert!(
-            life > SHORT_SUSPENSION + Duration::from_secs(1),
-            "{}: too short a life",
+            time_limit > SHORT_SUSPENSION + Duration::from_secs(1),
+            "{}: the time limit is too short",
             case.name
         );
         let arrived = clock.now();
-        let deadline = arrived + life;
+        let deadline = arrived + time_limit;
         let routed = RoutedRequest { clock: clock.clone(), arrived, deadline, ..fresh };
         let suspending = async {
             tokio::time::sleep(Duration::from_millis(300)).await;
