--- a/crates/dillspool_admission/src/decode_state.rs
+++ b/crates/dillspool_admission/src/decode_state.rs
@@ -17,9 +17,9 @@
 /// Age at which a forecast is recomputed; memory grows by a few percent until then.
 const FORECAST_TTL: Duration = Duration::from_millis(50);
 /// Time for which an engine counts as full after it refused memory: the duration of a few events.
-const UNTRACKED_FULL_WEIGHT: Duration = Duration::from_millis(100);
-/// Time after which a refusal no longer says anything about the engine's memory.
-const UNTRACKED_DECAY: Duration = Duration::from_secs(1);
+const REFUSAL_HOLD_TIME: Duration = Duration::from_millis(100);
+/// Further time after which a refusal no longer says anything about the engine's memory.
+const REFUSAL_DECAY_TIME: Duration = Duration::from_secs(1);
 /// Weight of the newest answer in the moving average of an engine's slowness.
 const SLOWNESS_WEIGHT: f64 = 0.4;
 /// Mean answer lifetimes after which a measured slowness has decayed to about a third.
@@ -41,7 +41,7 @@
     /// When the engine accepted the stream; before that, only its reservation counts.
     pub(crate) started_at: Option<Moment>,
     /// Start of the prefill on the decode engine itself, if it is doing one.
-    pub(crate) prefill_since: Option<Moment>,
+    pub(crate) local_prefill_at: Option<Moment>,
 }
 
 impl StreamRecord {
@@ -113,14 +113,14 @@
         slowness: f64,
     ) {
         let (age, seconds_per_token) = (stream.age(now), lifetimes.seconds_per_token() * slowness);
-        for (step, fraction) in HORIZON_FRACTIONS.iter().enumerate() {
+        for (index, fraction) in HORIZON_FRACTIONS.iter().enumerate() {
             let ahead = lifetimes.mean_lifetime().mul_f64(*fraction);
             let (typical_age, typical_ahead) = (age.div_f64(slowness), ahead.div_f64(slowness));
             let survival =
                 lifetimes.survival_probability(stream.estimated_tokens, typical_age, typical_ahead);
             let tokens = stream.memory_at_age(age + ahead, seconds_per_token);
-            self.mean[step] += survival * tokens;
-            self.variance[step] += survival * (1.0 - survival) * tokens * tokens;
+            self.mean[index] += survival * tokens;
+            self.variance[index] += survival * (1.0 - survival) * tokens * tokens;
         }
         self.current += stream.memory_at_age(age, seconds_per_token);
     }
@@ -137,8 +137,8 @@
     forecast: Option<MemoryForecast>,
     /// Time per token relative to the usual one, and when it was measured.
     measured_slowness: Option<(f64, Moment)>,
-    /// Memory used by streams that the planner does not know of, inferred from a refused reservation,
-    /// and when it was inferred.
+    /// Memory used by streams unknown to the planner, inferred from a refused reservation, and when
+    /// it was inferred.
     untracked_memory: Option<(f64, Moment)>,
 }
 
@@ -162,9 +162,9 @@
     }
 
     pub(crate) fn remove(&mut self, ticket: TicketId) -> Option<StreamRecord> {
-        let at = self.streams.iter().position(|stream| stream.ticket == ticket)?;
+        let index = self.streams.iter().position(|stream| stream.ticket == ticket)?;
         self.forecast = None;
-        Some(self.streams.swap_remove(at))
+        Some(self.streams.swap_remove(index))
     }
 
     /// Records the event gap of an answer that completed here, relative to the usual one.
@@ -176,9 +176,9 @@
     /// Factor by which the engine is slower than usual, estimated from the answers that completed
     /// here.
     pub(crate) fn slowness(&self, now: Moment, lifetimes: &LifetimeModel) -> f64 {
-        let Some((slowness, at)) = self.measured_slowness else { return 1.0 };
+        let Some((slowness, measured_at)) = self.measured_slowness else { return 1.0 };
         let elapsed_lifetimes =
-            now.since(at).as_secs_f64() / lifetimes.mean_lifetime().as_secs_f64();
+            now.since(measured_at).as_secs_f64() / lifetimes.mean_lifetime().as_secs_f64();
         let slowness =
             1.0 + (slowness - 1.0) * (-elapsed_lifetimes / SLOWNESS_DECAY_LIFETIMES).exp();
         slowness.clamp(*SLOWNESS_RANGE.start(), *SLOWNESS_RANGE.end())
@@ -201,13 +201,13 @@
 
     pub(crate) fn record_prefill_started(&mut self, ticket: TicketId, now: Moment) {
         if let Some(stream) = self.streams.iter_mut().find(|stream| stream.ticket == ticket) {
-            stream.prefill_since = Some(now);
+            stream.local_prefill_at = Some(now);
         }
     }
 
     pub(crate) fn record_prefill_done(&mut self, ticket: TicketId) {
         if let Some(stream) = self.streams.iter_mut().find(|stream| stream.ticket == ticket) {
-            stream.prefill_since = None;
+            stream.local_prefill_at = None;
         }
     }
 
@@ -275,16 +275,16 @@
 
     fn untracked_tokens(&self, now: Moment) -> f64 {
         self.untracked_memory.map_or(0.0, |(tokens, at)| {
-            let decaying_for = now.since(at).saturating_sub(UNTRACKED_FULL_WEIGHT);
-            tokens * (1.0 - decaying_for.as_secs_f64() / UNTRACKED_DECAY.as_secs_f64()).max(0.0)
+            let decaying_for = now.since(at).saturating_sub(REFUSAL_HOLD_TIME);
+            tokens * (1.0 - decaying_for.as_secs_f64() / REFUSAL_DECAY_TIME.as_secs_f64()).max(0.0)
         })
     }
 
     /// Whether the engine is prefilling a prompt, judged by the prompt's length.
     pub(crate) fn is_prefilling(&self, now: Moment, seconds_per_token: f64) -> bool {
         self.streams.iter().any(|stream| {
-            stream.prefill_since.is_some_and(|since| {
-                now.since(since) < local_prefill_time(stream.prompt_tokens, seconds_per_token)
+            stream.local_prefill_at.is_some_and(|started_at| {
+                now.since(started_at) < local_prefill_time(stream.prompt_tokens, seconds_per_token)
             })
         })
     }
--- a/crates/dillspool_admission/src/planner.rs
+++ b/crates/dillspool_admission/src/planner.rs
@@ -298,7 +298,7 @@
     ) -> PlacementDecision {
         let mut stream = self.stream_record(ticket, request);
         stream.reserve_tokens = placement.reserve_tokens;
-        stream.prefill_since = placement.prefill_engine.is_none().then_some(now);
+        stream.local_prefill_at = placement.prefill_engine.is_none().then_some(now);
         if let Some(state) = self.decode_engines.get_mut(&placement.decode_engine) {
             state.add(stream);
         }
@@ -339,7 +339,7 @@
             max_tokens: request.max_tokens,
             reserve_tokens: self.reservation_tokens(request),
             started_at: None,
-            prefill_since: None,
+            local_prefill_at: None,
         }
     }
 
--- a/crates/dillspool_admission/src/planner/completion.rs
+++ b/crates/dillspool_admission/src/planner/completion.rs
@@ -12,7 +12,7 @@
 
 /// Factor on the required completion probability for answers that can be in time: they are worth
 /// more, so fewer of them need to complete to make up for one that does not.
-const IN_TIME_FRACTION: f64 = 0.5;
+const IN_TIME_FACTOR: f64 = 0.5;
 
 impl PoolPlanner {
     /// Whether a request started after `wait`, on an engine slower than usual by the factor
@@ -23,7 +23,7 @@
         wait: Duration,
         slowness: f64,
     ) -> bool {
-        let factor = if request.class == WorkClass::Late { 1.0 } else { IN_TIME_FRACTION };
+        let factor = if request.class == WorkClass::Late { 1.0 } else { IN_TIME_FACTOR };
         let min_probability = self.policy.completion_chance * factor;
         min_probability <= 0.0
             || self.completion_probability(request, wait, slowness) >= min_probability
--- a/crates/dillspool_admission/src/prefill_state.rs
+++ b/crates/dillspool_admission/src/prefill_state.rs
@@ -62,8 +62,8 @@
 
     /// Removes a prompt; returns the tokens prefilled for it, including those queued ahead of it.
     pub(crate) fn remove(&mut self, ticket: TicketId) -> Option<u64> {
-        let at = self.prompts.iter().position(|prompt| prompt.ticket == ticket)?;
-        self.prompts.remove(at).map(|prompt| prompt.tokens_through)
+        let index = self.prompts.iter().position(|prompt| prompt.ticket == ticket)?;
+        self.prompts.remove(index).map(|prompt| prompt.tokens_through)
     }
 
     /// Time until a newly added prompt is started.
--- a/crates/dillspool_admission/src/queue.rs
+++ b/crates/dillspool_admission/src/queue.rs
@@ -50,8 +50,8 @@
 
 impl WaitQueue {
     pub(crate) fn push(&mut self, request: QueuedRequest) {
-        let at = self.requests.partition_point(|other| other.position() <= request.position());
-        self.requests.insert(at, request);
+        let index = self.requests.partition_point(|other| other.position() <= request.position());
+        self.requests.insert(index, request);
     }
 
     pub(crate) fn remove(&mut self, ticket: TicketId) {
--- a/crates/dillspool_admission/src/request.rs
+++ b/crates/dillspool_admission/src/request.rs
@@ -78,7 +78,7 @@
 impl PlacementRequest {
     /// Whether the request's host allows placing it on the engine.
     pub(crate) fn allows_engine(&self, engine: &Name) -> bool {
-        !self.excluded.contains(engine) && self.subset.is_none_or(|part| part.contains(engine))
+        !self.excluded.contains(engine) && self.subset.is_none_or(|subset| subset.contains(engine))
     }
 
     /// The queue priority: class first, then workspace, then route.
--- a/crates/dillspool_admission/tests/deadlines.rs
+++ b/crates/dillspool_admission/tests/deadlines.rs
@@ -85,8 +85,8 @@
 
 fn decide(case: &DeadlineCase) -> PlacementDecision {
     let policy = AdmissionPolicy { completion_chance: case.chance, ..AdmissionPolicy::default() };
-    let terms = EngineCapacity { memory_tokens: 60_000, slots: 12 };
-    let mut planner = PoolPlanner::new(terms, policy, 1);
+    let capacity = EngineCapacity { memory_tokens: 60_000, slots: 12 };
+    let mut planner = PoolPlanner::new(capacity, policy, 1);
     planner.set_engines([engine("decode", false), engine("prefill", true)].into_iter());
     let request = PlacementRequest {
         class: case.class,
--- a/crates/dillspool_admission/tests/model/simulation.rs
+++ b/crates/dillspool_admission/tests/model/simulation.rs
@@ -77,7 +77,7 @@
 /// Engines of a pool that report no start.
 fn pool_engines(decode: &[Name], prefill: &[Name]) -> impl Iterator<Item = PoolEngine> {
     let engine = |name: &Name, is_prefill| PoolEngine {
-        backend: started(name),
+        backend: instance(name),
         failure_domain: "domain".into(),
         is_prefill,
     };
@@ -85,14 +85,14 @@
     decode.into_iter().chain(prefill.iter().map(move |name| engine(name, true)).collect::<Vec<_>>())
 }
 
-fn started(name: &Name) -> BackendInstance {
+fn instance(name: &Name) -> BackendInstance {
     BackendInstance { id: Name::clone(name), start: None }
 }
 
 /// Simulates a load on a pool until every caller has a result.
 pub fn simulate(pool: PoolModel, policy: AdmissionPolicy, load: &[Arrival]) -> Outcome {
-    let terms = EngineCapacity { memory_tokens: pool.memory, slots: pool.slots };
-    let mut planner = PoolPlanner::new(terms, policy, pool.seed);
+    let capacity = EngineCapacity { memory_tokens: pool.memory, slots: pool.slots };
+    let mut planner = PoolPlanner::new(capacity, policy, pool.seed);
     let decode: Vec<Name> = (0..pool.decode).map(|at| format!("decode-{at:02}").into()).collect();
     let prefill: Vec<Name> =
         (0..pool.prefill).map(|at| format!("prefill-{at:02}").into()).collect();
@@ -146,7 +146,7 @@
                 self.callers.insert(number, caller);
                 self.ask(number, &mut arrivals);
             }
-            self.lose_engines(&mut arrivals);
+            self.crash_engines(&mut arrivals);
             self.expire_callers();
             if self.now.is_multiple_of(POLL_INTERVAL_MS) {
                 for (ticket, decision) in self.planner.poll(at_ms(self.now)) {
@@ -156,27 +156,27 @@
             self.prefill_step();
             self.decode_step();
             self.now += TICK_MS;
-            assert!(self.now < 120_000, "everybody has an answer by now");
+            assert!(self.now < 120_000, "every caller has a result by now");
         }
     }
 
     fn request(&self, caller: &Caller) -> PlacementRequest {
-        let spent = self.now - caller.first_ms;
+        let elapsed_ms = self.now - caller.first_ms;
         let arrival = &caller.arrival;
-        let late = spent > arrival.objective_ms;
-        let silence_ms = arrival.objective_ms * MAX_WAIT_OBJECTIVES;
-        let time_left = Duration::from_millis(DEADLINE_MS.saturating_sub(spent));
-        let waited = (self.now - caller.at_ms).min(silence_ms);
+        let is_late = elapsed_ms > arrival.objective_ms;
+        let max_wait_ms = arrival.objective_ms * MAX_WAIT_OBJECTIVES;
+        let time_left = Duration::from_millis(DEADLINE_MS.saturating_sub(elapsed_ms));
+        let waited = (self.now - caller.at_ms).min(max_wait_ms);
         PlacementRequest {
-            class: if late { WorkClass::Late } else { WorkClass::InTime },
+            class: if is_late { WorkClass::Late } else { WorkClass::InTime },
             workspace_priority: 0,
             priority: arrival.priority,
             failure_domain: "domain".into(),
             prompt_tokens: arrival.prompt_tokens,
             estimated_tokens: arrival.estimated_tokens.min(10_880),
             max_tokens: 10_880,
-            objective_left: Duration::from_millis(arrival.objective_ms.saturating_sub(spent)),
-            max_wait: Duration::from_millis(silence_ms - waited).min(time_left),
+            objective_left: Duration::from_millis(arrival.objective_ms.saturating_sub(elapsed_ms)),
+            max_wait: Duration::from_millis(max_wait_ms - waited).min(time_left),
             time_left,
             max_event_gap: Some(Duration::from_millis(MAX_EVENT_GAP_MS)),
             excluded: Vec::new(),
@@ -213,16 +213,17 @@
 
     fn reject(&mut self, number: u64, after: Duration, arrivals: &mut VecDeque<(u64, Caller)>) {
         let caller = self.callers.remove(&number).unwrap();
-        let held = self.now - caller.at_ms;
-        self.outcome.longest_rejected_wait_ms = self.outcome.longest_rejected_wait_ms.max(held);
+        let waited_ms = self.now - caller.at_ms;
+        self.outcome.longest_rejected_wait_ms =
+            self.outcome.longest_rejected_wait_ms.max(waited_ms);
         if caller.is_retry {
             self.outcome.rejected_twice += 1;
             return;
         }
         self.outcome.rejected_once += 1;
-        // Callers follow a retry delay up to a third of the time they have left.
-        let third = DEADLINE_MS.saturating_sub(self.now - caller.first_ms) / 3;
-        let at_ms = self.now + u64::try_from(after.as_millis()).unwrap().min(third);
+        // Callers follow a retry delay up to a max_delay_ms of the time they have left.
+        let max_delay_ms = DEADLINE_MS.saturating_sub(self.now - caller.first_ms) / 3;
+        let at_ms = self.now + u64::try_from(after.as_millis()).unwrap().min(max_delay_ms);
         let caller = Caller { at_ms, is_retry: true, refusals: 0, ..caller };
         let index = arrivals.partition_point(|(_number, other)| other.at_ms <= at_ms);
         arrivals.insert(index, (number, caller));
@@ -236,27 +237,27 @@
     ) {
         let memory = self.pool.memory;
         let engine = self.decode.get_mut(&placement.decode_engine);
-        let free = engine.as_ref().map_or(0, |engine| memory.saturating_sub(engine.taken()));
+        let free = engine.as_ref().map_or(0, |engine| memory.saturating_sub(engine.used_memory()));
         let Some(engine) = engine.filter(|_engine| free >= placement.reserve_tokens) else {
             let (ticket, decode) = (TicketId(number), &placement.decode_engine);
             let now = at_ms(self.now);
-            self.planner.record_fault(ticket, &started(decode), EngineFault::NoMemory, now);
+            self.planner.record_fault(ticket, &instance(decode), EngineFault::NoMemory, now);
             self.callers.get_mut(&number).unwrap().refusals += 1;
             self.ask(number, arrivals);
             return;
         };
         engine.reserved.insert(number, placement.reserve_tokens);
         let caller = self.callers.get_mut(&number).unwrap();
-        let takes = caller.arrival.prompt_tokens as f64 / PREFILL_TOKENS_PER_MS;
+        let prefill_ms = caller.arrival.prompt_tokens as f64 / PREFILL_TOKENS_PER_MS;
         let prefill = placement.prefill_engine.clone();
         caller.placement = Some(placement);
         if let Some(prefill) = prefill {
             let queue = self.prefill.get_mut(&prefill).unwrap();
             let free_ms = queue.back().map_or(self.now, |last| last.ready_ms.max(self.now));
-            let ready_ms = free_ms + (takes * self.pool.slow_prefill) as u64;
+            let ready_ms = free_ms + (prefill_ms * self.pool.slow_prefill) as u64;
             queue.push_back(Prompt { number, queued_ms: self.now, ready_ms });
         } else {
-            engine.prefill_until = engine.prefill_until.max(self.now) + (2.0 * takes) as u64;
+            engine.prefill_until = engine.prefill_until.max(self.now) + (2.0 * prefill_ms) as u64;
             self.start(number);
         }
     }
@@ -285,9 +286,9 @@
     fn fails(&self, decode: &Name, number: u64) -> bool {
         let Some(failing) = self.pool.failing else { return false };
         let index = self.decode.keys().position(|name| name == decode);
-        let is_time = (failing.from_ms..failing.until_ms).contains(&self.now);
-        let is_one = index.is_some_and(|index| index < failing.engines);
-        is_time && is_one && number.is_multiple_of(failing.every)
+        let is_active = (failing.from_ms..failing.until_ms).contains(&self.now);
+        let is_failing = index.is_some_and(|index| index < failing.engines);
+        is_active && is_failing && number.is_multiple_of(failing.every)
     }
 
     fn start(&mut self, number: u64) {
@@ -299,7 +300,7 @@
             let now = at_ms(self.now);
             self.planner.record_fault(
                 TicketId(number),
-                &started(&decode),
+                &instance(&decode),
                 EngineFault::Failed,
                 now,
             );
@@ -313,7 +314,7 @@
         let placement = caller.placement.as_ref().unwrap();
         let Some(engine) = self.decode.get_mut(&placement.decode_engine) else { return };
         let reserve = engine.reserved.remove(&number).unwrap();
-        engine.runs.push(RunningStream {
+        engine.streams.push(RunningStream {
             ticket: number,
             reserve,
             tokens: caller.arrival.prompt_tokens as f64,
@@ -332,31 +333,31 @@
         let mut ended = Vec::new();
         for (index, engine) in self.decode.values_mut().enumerate() {
             let is_slow = self.pool.slow.filter(|slow| is_slow(slow, index, self.now));
-            let pace = is_slow.map_or(1.0, |slow| 1.0 / slow.factor);
-            ended.extend(engine.step(&self.pool, pace, self.now, &mut self.outcome));
+            let speed = is_slow.map_or(1.0, |slow| 1.0 / slow.factor);
+            ended.extend(engine.step(&self.pool, speed, self.now, &mut self.outcome));
         }
-        for run in ended {
-            self.end(&run);
+        for stream in ended {
+            self.finish(&stream);
         }
     }
 
-    fn end(&mut self, run: &RunningStream) {
-        let caller = self.callers.remove(&run.ticket).unwrap();
-        let first = run.first_event.unwrap();
-        let gap_ms = run.last_event.saturating_sub(first) / run.events.max(1);
+    fn finish(&mut self, stream: &RunningStream) {
+        let caller = self.callers.remove(&stream.ticket).unwrap();
+        let first = stream.first_event.unwrap();
+        let gap_ms = stream.last_event.saturating_sub(first) / stream.events.max(1);
         let event_gap = Some(Duration::from_millis(gap_ms));
         let end = StreamEnd { is_complete: true, event_gap };
-        self.planner.record_ended(TicketId(run.ticket), end, at_ms(self.now));
+        self.planner.record_ended(TicketId(stream.ticket), end, at_ms(self.now));
         if first - caller.at_ms > caller.arrival.objective_ms * MAX_WAIT_OBJECTIVES {
             self.outcome.abandoned += 1;
             return;
         }
-        self.outcome.stalled += usize::from(run.is_stalled);
+        self.outcome.stalled += usize::from(stream.is_stalled);
         if caller.arrival.answer_tokens >= self.large_answer_tokens {
             self.outcome.largest.1 += 1;
         }
         self.outcome.retried.1 += usize::from(caller.is_retry);
-        if first - caller.first_ms <= caller.arrival.objective_ms && !run.is_stalled {
+        if first - caller.first_ms <= caller.arrival.objective_ms && !stream.is_stalled {
             self.outcome.in_time += 1;
             self.outcome.by_priority[caller.arrival.priority as usize].1 += 1;
             self.outcome.by_workspace[caller.arrival.workspace].1 += 1;
@@ -375,7 +376,7 @@
             let caller = self.callers.remove(&number).unwrap();
             for engine in self.decode.values_mut() {
                 engine.reserved.remove(&number);
-                engine.runs.retain(|run| run.ticket != number);
+                engine.streams.retain(|stream| stream.ticket != number);
             }
             self.prefill.values_mut().for_each(|queue| queue.retain(|it| it.number != number));
             let end = StreamEnd { is_complete: false, event_gap: None };
@@ -388,7 +389,7 @@
     }
 
     /// Engines crash with all their streams; the callers retry shortly after.
-    fn lose_engines(&mut self, arrivals: &mut VecDeque<(u64, Caller)>) {
+    fn crash_engines(&mut self, arrivals: &mut VecDeque<(u64, Caller)>) {
         let Some((count, at_ms)) = self.pool.lost else { return };
         if self.now >= self.pool.back_ms && self.decode.len() < self.pool.decode {
             let names = (0..self.pool.decode).map(|at| format!("decode-{at:02}").into());
--- a/crates/dillspool_admission/tests/restarts.rs
+++ b/crates/dillspool_admission/tests/restarts.rs
@@ -63,8 +63,8 @@
 
 /// A planner whose only decode engine has room for one stream, which is taken.
 fn full_pool(start: Option<u64>) -> PoolPlanner {
-    let terms = EngineCapacity { memory_tokens: 10_000, slots: 24 };
-    let mut planner = PoolPlanner::new(terms, AdmissionPolicy::default(), 1);
+    let capacity = EngineCapacity { memory_tokens: 10_000, slots: 24 };
+    let mut planner = PoolPlanner::new(capacity, AdmissionPolicy::default(), 1);
     planner.set_engines(engines(start).into_iter());
     let placed = planner.decide(TicketId(1), request(), at(0));
     assert!(matches!(placed, PlacementDecision::Place(_)), "{placed:?}");
--- a/crates/dillspool_admission/tests/slow_engines.rs
+++ b/crates/dillspool_admission/tests/slow_engines.rs
@@ -14,15 +14,15 @@
     name: &'static str,
     slow_weight: f64,
     /// Time since the last answers ended.
-    later_s: u64,
+    elapsed_s: u64,
     /// Whether the slow engine, which is empty, is chosen over one with a stream.
     is_chosen: bool,
 }
 
 const CASES: [PaceCase; 3] = [
-    PaceCase { name: "speed ignored", slow_weight: 0.0, later_s: 0, is_chosen: true },
-    PaceCase { name: "slow", slow_weight: 0.3, later_s: 0, is_chosen: false },
-    PaceCase { name: "measurement decayed", slow_weight: 0.3, later_s: 60, is_chosen: true },
+    PaceCase { name: "speed ignored", slow_weight: 0.0, elapsed_s: 0, is_chosen: true },
+    PaceCase { name: "slow", slow_weight: 0.3, elapsed_s: 0, is_chosen: false },
+    PaceCase { name: "measurement decayed", slow_weight: 0.3, elapsed_s: 60, is_chosen: true },
 ];
 
 fn at(ms: u64) -> Moment {
@@ -54,7 +54,7 @@
 }
 
 /// Runs an answer with the given event gap to completion on an engine.
-fn answer(planner: &mut PoolPlanner, ticket: u64, engine: &str, gap_ms: u64) {
+fn complete_answer(planner: &mut PoolPlanner, ticket: u64, engine: &str, gap_ms: u64) {
     let placement = StreamPlacement {
         decode_engine: engine.into(),
         reserve_tokens: 2_500,
@@ -71,20 +71,20 @@
     for case in CASES {
         let policy =
             AdmissionPolicy { slow_weight: case.slow_weight, ..AdmissionPolicy::default() };
-        let terms = EngineCapacity { memory_tokens: 60_000, slots: 12 };
-        let mut planner = PoolPlanner::new(terms, policy, 1);
+        let capacity = EngineCapacity { memory_tokens: 60_000, slots: 12 };
+        let mut planner = PoolPlanner::new(capacity, policy, 1);
         let engines = [engine("slow", false), engine("usual", false), engine("reader", true)];
         planner.set_engines(engines.into_iter());
         for round in 0..6 {
-            answer(&mut planner, 2 * round, "usual", 50);
-            answer(&mut planner, 2 * round + 1, "slow", 125);
+            complete_answer(&mut planner, 2 * round, "usual", 50);
+            complete_answer(&mut planner, 2 * round + 1, "slow", 125);
         }
         let placement = StreamPlacement {
             decode_engine: "usual".into(),
             reserve_tokens: 2_500,
             prefill_engine: None,
         };
-        let now = at(1_000 + case.later_s * 1_000);
+        let now = at(1_000 + case.elapsed_s * 1_000);
         planner.adopt(TicketId(100), &request(), placement, now);
         let decision = planner.decide(TicketId(101), request(), now);
         let PlacementDecision::Place(placement) = decision else {
--- a/crates/dillspool_admission/tests/waiting.rs
+++ b/crates/dillspool_admission/tests/waiting.rs
@@ -58,9 +58,9 @@
         WaitCase { name: "room late", room_ms: 500, queued_tokens: 12_000, is_placed: false },
     ];
     for WaitCase { name, room_ms, queued_tokens, is_placed } in cases {
-        let terms = EngineCapacity { memory_tokens: 100_000, slots: 1 };
+        let capacity = EngineCapacity { memory_tokens: 100_000, slots: 1 };
         let policy = AdmissionPolicy { reads_at_decode: false, ..AdmissionPolicy::default() };
-        let mut planner = PoolPlanner::new(terms, policy, 1);
+        let mut planner = PoolPlanner::new(capacity, policy, 1);
         let decode = ["one", "other"].map(|id| engine(id, false));
         planner.set_engines(decode.into_iter().chain([engine("prefill", true)]));
         let fresh = request(WorkClass::InTime, 5_000);
--- a/crates/dillspool_capacity/src/meter.rs
+++ b/crates/dillspool_capacity/src/meter.rs
@@ -167,7 +167,11 @@
 }
 
 impl DemandMeter {
-    fn with<T>(&self, service: &Name, update: impl FnOnce(&mut ServiceMeter, Instant) -> T) -> T {
+    fn with_meter<T>(
+        &self,
+        service: &Name,
+        update: impl FnOnce(&mut ServiceMeter, Instant) -> T,
+    ) -> T {
         let now = Instant::now();
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         if services.len() >= MAX_SERVICES {
@@ -180,7 +184,7 @@
     /// Records a prompt, including one that is rejected.
     #[expect(clippy::cast_precision_loss, reason = "tokens are far below 2^52")]
     pub fn record_prompt(&self, service: &Name, tokens: u64) {
-        self.with(service, |meter, now| {
+        self.with_meter(service, |meter, now| {
             meter.prompts.add(now, 1.0);
             meter.prompt_tokens.add(now, tokens as f64);
         });
@@ -190,20 +194,20 @@
     #[expect(clippy::cast_precision_loss, reason = "tokens are far below 2^52")]
     pub fn record_prefill(&self, service: &Name, tokens: u64, took: Duration) {
         let seconds_per_token = took.as_secs_f64() / tokens.max(1) as f64;
-        self.with(service, |meter, _now| meter.record_prefill_rate(seconds_per_token));
+        self.with_meter(service, |meter, _now| meter.record_prefill_rate(seconds_per_token));
     }
 
     /// Records an answer that holds decode memory until the returned guard is dropped.
     #[must_use]
     pub fn hold_memory(&self, service: &Name, tokens: u64) -> MemoryGuard {
-        let id = self.with(service, |meter, now| meter.start_hold(tokens, now));
+        let id = self.with_meter(service, |meter, now| meter.start_hold(tokens, now));
         MemoryGuard { meter: self.clone(), service: Name::clone(service), id, tokens }
     }
 
     /// Estimates the resources that a service's requests need; `None` until there are enough
     /// observations.
     pub fn estimate(&self, service: &Name) -> Option<DemandEstimate> {
-        self.with(service, ServiceMeter::estimate)
+        self.with_meter(service, ServiceMeter::estimate)
     }
 }
 
@@ -218,6 +222,7 @@
 
 impl Drop for MemoryGuard {
     fn drop(&mut self) {
-        self.meter.with(&self.service, |meter, now| meter.end_hold(self.id, self.tokens, now));
+        self.meter
+            .with_meter(&self.service, |meter, now| meter.end_hold(self.id, self.tokens, now));
     }
 }
