--- a/crates/dillspool_limits/src/spend.rs
+++ b/crates/dillspool_limits/src/spend.rs
@@ -5,13 +5,13 @@
 
 use crate::bucket::LimitRate;
 
-/// Orders several statements of the same limit by age.
+/// Orders several statements of the same limit by age. Log lines print it.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum RateVersion {
     /// Version of the configuration that states it.
     Config(u64),
     /// Time at which the backend server announced it.
-    Observed(Moment),
+    Heard(Moment),
 }
 
 /// A request to spend from a limit.
--- a/crates/dillspool_scheduler/src/wire.rs
+++ b/crates/dillspool_scheduler/src/wire.rs
@@ -234,7 +234,7 @@
 pub(crate) fn spend_to_wire(ticket: u64, request: &SpendRequest, now: Moment) -> ScheduleMessage {
     let (config, age_ms) = match request.version {
         RateVersion::Config(version) => (version, None),
-        RateVersion::Observed(at) => (0, Some(millis(now.since(at)))),
+        RateVersion::Heard(at) => (0, Some(millis(now.since(at)))),
     };
     ScheduleMessage::Spend(ScheduleSpend {
         ticket,
@@ -253,7 +253,7 @@
 pub(crate) fn spend_from_wire(message: ScheduleSpend, now: Moment) -> SpendRequest {
     let version = match message.age_ms {
         None => RateVersion::Config(message.config),
-        Some(age_ms) => RateVersion::Observed(now.saturating_sub(Duration::from_millis(age_ms))),
+        Some(age_ms) => RateVersion::Heard(now.saturating_sub(Duration::from_millis(age_ms))),
     };
     SpendRequest {
         subject: message.subject,
--- a/crates/dillspool_throttle/src/registry.rs
+++ b/crates/dillspool_throttle/src/registry.rs
@@ -432,7 +432,7 @@
     SpendRequest {
         subject: backend.label(),
         rate: LimitRate { per_s, burst },
-        version: RateVersion::Observed(limit.updated_at()),
+        version: RateVersion::Heard(limit.updated_at()),
         amount,
         priority: 0,
         unreported,
