--- a/crates/dillspool_forward/src/reader.rs
+++ b/crates/dillspool_forward/src/reader.rs
@@ -13,7 +13,7 @@
 
 /// What a read of an engine's stream returned.
 #[derive(Debug)]
-pub(crate) enum ReadPart {
+pub(crate) enum ReadOutcome {
     /// Complete events in order, and their number.
     Events(Bytes, u64),
     /// The stream ended after a complete event.
@@ -33,7 +33,7 @@
     /// Resolves to the cause when the stream must end even if data still arrives. Shared by all reads, so that
     /// they don't set up its timer and watches again.
     cutoff: BoxFuture<&'static str>,
-    held: ExchangeBytes,
+    held_bytes: ExchangeBytes,
     /// Byte budget charge for the incomplete event.
     partial: ByteGuard,
 }
@@ -44,17 +44,17 @@
         open: OpenStream,
         last_event: Option<u64>,
         cutoff: BoxFuture<&'static str>,
-        held: ExchangeBytes,
+        held_bytes: ExchangeBytes,
     ) -> Self {
         let (splitter, last_at) = (EventSplitter::default(), Instant::now());
-        let partial = held.guard();
-        Self { open, splitter, last_event, last_at, cutoff, held, partial }
+        let partial = held_bytes.guard();
+        Self { open, splitter, last_event, last_at, cutoff, held_bytes, partial }
     }
 
     /// Restarts stall detection when the caller reads again. With a byte budget the caller can pause the stream,
     /// and that pause must not count as the engine's.
     pub(crate) fn reset_stall_timer(&mut self) {
-        if self.held.terms().is_some() {
+        if self.held_bytes.terms().is_some() {
             self.last_at = Instant::now();
         }
     }
@@ -63,7 +63,7 @@
     /// usable.
     ///
     /// Cancel-safe: dropping the future loses no data.
-    pub(crate) async fn read(&mut self, until: Option<Instant>) -> Option<ReadPart> {
+    pub(crate) async fn read(&mut self, until: Option<Instant>) -> Option<ReadOutcome> {
         let timer = async {
             match until {
                 Some(until) => tokio::time::sleep_until(until).await,
@@ -75,43 +75,48 @@
             let frame = tokio::select! {
                 biased;
                 frame = self.open.body.frame() => frame,
-                cause = &mut self.cutoff => return Some(ReadPart::Broken(cause.to_owned())),
+                cause = &mut self.cutoff => return Some(ReadOutcome::Broken(cause.to_owned())),
                 () = &mut timer => return None,
             };
-            let part = self.handle_frame(frame);
+            let outcome = self.handle_frame(frame);
             let partial = self.splitter.len() as u64;
-            if part.is_some() || !self.partial.try_set(partial) {
+            if outcome.is_some() || !self.partial.try_set(partial) {
                 self.partial.set(partial);
             }
-            if let Some(part) = part {
-                return Some(part);
+            if let Some(outcome) = outcome {
+                return Some(outcome);
             }
-            self.held.wait_for_room().await;
+            self.held_bytes.wait_for_room().await;
         }
     }
 
     /// Processes a frame; `None` while no event is complete.
-    fn handle_frame(&mut self, frame: Option<Result<Frame<Bytes>, BoxError>>) -> Option<ReadPart> {
+    fn handle_frame(
+        &mut self,
+        frame: Option<Result<Frame<Bytes>, BoxError>>,
+    ) -> Option<ReadOutcome> {
         let frame = match frame {
             Some(Ok(frame)) => frame,
-            Some(Err(error)) => return Some(ReadPart::Broken(error.to_string())),
-            None if self.splitter.is_empty() => return Some(ReadPart::End),
-            None => return Some(ReadPart::Broken("the stream ended within an event".to_owned())),
+            Some(Err(error)) => return Some(ReadOutcome::Broken(error.to_string())),
+            None if self.splitter.is_empty() => return Some(ReadOutcome::End),
+            None => {
+                return Some(ReadOutcome::Broken("the stream ended within an event".to_owned()));
+            }
         };
         self.splitter.push(&frame.into_data().ok()?);
         if self.splitter.is_too_long() {
-            return Some(ReadPart::Broken("an event exceeds the maximum length".to_owned()));
+            return Some(ReadOutcome::Broken("an event exceeds the maximum length".to_owned()));
         }
         match self.take_events() {
             Ok((_events, 0)) => None,
-            Ok((events, count)) => Some(ReadPart::Events(events, count)),
-            Err(cause) => Some(ReadPart::Broken(cause)),
+            Ok((events, count)) => Some(ReadOutcome::Events(events, count)),
+            Err(cause) => Some(ReadOutcome::Broken(cause)),
         }
     }
 
     /// Takes the complete events, checks their order, and counts them.
     fn take_events(&mut self) -> Result<(Bytes, u64), String> {
-        let mut taken = BytesMut::new();
+        let mut events = BytesMut::new();
         let mut count = 0;
         while let Some(event) = self.splitter.next_event() {
             if let (Some(id), Some(last)) = (event.id, self.last_event)
@@ -122,8 +127,8 @@
             self.last_event = event.id.or(self.last_event);
             self.last_at = Instant::now();
             count += 1;
-            taken.extend_from_slice(&event.bytes);
+            events.extend_from_slice(&event.bytes);
         }
-        Ok((taken.freeze(), count))
+        Ok((events.freeze(), count))
     }
 }
--- a/crates/dillspool_forward/src/relay.rs
+++ b/crates/dillspool_forward/src/relay.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::generate::{ModelRequest, OpenStream, PreparedAttempt};
-use crate::reader::{ReadPart, StreamReader};
+use crate::reader::{ReadOutcome, StreamReader};
 use crate::refusal::Refusal;
 use crate::stages::StreamStats;
 use crate::trace::RequestTrace;
@@ -28,7 +28,7 @@
 const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
 /// Result of reading on for the caller.
-enum NextPart {
+enum RelayStep {
     /// Events for the caller.
     Events(Bytes),
     End,
@@ -57,10 +57,10 @@
         let last_event = model_request.last_event;
         let read_at_decode = open.read_at_decode;
         let cutoff = model_request.wait_for_cutoff(&open.entry);
-        let held = model_request.request.held_bytes.clone();
+        let held_bytes = model_request.request.held_bytes.clone();
         Self {
             model_request,
-            reader: Some(StreamReader::new(open, last_event, cutoff, held)),
+            reader: Some(StreamReader::new(open, last_event, cutoff, held_bytes)),
             trace,
             status,
             stats: StreamStats { read_at_decode, ..StreamStats::default() },
@@ -71,8 +71,8 @@
 
     /// The body of the response to the caller.
     pub(crate) fn into_body(self) -> ResponseBody {
-        let parts = stream::unfold(Some(self), next_part);
-        BodyExt::boxed(SyncBody::new(StreamBody::new(Box::pin(parts))))
+        let frames = stream::unfold(Some(self), next_frame);
+        BodyExt::boxed(SyncBody::new(StreamBody::new(Box::pin(frames))))
     }
 
     async fn next(&mut self) -> Result<Option<Bytes>, BoxError> {
@@ -81,22 +81,22 @@
         }
         loop {
             match self.read().await {
-                NextPart::Events(bytes) => {
+                RelayStep::Events(bytes) => {
                     // From here on the caller's connection charges bytes that the caller has not read.
                     drop(self.model_request.request.held_bytes.hold(bytes.len() as u64).await);
                     return Ok(Some(bytes));
                 }
-                NextPart::End => {
+                RelayStep::End => {
                     self.finish();
                     return Ok(None);
                 }
-                NextPart::Broken(cause) => {
+                RelayStep::Broken(cause) => {
                     let last_at = self.stats.last_at.unwrap_or(self.opened_at);
                     let resume_deadline = last_at + RESUME_MAX_WAIT;
                     self.model_request.extend_engine_wait(resume_deadline);
                     self.resume_elsewhere(&cause, None).await?;
                 }
-                NextPart::Replacement(prepared) => {
+                RelayStep::Replacement(prepared) => {
                     self.resume_elsewhere("the engine stalled", Some(*prepared)).await?;
                 }
             }
@@ -113,32 +113,32 @@
 
     /// Reads the next events. A stalled engine keeps the stream until a replacement is ready,
     /// since its events may still arrive.
-    async fn read(&mut self) -> NextPart {
+    async fn read(&mut self) -> RelayStep {
         loop {
             let Some(reader) = &mut self.reader else {
-                return NextPart::Broken("no stream is open".to_owned());
+                return RelayStep::Broken("no stream is open".to_owned());
             };
             let can_resume = self.model_request.can_resume();
             let search_at =
                 can_resume.then(|| self.next_search_at.max(reader.last_at + STALL_TIMEOUT));
-            if let Some(part) = reader.read(search_at).await {
-                return self.deliver(part);
+            if let Some(outcome) = reader.read(search_at).await {
+                return self.deliver(outcome);
             }
-            if let Some(part) = self.find_replacement().await {
-                return part;
+            if let Some(step) = self.find_replacement().await {
+                return step;
             }
         }
     }
 
     /// Searches for a replacement engine until the stalled one sends events; `None` if none is found.
-    async fn find_replacement(&mut self) -> Option<NextPart> {
+    async fn find_replacement(&mut self) -> Option<RelayStep> {
         let reader = self.reader.as_mut()?;
         let stalled = Arc::clone(&reader.open.entry);
         tokio::select! {
             biased;
-            part = reader.read(None) => part.map(|part| self.deliver(part)),
+            outcome = reader.read(None) => outcome.map(|outcome| self.deliver(outcome)),
             prepared = self.model_request.prepare_replacement(&stalled) => match prepared {
-                Ok(prepared) => Some(NextPart::Replacement(Box::new(prepared))),
+                Ok(prepared) => Some(RelayStep::Replacement(Box::new(prepared))),
                 Err(refusal) => {
                     log_no_replacement(&self.model_request, refusal);
                     self.next_search_at = Instant::now() + SEARCH_INTERVAL;
@@ -149,14 +149,14 @@
     }
 
     /// Converts what was read from the engine's stream, and records its events.
-    fn deliver(&mut self, part: ReadPart) -> NextPart {
-        match part {
-            ReadPart::Events(bytes, count) => {
+    fn deliver(&mut self, outcome: ReadOutcome) -> RelayStep {
+        match outcome {
+            ReadOutcome::Events(bytes, count) => {
                 self.record_events(count);
-                NextPart::Events(bytes)
+                RelayStep::Events(bytes)
             }
-            ReadPart::End => NextPart::End,
-            ReadPart::Broken(cause) => NextPart::Broken(cause),
+            ReadOutcome::End => RelayStep::End,
+            ReadOutcome::Broken(cause) => RelayStep::Broken(cause),
         }
     }
 
@@ -208,9 +208,9 @@
             Ok(open) => {
                 self.stats.resumes += 1;
                 let cutoff = self.model_request.wait_for_cutoff(&open.entry);
-                let (last_event, held) =
+                let (last_event, held_bytes) =
                     (self.model_request.last_event, request.held_bytes.clone());
-                self.reader = Some(StreamReader::new(open, last_event, cutoff, held));
+                self.reader = Some(StreamReader::new(open, last_event, cutoff, held_bytes));
                 Ok(())
             }
             Err(refusal) => {
@@ -231,10 +231,10 @@
     );
 }
 
-type RelayPart = Result<Frame<Bytes>, BoxError>;
+type BodyFrame = Result<Frame<Bytes>, BoxError>;
 
 /// The next frame of the body, and the relay unless the body has ended.
-fn next_part(relay: Option<StreamRelay>) -> BoxFuture<Option<(RelayPart, Option<StreamRelay>)>> {
+fn next_frame(relay: Option<StreamRelay>) -> BoxFuture<Option<(BodyFrame, Option<StreamRelay>)>> {
     Box::pin(async move {
         let mut relay = relay?;
         match relay.next().await {
--- a/crates/dillspool_forward/src/response_body.rs
+++ b/crates/dillspool_forward/src/response_body.rs
@@ -70,15 +70,15 @@
 
 /// Reads the complete body of a response of at most `limit` bytes and charges its bytes as they arrive.
 pub(crate) async fn read_within_budget(
-    held: &ExchangeBytes,
+    held_bytes: &ExchangeBytes,
     mut body: ResponseBody,
     limit: usize,
 ) -> Result<Bytes, BoxError> {
-    if held.terms().is_none() {
+    if held_bytes.terms().is_none() {
         return read_response_body(body, limit).await;
     }
     let mut chunks = ChargedChunks::default();
-    while let Some((bytes, guard)) = next_chunk(held, &mut body).await? {
+    while let Some((bytes, guard)) = next_chunk(held_bytes, &mut body).await? {
         chunks.push(bytes, guard);
         if chunks.length > limit {
             return Err(format!("the body is over {limit} bytes").into());
@@ -89,13 +89,13 @@
 
 /// The next chunk of a body, once it fits into the byte budget.
 async fn next_chunk(
-    held: &ExchangeBytes,
+    held_bytes: &ExchangeBytes,
     body: &mut ResponseBody,
 ) -> Result<Option<(Bytes, ByteGuard)>, BoxError> {
     while let Some(frame) = body.frame().await {
         // Trailers are not relayed.
         if let Ok(bytes) = frame?.into_data() {
-            let guard = held.hold(bytes.len() as u64).await;
+            let guard = held_bytes.hold(bytes.len() as u64).await;
             return Ok(Some((bytes, guard)));
         }
     }
@@ -165,8 +165,8 @@
         // The caller detects a truncated response by its length, or else by its missing last chunk.
         response.headers_mut().remove(CONTENT_LENGTH);
         let read: u64 = self.chunks.iter().map(|chunk| chunk.len() as u64).sum();
-        if let Some(left) = self.body.size_hint().exact() {
-            response.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(read + left));
+        if let Some(remaining) = self.body.size_hint().exact() {
+            response.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(read + remaining));
         }
         let relay = ResponseRelay {
             response: self,
--- a/crates/dillspool_forward/src/trace.rs
+++ b/crates/dillspool_forward/src/trace.rs
@@ -108,7 +108,7 @@
         self.end("broken", "", &format!("{fields} detail=\"{detail}\""));
     }
 
-    /// Reports a plain response that broke after a part of it was relayed; the caller's connection is aborted.
+    /// Reports a plain response that broke after the first chunks were relayed; the caller's connection is aborted.
     pub(crate) fn response_broken(&mut self, detail: &str) {
         self.end("broken", "", &format!("detail=\"{detail}\""));
     }
--- a/crates/dillspool_forward/tests/events.rs
+++ b/crates/dillspool_forward/tests/events.rs
@@ -4,11 +4,11 @@
 use dillspool_forward::{EventSplitter, StreamEvent};
 use proptest::prelude::*;
 
-fn split(parts: &[&[u8]]) -> Vec<StreamEvent> {
+fn split(chunks: &[&[u8]]) -> Vec<StreamEvent> {
     let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
-    for part in parts {
-        splitter.push(part);
+    for chunk in chunks {
+        splitter.push(chunk);
         while let Some(event) = splitter.next_event() {
             events.push(event);
         }
@@ -56,8 +56,8 @@
         let mut cuts: Vec<usize> = cuts.into_iter().filter(|cut| *cut < bytes.len()).collect();
         cuts.extend([0, bytes.len()]);
         cuts.sort_unstable();
-        let parts: Vec<&[u8]> = cuts.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect();
-        let events = split(&parts);
+        let chunks: Vec<&[u8]> = cuts.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect();
+        let events = split(&chunks);
         let joined: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).collect();
         prop_assert_eq!(joined, bytes);
         prop_assert_eq!(events.len(), lengths.len());
--- a/crates/dillspool_forward/tests/restarts.rs
+++ b/crates/dillspool_forward/tests/restarts.rs
@@ -194,7 +194,7 @@
         let entries = started(true);
         let (context, directory) = site.context(restarted(&entries, &[]));
         let asking = handle_request(context, request(RequestKind::Streaming, 1, false));
-        let left = tokio::time::timeout(
+        let disconnect = tokio::time::timeout(
             Duration::from_millis(200),
             Box::pin(async {
                 let change = async {
@@ -204,7 +204,7 @@
                 tokio::join!(asking, change)
             }),
         );
-        assert!(left.await.is_err(), "{restarted_ids:?}");
+        assert!(disconnect.await.is_err(), "{restarted_ids:?}");
         tokio::time::sleep(Duration::from_secs(1)).await;
         assert_eq!(
             site.record.lock().unwrap().released_reservations.len(),
