--- a/crates/dillspool_watch/src/follow.rs
+++ b/crates/dillspool_watch/src/follow.rs
@@ -43,8 +43,9 @@
     /// if it was relayed the table before and the store has compacted the changes since; zero to
     /// read at once.
     pub snapshot_delay: Duration,
-    /// How long such a host only polls for changes since its relayed replica, counted from the
-    /// store's first response. All hosts notice at the same moment that the store is back.
+    /// How long such a host polls for changes before it reads a snapshot, counted from the store's
+    /// first response. All hosts notice at the same moment that the store is back, and would
+    /// otherwise all read snapshots then.
     pub changes_only_period: Duration,
     /// Time beyond the long poll after which the response counts as lost.
     pub response_slack: Duration,
