--- a/crates/dillspool_engine/src/client.rs
+++ b/crates/dillspool_engine/src/client.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dillspool_io::{
-    BoxFuture, HttpClient, HttpError, NetStack, ProcessSign, look_at_process, read_body,
+    BoxFuture, ConnectOutcome, HttpClient, HttpError, NetStack, probe_connect, read_body,
 };
 use dillspool_schema::StreamId;
 use dillspool_schema::engine::{
@@ -47,7 +47,7 @@
     pub fn has_ended(&self, engine: SocketAddr) -> BoxFuture<bool> {
         let stack = self.stack.clone();
         Box::pin(async move {
-            look_at_process(&stack, engine, LOOK_LIMIT).await == ProcessSign::Refuses
+            probe_connect(&stack, engine, LOOK_LIMIT).await == ConnectOutcome::Refused
         })
     }
 
--- a/crates/dillspool_forward/src/generate.rs
+++ b/crates/dillspool_forward/src/generate.rs
@@ -141,7 +141,7 @@
         stalled: &BackendEntry,
     ) -> Result<PreparedAttempt, Refusal> {
         self.tried.push(stalled);
-        let deadline = self.request.clock.wake_at(self.request.deadline);
+        let deadline = self.request.clock.to_instant(self.request.deadline);
         self.extend_engine_wait(deadline);
         self.prepare().await
     }
--- a/crates/dillspool_forward/src/generate/prepare.rs
+++ b/crates/dillspool_forward/src/generate/prepare.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dillspool_admission::WorkClass;
-use dillspool_io::MomentPassed;
+use dillspool_io::DeadlineElapsed;
 use dillspool_routing::DirectoryView;
 use tokio::time::Instant;
 
@@ -39,7 +39,7 @@
         let placing = self.request.clock.timeout_at(self.request.deadline, self.place()).await;
         let placement = match placing {
             Ok(placed) => placed?,
-            Err(MomentPassed) => return Err(self.final_refusal()),
+            Err(DeadlineElapsed) => return Err(self.final_refusal()),
         };
         let reserved = self.request.age();
         if self.attempts > 0 {
--- a/crates/dillspool_forward/src/generate/send.rs
+++ b/crates/dillspool_forward/src/generate/send.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dillspool_admission::EngineFault;
-use dillspool_io::MomentPassed;
+use dillspool_io::DeadlineElapsed;
 use dillspool_routing::BackendEntry;
 use dillspool_scheduler::DeskNote;
 use hyper::{HeaderMap, Response, StatusCode};
@@ -112,8 +112,9 @@
         let call =
             (self.context.calls.forward)(Arc::clone(entry), Arc::clone(&self.request), params);
         let call = self.context.cancel_on_restart(entry, call);
-        let timed_out =
-            |MomentPassed| CallError::Lost { reason: format!("no response within {remaining:?}") };
+        let timed_out = |DeadlineElapsed| CallError::Lost {
+            reason: format!("no response within {remaining:?}"),
+        };
         self.request.clock.timeout_at(self.request.deadline, call).await.map_err(timed_out)?
     }
 
@@ -146,7 +147,7 @@
         match self.request.clock.timeout_at(self.request.deadline, reading).await {
             Ok(Ok(body)) => Ok(Some(self.relay_failure(&entry, &ticket, status, headers, body))),
             Ok(Err(error)) => self.record_ambiguous(&entry, &ticket, &error.to_string()),
-            Err(MomentPassed) => self.record_ambiguous(
+            Err(DeadlineElapsed) => self.record_ambiguous(
                 &entry,
                 &ticket,
                 "the failure response was incomplete at the deadline",
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dillspool_calls::{CallOutcome, RejectCause};
-use dillspool_io::{MomentPassed, ResponseBody, full_body};
+use dillspool_io::{DeadlineElapsed, ResponseBody, full_body};
 use dillspool_routing::{BackendEntry, RoutedRequest};
 use dillspool_scheduler::CallTicket;
 use dillspool_version::StoreVersion;
@@ -309,7 +309,7 @@
         Ok(Err(CallError::NotSent { reason })) => AttemptOutcome::NotSent(reason),
         Ok(Err(CallError::Refused { .. })) => AttemptOutcome::NotRun,
         Ok(Err(CallError::Lost { reason })) => AttemptOutcome::Unknown(reason),
-        Err(MomentPassed) => AttemptOutcome::Unknown(format!("no response within {timeout:?}")),
+        Err(DeadlineElapsed) => AttemptOutcome::Unknown(format!("no response within {timeout:?}")),
     }
 }
 
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dillspool_admission::{EngineFault, WorkClass};
-use dillspool_io::MomentPassed;
+use dillspool_io::DeadlineElapsed;
 use dillspool_routing::{BackendEntry, BackendId, RoutedRequest};
 use dillspool_scheduler::DeskNote;
 use tokio::time::Instant;
@@ -169,7 +169,7 @@
     let took = started.elapsed();
     context.metrics.record_prefill_duration(took);
     let timed_out =
-        |MomentPassed| CallError::Lost { reason: format!("no prefill within {limit:?}") };
+        |DeadlineElapsed| CallError::Lost { reason: format!("no prefill within {limit:?}") };
     ended.map_err(timed_out)?
 }
 
--- a/crates/dillspool_forward/src/reader.rs
+++ b/crates/dillspool_forward/src/reader.rs
@@ -47,14 +47,14 @@
         held_bytes: ExchangeBytes,
     ) -> Self {
         let (splitter, last_at) = (EventSplitter::default(), Instant::now());
-        let partial = held_bytes.guard();
+        let partial = held_bytes.empty_guard();
         Self { open, splitter, last_event, last_at, cutoff, held_bytes, partial }
     }
 
     /// Restarts stall detection when the caller reads again. With a byte budget the caller can pause the stream,
     /// and that pause must not count as the engine's.
     pub(crate) fn reset_stall_timer(&mut self) {
-        if self.held_bytes.terms().is_some() {
+        if self.held_bytes.limits().is_some() {
             self.last_at = Instant::now();
         }
     }
@@ -80,13 +80,13 @@
             };
             let outcome = self.handle_frame(frame);
             let partial = self.splitter.len() as u64;
-            if outcome.is_some() || !self.partial.try_set(partial) {
-                self.partial.set(partial);
+            if outcome.is_some() || !self.partial.try_resize(partial) {
+                self.partial.resize(partial);
             }
             if let Some(outcome) = outcome {
                 return Some(outcome);
             }
-            self.held_bytes.wait_for_room().await;
+            self.held_bytes.wait_for_capacity().await;
         }
     }
 
--- a/crates/dillspool_forward/src/relay.rs
+++ b/crates/dillspool_forward/src/relay.rs
@@ -83,7 +83,7 @@
             match self.read().await {
                 RelayStep::Events(bytes) => {
                     // From here on the caller's connection charges bytes that the caller has not read.
-                    drop(self.model_request.request.held_bytes.hold(bytes.len() as u64).await);
+                    drop(self.model_request.request.held_bytes.reserve(bytes.len() as u64).await);
                     return Ok(Some(bytes));
                 }
                 RelayStep::End => {
--- a/crates/dillspool_forward/src/response_body.rs
+++ b/crates/dillspool_forward/src/response_body.rs
@@ -45,7 +45,7 @@
     request: &RoutedRequest,
     body: ResponseBody,
 ) -> Result<BufferedBody, BoxError> {
-    let Some(terms) = request.held_bytes.terms() else {
+    let Some(terms) = request.held_bytes.limits() else {
         return read_response_body(body, MAX_BUFFERED_BYTES).await.map(BufferedBody::Complete);
     };
     if !request.accepts_chunked && body.size_hint().exact().is_none() {
@@ -56,7 +56,7 @@
     }
     let mut body = body;
     let mut chunks = ChargedChunks::default();
-    while chunks.length <= terms.answer_bytes {
+    while chunks.length <= terms.max_buffered_response_bytes {
         match next_chunk(&request.held_bytes, &mut body).await? {
             Some((bytes, guard)) => chunks.push(bytes, guard),
             None => return Ok(BufferedBody::Complete(chunks.join())),
@@ -74,7 +74,7 @@
     mut body: ResponseBody,
     limit: usize,
 ) -> Result<Bytes, BoxError> {
-    if held_bytes.terms().is_none() {
+    if held_bytes.limits().is_none() {
         return read_response_body(body, limit).await;
     }
     let mut chunks = ChargedChunks::default();
@@ -95,7 +95,7 @@
     while let Some(frame) = body.frame().await {
         // Trailers are not relayed.
         if let Ok(bytes) = frame?.into_data() {
-            let guard = held_bytes.hold(bytes.len() as u64).await;
+            let guard = held_bytes.reserve(bytes.len() as u64).await;
             return Ok(Some((bytes, guard)));
         }
     }
@@ -222,7 +222,7 @@
     async fn relay_chunks(&mut self, sender: &ChunkSender) -> RelayOutcome {
         let (context, request) = (self.context.clone(), Arc::clone(&self.request));
         let entry = Arc::clone(&self.response.entry);
-        let stall = request.held_bytes.terms().map_or(Duration::MAX, |terms| terms.stall);
+        let stall = request.held_bytes.limits().map_or(Duration::MAX, |terms| terms.stall_timeout);
         let mut cutoff = std::pin::pin!(async {
             tokio::select! {
                 () = request.wait_for_deadline() => "the deadline passed",
@@ -248,7 +248,7 @@
                 () = sender.closed() => return RelayOutcome::CallerGone,
                 chunk = next_chunk(&request.held_bytes, &mut self.response.body) => chunk,
                 () = tokio::time::sleep(stall) => {
-                    request.held_bytes.note_stalled(StalledSide::Backend);
+                    request.held_bytes.record_stall(StalledSide::Backend);
                     return RelayOutcome::Broken(format!("no data for {stall:?}"));
                 }
             };
--- a/crates/dillspool_forward/tests/long_responses.rs
+++ b/crates/dillspool_forward/tests/long_responses.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use common::{ScriptedSite, Step, entry, request, view};
 use dillspool_forward::{BackendResponse, ForwardContext, handle_request};
-use dillspool_io::{ByteBudget, HeldTerms, read_response_body};
+use dillspool_io::{ByteBudget, ByteLimits, read_response_body};
 use dillspool_routing::RequestKind::{self, Idempotent, NonIdempotent};
 use dillspool_routing::{BackendEntry, BackendStart, RoutedRequest};
 use http_body_util::BodyExt;
@@ -17,15 +17,18 @@
 
 /// Longer than the buffered size, so that each chunk is relayed when it arrives.
 const LONG: &str = "a part that is longer than what is read whole";
-const TERMS: HeldTerms =
-    HeldTerms { limit: 10_000, answer_bytes: 20, stall: Duration::from_secs(8) };
+const TERMS: ByteLimits = ByteLimits {
+    max_bytes: 10_000,
+    max_buffered_response_bytes: 20,
+    stall_timeout: Duration::from_secs(8),
+};
 
 fn budget() -> ByteBudget {
     ByteBudget::new(TERMS)
 }
 
 fn budgeted_request(budget: &ByteBudget, kind: RequestKind, attempts: u32) -> RoutedRequest {
-    let held = budget.enter("request-1", CancellationToken::new());
+    let held = budget.open_exchange("request-1", CancellationToken::new());
     RoutedRequest { held_bytes: held, ..request(kind, attempts, false) }
 }
 
@@ -84,7 +87,7 @@
         assert_eq!(is_complete, case.is_complete, "{}", case.name);
         tokio::time::sleep(Duration::from_secs(5)).await;
         assert_eq!(site.record.lock().unwrap().arrivals.len(), case.arrivals, "{}", case.name);
-        assert_eq!(budget.read().held, 0, "{}", case.name);
+        assert_eq!(budget.snapshot().held, 0, "{}", case.name);
         if !case.outcome.is_empty() {
             assert_eq!(outcomes(&context, case.outcome), 1, "{}", case.name);
         }
@@ -155,13 +158,13 @@
             drop(body);
             tokio::time::sleep(Duration::from_millis(1)).await;
             assert_eq!(outcomes(&context, "caller_gone"), 1, "{}", case.name);
-            assert_eq!(budget.read().held, 0, "{}: released at once", case.name);
+            assert_eq!(budget.snapshot().held, 0, "{}: released at once", case.name);
             continue;
         }
         tokio::time::sleep(Duration::from_millis(case.reads_after_ms)).await;
         let (_text, is_complete) = read_chunks(body).await;
         assert_eq!(is_complete, case.is_complete, "{}", case.name);
-        assert_eq!(budget.read().held, 0, "{}", case.name);
+        assert_eq!(budget.snapshot().held, 0, "{}", case.name);
     }
 }
 
@@ -184,7 +187,7 @@
         tokio::time::sleep(Duration::from_secs(1)).await;
         let before = taken.load(Ordering::Relaxed);
         assert!(before <= max_taken, "{before} chunks taken");
-        let held = budget.read().most_held;
+        let held = budget.snapshot().peak_held;
         assert!(held <= 2 * LONG.len() as u64, "{held}");
         let (text, is_complete) = read_chunks(response.into_body()).await;
         assert!(is_complete && text.len() == 60 * LONG.len());
--- a/crates/dillspool_forward/tests/paused_streams.rs
+++ b/crates/dillspool_forward/tests/paused_streams.rs
@@ -6,13 +6,16 @@
 
 use common::{ScriptedSite, Step, entry, request, view};
 use dillspool_forward::handle_request;
-use dillspool_io::{ByteBudget, HeldTerms};
+use dillspool_io::{ByteBudget, ByteLimits};
 use dillspool_routing::{RequestKind, RoutedRequest};
 use http_body_util::BodyExt;
 use tokio_util::sync::CancellationToken;
 
-const TERMS: HeldTerms =
-    HeldTerms { limit: 10_000, answer_bytes: 20, stall: Duration::from_secs(8) };
+const TERMS: ByteLimits = ByteLimits {
+    max_bytes: 10_000,
+    max_buffered_response_bytes: 20,
+    stall_timeout: Duration::from_secs(8),
+};
 
 /// The gap that a caller's pause causes was taken for a stalled engine: when the caller read again, the stream was
 /// resumed at another engine, which cost another prefill and a retry.
@@ -24,7 +27,7 @@
     let backends = [entry("first", "near", None), entry("second", "far", None)];
     let (context, _directory) = site.context(view(backends));
     let budget = ByteBudget::new(TERMS);
-    let held = budget.enter("request-1", CancellationToken::new());
+    let held = budget.open_exchange("request-1", CancellationToken::new());
     let routed = RoutedRequest { held_bytes: held, ..request(RequestKind::Streaming, 2, true) };
     let mut body = handle_request(context, routed).await.into_body();
     body.frame().await.expect("the first event").expect("no break");
@@ -33,7 +36,7 @@
     assert!(body.frame().await.is_none(), "it ends");
     assert_eq!(site.record.lock().unwrap().arrivals.len(), 1);
     drop(body);
-    assert_eq!(budget.read().held, 0);
+    assert_eq!(budget.snapshot().held, 0);
 }
 
 /// A partial event stays in memory until the rest arrives.
@@ -44,14 +47,14 @@
     site.script("first", [Step::Paced(events)]);
     let (context, _directory) = site.context(view([entry("first", "near", None)]));
     let budget = ByteBudget::new(TERMS);
-    let held = budget.enter("request-1", CancellationToken::new());
+    let held = budget.open_exchange("request-1", CancellationToken::new());
     let routed = RoutedRequest { held_bytes: held, ..request(RequestKind::Streaming, 1, false) };
     let mut body = handle_request(context, routed).await.into_body();
     for charged in [5, 0] {
         body.frame().await.expect("an event").expect("no break");
-        assert_eq!(budget.read().held, charged);
+        assert_eq!(budget.snapshot().held, charged);
     }
     assert!(body.frame().await.expect("an end").is_err(), "it ended within an event");
     drop(body);
-    assert_eq!(budget.read().held, 0);
+    assert_eq!(budget.snapshot().held, 0);
 }
--- a/crates/dillspool_forward/tests/suspended.rs
+++ b/crates/dillspool_forward/tests/suspended.rs
@@ -7,7 +7,7 @@
 use common::{ONE, ScriptedSite, Step, TWO, entry, pool, request, view};
 use dillspool_cases::ClockJumps;
 use dillspool_forward::{BudgetSettings, RetryBudgets, handle_request};
-use dillspool_io::{AwakeWatch, read_response_body};
+use dillspool_io::{StallDetector, read_response_body};
 use dillspool_routing::{RequestKind, RoutedRequest};
 use tokio_util::sync::CancellationToken;
 
@@ -175,7 +175,7 @@
         *site.prefill_takes.lock().unwrap() = case.prefill_takes;
         let clock = jumps.clock();
         let cancel = CancellationToken::new();
-        let _awake = AwakeWatch::start(clock.clone(), cancel.clone());
+        let _awake = StallDetector::start(clock.clone(), cancel.clone());
         let fresh = request(case.kind, 1, false);
         let time_limit = fresh.deadline.since(fresh.arrived);
         assert!(
--- a/crates/dillspool_io/src/awake.rs
+++ b/crates/dillspool_io/src/awake.rs
@@ -26,18 +26,18 @@
 /// What came in meanwhile waits in its connections, and would be taken for news of the moment at which it
 /// is read. See `docs/design/clocks.md`.
 #[derive(Clone)]
-pub struct AwakeWatch {
+pub struct StallDetector {
     clock: HostClock,
     state: Arc<Mutex<AwakeState>>,
 }
 
-impl fmt::Debug for AwakeWatch {
+impl fmt::Debug for StallDetector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("AwakeWatch")
     }
 }
 
-impl AwakeWatch {
+impl StallDetector {
     /// Starts a watch by a clock, until `cancel`.
     pub fn start(clock: HostClock, cancel: CancellationToken) -> Self {
         let state = AwakeState { noted: clock.now(), stall: None };
@@ -70,7 +70,7 @@
         if gap >= STALL {
             state.stall = Some((state.noted, now));
             log::info!("event=stalled for_ms={}", gap.as_millis());
-            self.clock.note_stall();
+            self.clock.record_stall();
         }
         state.noted = state.noted.max(now);
         state.stall
@@ -78,7 +78,7 @@
 
     /// The moment up to which something that was waited for since `since`, and is there now, tells of the
     /// present: now, or the start of a stall in that time.
-    pub fn heard_at(&self, since: Moment) -> Moment {
+    pub fn observed_at(&self, since: Moment) -> Moment {
         let stall = self.note();
         let within = stall.filter(|(_from, to)| since < *to);
         within.map_or_else(|| self.clock.now(), |(from, _to)| from.max(since))
--- a/crates/dillspool_io/src/exchange.rs
+++ b/crates/dillspool_io/src/exchange.rs
@@ -117,7 +117,7 @@
     request: Request<Full<Bytes>>,
     connect_limit: Duration,
 ) -> Result<Response<ExchangeBody>, HttpError> {
-    exchange_held(stack, address, request, connect_limit, &ExchangeBytes::default()).await
+    exchange_with_budget(stack, address, request, connect_limit, &ExchangeBytes::default()).await
 }
 
 /// As [`exchange_once`], as a part of a caller's exchange: what the server does not read of the request
@@ -126,7 +126,7 @@
 /// # Errors
 ///
 /// As [`exchange_once`].
-pub async fn exchange_held(
+pub async fn exchange_with_budget(
     stack: &NetStack,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -140,7 +140,7 @@
         Err(_elapsed) => return Err(not_sent(format!("no connection within {connect_limit:?}"))),
     };
     let mut builder = http1::Builder::new();
-    let (stream, part_bytes) = if held.terms().is_some() {
+    let (stream, part_bytes) = if held.limits().is_some() {
         builder.max_buf_size(BUFFER_BYTES);
         let exchange = Arc::new(Mutex::new(held.clone()));
         (HeldStream::wrap(stream, exchange, StalledSide::Backend), BUFFER_BYTES)
--- a/crates/dillspool_io/src/held_bytes.rs
+++ b/crates/dillspool_io/src/held_bytes.rs
@@ -25,13 +25,13 @@
 
 /// Limits on held bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldTerms {
+pub struct ByteLimits {
     /// Bytes that all exchanges may hold together.
-    pub limit: u64,
+    pub max_bytes: u64,
     /// Largest answer that is read whole before any of it is passed on, in bytes.
-    pub answer_bytes: usize,
+    pub max_buffered_response_bytes: usize,
     /// Time for which a peer may neither read nor send before its exchange is ended.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
 }
 
 /// Why an exchange was ended.
@@ -82,18 +82,18 @@
 }
 
 struct SharedBudget {
-    terms: HeldTerms,
+    terms: ByteLimits,
     ledger: Mutex<HeldLedger>,
     freed: Notify,
 }
 
 /// What a budget counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldReading {
+pub struct BudgetSnapshot {
     /// Bytes held now.
     pub held: u64,
     /// Most bytes held at once so far.
-    pub most_held: u64,
+    pub peak_held: u64,
     /// Bytes that may be held.
     pub limit: u64,
     /// Exchanges that were ended, in the order of [`StalledSide::ALL`].
@@ -108,29 +108,29 @@
 
 impl fmt::Debug for ByteBudget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "ByteBudget({:?})", self.read())
+        write!(f, "ByteBudget({:?})", self.snapshot())
     }
 }
 
 impl ByteBudget {
     /// A budget of which nothing is held.
-    pub fn new(terms: HeldTerms) -> Self {
+    pub fn new(terms: ByteLimits) -> Self {
         let (ledger, freed) = (Mutex::default(), Notify::new());
         Self { shared: Arc::new(SharedBudget { terms, ledger, freed }) }
     }
 
     /// Its limits.
-    pub fn terms(&self) -> HeldTerms {
+    pub fn limits(&self) -> ByteLimits {
         self.shared.terms
     }
 
     /// What it counts.
-    pub fn read(&self) -> HeldReading {
+    pub fn snapshot(&self) -> BudgetSnapshot {
         let ledger = self.ledger();
-        HeldReading {
+        BudgetSnapshot {
             held: ledger.held,
-            most_held: ledger.most_held,
-            limit: self.shared.terms.limit,
+            peak_held: ledger.most_held,
+            limit: self.shared.terms.max_bytes,
             stalled: ledger.stalled,
         }
     }
@@ -142,17 +142,17 @@
 
     /// Whether a new request fits, whose body has so many bytes as far as is known; exchanges in
     /// progress that wait for room go first.
-    pub fn takes_new(&self, body_bytes: u64) -> bool {
+    pub fn can_admit(&self, body_bytes: u64) -> bool {
         let ledger = self.ledger();
         ledger.waiting == 0 && ledger.held.saturating_add(body_bytes) <= self.new_limit()
     }
 
     fn new_limit(&self) -> u64 {
-        self.shared.terms.limit / 100 * NEW_UP_TO
+        self.shared.terms.max_bytes / 100 * NEW_UP_TO
     }
 
     /// Opens the account of an exchange; `closing` is cancelled when the exchange has to end.
-    pub fn enter(&self, id: &str, closing: CancellationToken) -> ExchangeBytes {
+    pub fn open_exchange(&self, id: &str, closing: CancellationToken) -> ExchangeBytes {
         let mut ledger = self.ledger();
         let key = ledger.next_key;
         ledger.next_key += 1;
@@ -164,7 +164,7 @@
     }
 
     fn has_room(&self) -> bool {
-        self.ledger().held <= self.shared.terms.limit
+        self.ledger().held <= self.shared.terms.max_bytes
     }
 
     fn ledger(&self) -> MutexGuard<'_, HeldLedger> {
@@ -173,7 +173,7 @@
 
     /// Changes what an exchange holds from `before` to `after`; more only if all is within `most`.
     fn change(&self, key: u64, before: u64, after: u64, most: u64) -> bool {
-        let limit = self.shared.terms.limit;
+        let limit = self.shared.terms.max_bytes;
         let mut ledger = self.ledger();
         let held = (ledger.held - before).saturating_add(after);
         if after > before && held > most {
@@ -197,7 +197,7 @@
     /// Ends the exchange that holds the most, so that `needed` bytes fit for another one, unless
     /// those that were ended before will free enough.
     fn end_largest(&self, key: u64, needed: u64) {
-        let limit = self.shared.terms.limit;
+        let limit = self.shared.terms.max_bytes;
         let mut ledger = self.ledger();
         let ending = ledger.accounts.values().filter(|it| it.is_ended).map(|it| it.held).sum();
         if ledger.held.saturating_sub(ending).saturating_add(needed) <= limit {
@@ -253,8 +253,8 @@
 
 impl ExchangeBytes {
     /// The limits, if there are any.
-    pub fn terms(&self) -> Option<HeldTerms> {
-        self.state.as_ref().map(|state| state.budget.terms())
+    pub fn limits(&self) -> Option<ByteLimits> {
+        self.state.as_ref().map(|state| state.budget.limits())
     }
 
     /// Bytes held for this exchange.
@@ -263,30 +263,30 @@
         state.budget.ledger().accounts.get(&state.key).map_or(0, |account| account.held)
     }
 
-    /// A guard of nothing; see [`ByteGuard::set`].
-    pub fn guard(&self) -> ByteGuard {
+    /// A guard of nothing; see [`ByteGuard::resize`].
+    pub fn empty_guard(&self) -> ByteGuard {
         ByteGuard { exchange: self.clone(), bytes: 0 }
     }
 
     /// Holds bytes if they fit now.
-    pub fn try_hold(&self, bytes: u64) -> Option<ByteGuard> {
-        let mut guard = self.guard();
+    pub fn try_reserve(&self, bytes: u64) -> Option<ByteGuard> {
+        let mut guard = self.empty_guard();
         let state = self.state.as_ref();
         // Nothing fits beside what is held beyond the limit, not even nothing.
         let has_room = state.is_none_or(|state| state.budget.has_room());
-        (has_room && guard.try_set(bytes)).then_some(guard)
+        (has_room && guard.try_resize(bytes)).then_some(guard)
     }
 
-    /// Waits while more is held than the limit, by the rule of [`ExchangeBytes::hold`].
-    pub async fn wait_for_room(&self) {
-        drop(self.hold(0).await);
+    /// Waits while more is held than the limit, by the rule of [`ExchangeBytes::reserve`].
+    pub async fn wait_for_capacity(&self) {
+        drop(self.reserve(0).await);
     }
 
     /// Holds bytes once they fit; if they do not within a second, the exchange that holds the most is
     /// ended, which may be this one: its connection is closed then, and this future with it.
-    pub async fn hold(&self, bytes: u64) -> ByteGuard {
-        let Some(state) = &self.state else { return self.guard() };
-        if let Some(guard) = self.try_hold(bytes) {
+    pub async fn reserve(&self, bytes: u64) -> ByteGuard {
+        let Some(state) = &self.state else { return self.empty_guard() };
+        if let Some(guard) = self.try_reserve(bytes) {
             return guard;
         }
         let _waiting = RoomWaiter::new(&state.budget);
@@ -295,7 +295,7 @@
             let mut freed = std::pin::pin!(state.budget.shared.freed.notified());
             // Registered before the look, so that what is freed in between is not missed.
             freed.as_mut().enable();
-            if let Some(guard) = self.try_hold(bytes) {
+            if let Some(guard) = self.try_reserve(bytes) {
                 return guard;
             }
             if tokio::time::timeout_at(until, freed).await.is_err() {
@@ -306,7 +306,7 @@
     }
 
     /// Counts and logs that the exchange ends because a peer neither read nor sent.
-    pub fn note_stalled(&self, side: StalledSide) {
+    pub fn record_stall(&self, side: StalledSide) {
         let Some(state) = &self.state else { return };
         let mut ledger = state.budget.ledger();
         ledger.stalled[side as usize] += 1;
@@ -343,19 +343,19 @@
 
 impl ByteGuard {
     /// Charges so many bytes from now on, also beyond the limit: for what is in memory already.
-    pub fn set(&mut self, bytes: u64) {
+    pub fn resize(&mut self, bytes: u64) {
         self.change(bytes, |_budget| u64::MAX);
     }
 
     /// Charges so many bytes from now on if they fit.
     #[must_use]
-    pub fn try_set(&mut self, bytes: u64) -> bool {
-        self.change(bytes, |budget| budget.terms().limit)
+    pub fn try_resize(&mut self, bytes: u64) -> bool {
+        self.change(bytes, |budget| budget.limits().max_bytes)
     }
 
-    /// As [`ByteGuard::try_set`], for a request that has not run: exchanges in progress keep their room.
+    /// As [`ByteGuard::try_resize`], for a request that has not run: exchanges in progress keep their room.
     #[must_use]
-    pub fn try_set_new(&mut self, bytes: u64) -> bool {
+    pub fn try_resize_for_admission(&mut self, bytes: u64) -> bool {
         self.change(bytes, ByteBudget::new_limit)
     }
 
@@ -386,7 +386,7 @@
 
 impl Drop for ByteGuard {
     fn drop(&mut self) {
-        self.set(0);
+        self.resize(0);
     }
 }
 
--- a/crates/dillspool_io/src/held_stream.rs
+++ b/crates/dillspool_io/src/held_stream.rs
@@ -34,8 +34,8 @@
     }
 
     /// Opens the account of the exchange that begins now.
-    pub fn begin(&self, id: &str) -> ExchangeBytes {
-        let exchange = self.budget.enter(id, self.closing.clone());
+    pub fn begin_exchange(&self, id: &str) -> ExchangeBytes {
+        let exchange = self.budget.open_exchange(id, self.closing.clone());
         *self.current.lock().unwrap_or_else(PoisonError::into_inner) = exchange.clone();
         exchange
     }
@@ -80,14 +80,15 @@
     fn poll_blocked(&mut self, left: usize, cx: &mut Context<'_>) -> Poll<io::Error> {
         if self.blocked.is_none() {
             let exchange = self.exchange.lock().unwrap_or_else(PoisonError::into_inner).clone();
-            let Some(terms) = exchange.terms() else { return Poll::Pending };
-            let (waiting, limit) = (exchange.guard(), Box::pin(tokio::time::sleep(terms.stall)));
+            let Some(terms) = exchange.limits() else { return Poll::Pending };
+            let (waiting, limit) =
+                (exchange.empty_guard(), Box::pin(tokio::time::sleep(terms.stall_timeout)));
             self.blocked = Some(BlockedWrite { exchange, waiting, limit });
         }
         let Some(blocked) = &mut self.blocked else { return Poll::Pending };
-        blocked.waiting.set(left as u64);
+        blocked.waiting.resize(left as u64);
         std::task::ready!(blocked.limit.as_mut().poll(cx));
-        blocked.exchange.note_stalled(self.side);
+        blocked.exchange.record_stall(self.side);
         let reason = format!("the {} took nothing of what was sent", self.side.name());
         Poll::Ready(io::Error::new(io::ErrorKind::TimedOut, reason))
     }
--- a/crates/dillspool_io/src/host_clock.rs
+++ b/crates/dillspool_io/src/host_clock.rs
@@ -24,7 +24,7 @@
 
 /// The moment came before what was waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MomentPassed;
+pub struct DeadlineElapsed;
 
 impl HostClock {
     /// The system's clock since its boot; the steady one where there is none.
@@ -64,13 +64,13 @@
 
     /// Waits until a moment, which a suspension of the host brings nearer.
     ///
-    /// An [`AwakeWatch`](crate::AwakeWatch) by this clock, or a clone of it, notes the suspension; without one
+    /// An [`StallDetector`](crate::StallDetector) by this clock, or a clone of it, notes the suspension; without one
     /// this wakes as much later.
     pub async fn sleep_until(&self, moment: Moment) {
         let mut stalls = self.stalls.subscribe();
         while !self.until(moment).is_zero() {
             tokio::select! {
-                () = tokio::time::sleep_until(self.wake_at(moment)) => {}
+                () = tokio::time::sleep_until(self.to_instant(moment)) => {}
                 // The sender lives as long as this clock.
                 _noted = stalls.changed() => {}
             }
@@ -78,7 +78,7 @@
     }
 
     /// Waits until the next stall is noted.
-    pub async fn stalled(&self) {
+    pub async fn next_stall(&self) {
         // The sender lives as long as this clock.
         let _noted = self.stalls.subscribe().changed().await;
     }
@@ -87,16 +87,16 @@
     ///
     /// # Errors
     ///
-    /// [`MomentPassed`] when the moment comes first.
+    /// [`DeadlineElapsed`] when the moment comes first.
     pub async fn timeout_at<T>(
         &self,
         moment: Moment,
         future: impl Future<Output = T>,
-    ) -> Result<T, MomentPassed> {
+    ) -> Result<T, DeadlineElapsed> {
         tokio::select! {
             biased;
             value = future => Ok(value),
-            () = self.sleep_until(moment) => Err(MomentPassed),
+            () = self.sleep_until(moment) => Err(DeadlineElapsed),
         }
     }
 
@@ -104,23 +104,23 @@
     ///
     /// # Errors
     ///
-    /// [`MomentPassed`] when the time is over first.
+    /// [`DeadlineElapsed`] when the time is over first.
     pub async fn timeout<T>(
         &self,
         time: Duration,
         future: impl Future<Output = T>,
-    ) -> Result<T, MomentPassed> {
+    ) -> Result<T, DeadlineElapsed> {
         self.timeout_at(self.now() + time, future).await
     }
 
     /// Wakes what waits by this clock, to look at it once more.
-    pub(crate) fn note_stall(&self) {
+    pub(crate) fn record_stall(&self) {
         self.stalls.send_modify(|stalls| *stalls += 1);
     }
 
     /// When a timer wakes for a moment, if the host is not suspended meanwhile; what is then decided asks
     /// this clock once more.
-    pub fn wake_at(&self, moment: Moment) -> Instant {
+    pub fn to_instant(&self, moment: Moment) -> Instant {
         Instant::now() + self.until(moment)
     }
 }
--- a/crates/dillspool_io/src/lib.rs
+++ b/crates/dillspool_io/src/lib.rs
@@ -16,19 +16,21 @@
 mod server;
 mod stack;
 
-pub use awake::AwakeWatch;
+pub use awake::StallDetector;
 pub use body::{
     BoxError, ResponseBody, channel_body, full_body, read_body, read_response_body, text_response,
 };
 pub use client::{HttpClient, HttpError};
 pub use clock::{UnixMillis, WallClock};
-pub use exchange::{ExchangeBody, exchange_held, exchange_once};
-pub use held_bytes::{ByteBudget, ByteGuard, ExchangeBytes, HeldReading, HeldTerms, StalledSide};
+pub use exchange::{ExchangeBody, exchange_once, exchange_with_budget};
+pub use held_bytes::{
+    BudgetSnapshot, ByteBudget, ByteGuard, ByteLimits, ExchangeBytes, StalledSide,
+};
 pub use held_stream::CallerConnection;
-pub use host_clock::{HostClock, MomentPassed};
+pub use host_clock::{DeadlineElapsed, HostClock};
 pub use memory::{LinkMode, MemoryNet};
-pub use process_look::{ProcessSign, look_at_process};
+pub use process_look::{ConnectOutcome, probe_connect};
 pub use server::{
-    HttpHandler, ServerLimits, handler, serve_http, serve_http_held, serve_http_live,
+    HttpHandler, ServerLimits, handler, serve_http, serve_http_reloadable, serve_http_with_budget,
 };
 pub use stack::{BoxFuture, NetListener, NetStack, NetStream};
--- a/crates/dillspool_io/src/process_look.rs
+++ b/crates/dillspool_io/src/process_look.rs
@@ -8,24 +8,24 @@
 
 /// What a connection that is closed at once tells of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProcessSign {
+pub enum ConnectOutcome {
     /// It takes connections.
-    Takes,
+    Accepted,
     /// Its machine refuses them: nobody listens.
-    Refuses,
+    Refused,
     /// Nobody answers.
-    Silent,
+    NoResponse,
 }
 
 /// Looks at the process that listens on an address.
-pub async fn look_at_process(
+pub async fn probe_connect(
     stack: &NetStack,
     address: SocketAddr,
     limit: Duration,
-) -> ProcessSign {
+) -> ConnectOutcome {
     match tokio::time::timeout(limit, stack.connect(address)).await {
-        Ok(Ok(_connection)) => ProcessSign::Takes,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProcessSign::Refuses,
-        Ok(Err(_)) | Err(_) => ProcessSign::Silent,
+        Ok(Ok(_connection)) => ConnectOutcome::Accepted,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ConnectOutcome::Refused,
+        Ok(Err(_)) | Err(_) => ConnectOutcome::NoResponse,
     }
 }
--- a/crates/dillspool_io/src/server.rs
+++ b/crates/dillspool_io/src/server.rs
@@ -68,26 +68,26 @@
     cancel: CancellationToken,
 ) {
     let (_sender, limits) = watch::channel(limits);
-    serve_http_live(listener, limits, handler, cancel).await;
+    serve_http_reloadable(listener, limits, handler, cancel).await;
 }
 
 /// As [`serve_http`], with limits that may change; each new connection takes those in force.
 ///
 /// The number of connections is the one of the start.
-pub async fn serve_http_live(
+pub async fn serve_http_reloadable(
     listener: NetListener,
     limits: watch::Receiver<ServerLimits>,
     handler: HttpHandler,
     cancel: CancellationToken,
 ) {
-    serve_http_held(listener, limits, handler, None, cancel).await;
+    serve_http_with_budget(listener, limits, handler, None, cancel).await;
 }
 
-/// As [`serve_http_live`], with a budget of bytes held for callers.
+/// As [`serve_http_reloadable`], with a budget of bytes held for callers.
 ///
 /// What a caller leaves unread is charged to the exchange that the handler opens with the request's
 /// [`CallerConnection`], and one that reads nothing for too long is cut off.
-pub async fn serve_http_held(
+pub async fn serve_http_with_budget(
     mut listener: NetListener,
     limits: watch::Receiver<ServerLimits>,
     handler: HttpHandler,
--- a/crates/dillspool_io/src/stack.rs
+++ b/crates/dillspool_io/src/stack.rs
@@ -124,14 +124,14 @@
 
     /// The system's TCP.
     pub fn tcp() -> Self {
-        Self::tcp_unsent(None)
+        Self::tcp_with_unsent_limit(None)
     }
 
     /// The system's TCP; it takes no more of a connection while so many bytes of it are unsent.
     ///
     /// Without a limit it takes megabytes for a peer that reads nothing, and says that there is room
     /// again only when a third of that was read, so that a slow reader looks like none.
-    pub fn tcp_unsent(limit: Option<u32>) -> Self {
+    pub fn tcp_with_unsent_limit(limit: Option<u32>) -> Self {
         Self::new(
             move |to| Box::pin(connect_tcp(to, limit)),
             move |at| Box::pin(listen_tcp(at, limit)),
--- a/crates/dillspool_io/tests/awake.rs
+++ b/crates/dillspool_io/tests/awake.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use dillspool_cases::ClockJumps;
-use dillspool_io::{AwakeWatch, HostClock};
+use dillspool_io::{HostClock, StallDetector};
 use tokio_util::sync::CancellationToken;
 
 /// Longest time between two notes that the process runs.
@@ -49,13 +49,13 @@
 async fn what_waited_through_a_stall_is_as_old_as_its_start() {
     for case in CASES {
         let jumps = ClockJumps::default();
-        let watch = AwakeWatch::start(jumps.clock(), CancellationToken::new());
+        let watch = StallDetector::start(jumps.clock(), CancellationToken::new());
         tokio::time::sleep(Duration::from_secs(2)).await;
         let since = watch.clock().now();
         tokio::time::sleep(Duration::from_millis(case.before_ms)).await;
         jumps.suspend(Duration::from_millis(case.suspended_ms));
         tokio::time::sleep(Duration::from_millis(case.after_ms)).await;
-        let age = watch.clock().since(watch.heard_at(since));
+        let age = watch.clock().since(watch.observed_at(since));
         let least = Duration::from_millis(case.age_ms);
         // A stall begins at the last note before it.
         let most = if least.is_zero() { least } else { least + NOTED_EVERY };
@@ -63,7 +63,7 @@
         // What is waited for from now on is not held against it.
         let since = watch.clock().now();
         tokio::time::sleep(Duration::from_secs(1)).await;
-        assert_eq!(watch.clock().since(watch.heard_at(since)), Duration::ZERO, "{}", case.name);
+        assert_eq!(watch.clock().since(watch.observed_at(since)), Duration::ZERO, "{}", case.name);
     }
 }
 
@@ -74,7 +74,7 @@
     let deadline = clock.now() + Duration::from_secs(3);
     jumps.suspend(Duration::from_secs(2));
     assert_eq!(clock.until(deadline), Duration::from_secs(1));
-    tokio::time::sleep_until(clock.wake_at(deadline)).await;
+    tokio::time::sleep_until(clock.to_instant(deadline)).await;
     assert_eq!(clock.until(deadline), Duration::ZERO);
 }
 
--- a/crates/dillspool_router/src/beliefs.rs
+++ b/crates/dillspool_router/src/beliefs.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_io::{AwakeWatch, HostClock, NetListener, NetStack};
+use dillspool_io::{HostClock, NetListener, NetStack, StallDetector};
 use dillspool_routing::{DirectoryView, RoutingConfig};
 use dillspool_schema::Name;
 use dillspool_watch::{
@@ -60,7 +60,7 @@
         (peers_listener, host_count): (NetListener, HostCount),
         cancel: &CancellationToken,
     ) -> Self {
-        let awake = AwakeWatch::start(clock.clone(), cancel.clone());
+        let awake = StallDetector::start(clock.clone(), cancel.clone());
         let operator = SharedReplica::new(Name::clone(&site.config_row.0), awake.clone());
         let backends = SharedReplica::new(Name::clone(&site.directory_table), awake.clone())
             .with_classifier(service_classes(site));
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -11,7 +11,7 @@
 };
 use dillspool_io::{
     ByteBudget, HostClock, NetListener, NetStack, ServerLimits, WallClock, serve_http,
-    serve_http_held,
+    serve_http_with_budget,
 };
 use dillspool_roles::{PoolTargets, ReconcilerSettings, reconcile_stages};
 use dillspool_routing::RoutingConfig;
@@ -344,7 +344,7 @@
         );
         let limits = caller_limits(beliefs.config.clone(), &self.background);
         let (held, cancel) = (self.held.clone(), self.callers.clone());
-        let serve = serve_http_held(listener, limits, state.handler(), held, cancel);
+        let serve = serve_http_with_budget(listener, limits, state.handler(), held, cancel);
         self.serving.spawn(serve);
     }
 
--- a/crates/dillspool_router/src/held_metrics.rs
+++ b/crates/dillspool_router/src/held_metrics.rs
@@ -55,7 +55,7 @@
     /// Takes over what is known now.
     pub(crate) fn refresh(&self) {
         let Some(budget) = &self.budget else { return };
-        let reading = budget.read();
+        let reading = budget.snapshot();
         self.held.set(reading.held);
         self.limit.set(reading.limit);
         for (side, count) in StalledSide::ALL.into_iter().zip(reading.stalled) {
--- a/crates/dillspool_router/src/memory_terms.rs
+++ b/crates/dillspool_router/src/memory_terms.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dillspool_io::HeldTerms;
+use dillspool_io::ByteLimits;
 use dillspool_schema::router::MemorySettings;
 
 use crate::settings::SettingsError;
@@ -27,7 +27,9 @@
 /// # Errors
 ///
 /// [`SettingsError::Field`] naming the field and its range.
-pub(crate) fn check(settings: Option<&MemorySettings>) -> Result<Option<HeldTerms>, SettingsError> {
+pub(crate) fn check(
+    settings: Option<&MemorySettings>,
+) -> Result<Option<ByteLimits>, SettingsError> {
     let Some(settings) = settings else { return Ok(None) };
     let Some(limit_mb) = settings.limit_mb else { return Ok(None) };
     let limit_mb = at_least("memory.limit_mb", limit_mb, LEAST_LIMIT_MB, 1e9)?;
@@ -46,7 +48,11 @@
         return Err(field("memory.answer_kb", answer_kb.to_string(), remedy));
     }
     let stall = Duration::from_secs_f64(stall_s);
-    Ok(Some(HeldTerms { limit, answer_bytes, stall }))
+    Ok(Some(ByteLimits {
+        max_bytes: limit,
+        max_buffered_response_bytes: answer_bytes,
+        stall_timeout: stall,
+    }))
 }
 
 fn at_least(name: &'static str, value: f64, least: f64, most: f64) -> Result<f64, SettingsError> {
--- a/crates/dillspool_router/src/receiving.rs
+++ b/crates/dillspool_router/src/receiving.rs
@@ -26,10 +26,10 @@
     let Some(caller) = extensions.get::<CallerConnection>() else {
         return Ok((ExchangeBytes::default(), body));
     };
-    if !caller.budget().takes_new(body.size_hint().lower()) {
+    if !caller.budget().can_admit(body.size_hint().lower()) {
         return Err(host_full(body));
     }
-    Ok((caller.begin(id), body))
+    Ok((caller.begin_exchange(id), body))
 }
 
 /// Receives a whole body of at most `limit` bytes.
@@ -41,7 +41,7 @@
     if body.size_hint().lower() > limit as u64 {
         return Err(Refusal::new(RefusalCause::BodyTooLarge));
     }
-    if held.terms().is_some() {
+    if held.limits().is_some() {
         return receive_held(body, limit, held).await;
     }
     match read_body(body, limit).await {
@@ -60,7 +60,7 @@
     held: &ExchangeBytes,
 ) -> Result<Bytes, Refusal> {
     let lost = |_broken| Refusal::new(RefusalCause::BodyLost);
-    let (mut whole, mut guard) = (BytesMut::new(), held.guard());
+    let (mut whole, mut guard) = (BytesMut::new(), held.empty_guard());
     while let Some(frame) = next_frame(&mut body, held).await? {
         let frame = frame.map_err(lost)?;
         let Ok(part) = frame.into_data() else { continue };
@@ -69,7 +69,7 @@
             return Err(Refusal::new(RefusalCause::BodyTooLarge));
         }
         // Nothing has run yet, so the caller can go to another host at once.
-        if !guard.try_set_new(length as u64) {
+        if !guard.try_resize_for_admission(length as u64) {
             return Err(host_full(body));
         }
         whole.extend_from_slice(&part);
@@ -83,9 +83,9 @@
     body: &mut Incoming,
     held: &ExchangeBytes,
 ) -> Result<Option<BodyFrame>, Refusal> {
-    let Some(terms) = held.terms() else { return Ok(body.frame().await) };
-    tokio::time::timeout(terms.stall, body.frame()).await.map_err(|_elapsed| {
-        held.note_stalled(StalledSide::Caller);
+    let Some(terms) = held.limits() else { return Ok(body.frame().await) };
+    tokio::time::timeout(terms.stall_timeout, body.frame()).await.map_err(|_elapsed| {
+        held.record_stall(StalledSide::Caller);
         Refusal::new(RefusalCause::BodyLost)
     })
 }
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillspool_forward::BudgetSettings;
-use dillspool_io::HeldTerms;
+use dillspool_io::ByteLimits;
 use dillspool_roles::ShareRule;
 use dillspool_scheduler::{CallTerms, LimitTerms};
 use dillspool_schema::Name;
@@ -101,7 +101,7 @@
     /// How the limits of workspaces are counted.
     pub limits: LimitTerms,
     /// Limits on bytes held for slow peers; `None` where they are not limited.
-    pub held: Option<HeldTerms>,
+    pub held: Option<ByteLimits>,
     /// Key of the prints that stand for requests.
     pub print_key: FingerprintKey,
     /// Prints of requests that run whatever ended under them.
--- a/crates/dillspool_router/tests/common/tracked.rs
+++ b/crates/dillspool_router/tests/common/tracked.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_io::{AwakeWatch, HostClock};
+use dillspool_io::{HostClock, StallDetector};
 use dillspool_leaving::LeavingTracker;
 use dillspool_platform::{ChangedRow, StoreEra, StoreVersion, TableDelta};
 use dillspool_router::{DirectorySettings, DirectorySources, UnreadableRows, track_directory};
@@ -108,8 +108,8 @@
 }
 
 /// A watch by tokio's clock.
-fn awake() -> AwakeWatch {
-    AwakeWatch::start(HostClock::steady(), CancellationToken::new())
+fn awake() -> StallDetector {
+    StallDetector::start(HostClock::steady(), CancellationToken::new())
 }
 
 /// Lets time pass.
--- a/crates/dillspool_router/tests/held_bytes.rs
+++ b/crates/dillspool_router/tests/held_bytes.rs
@@ -12,8 +12,8 @@
 use common::{CALLERS, READINESS, TestSite, config};
 use dillspool_forward::{BackendResponse, CallError};
 use dillspool_io::{
-    HeldTerms, HostClock, HttpClient, MemoryNet, NetStack, NetStream, ResponseBody, channel_body,
-    exchange_held, full_body, read_body,
+    ByteLimits, HostClock, HttpClient, MemoryNet, NetStack, NetStream, ResponseBody, channel_body,
+    exchange_with_budget, full_body, read_body,
 };
 use dillspool_router::{RouterConfig, RouterDaemon};
 use dillspool_routing::{ClientLimits, RequestKind, RouteEntry, RouteTable, RoutingConfig};
@@ -34,8 +34,11 @@
 const UNREADING: &str = "10.0.0.7:80";
 
 /// The budget of a host of 88 MB.
-const SMALL_HOST: HeldTerms =
-    HeldTerms { limit: 26_400_000, answer_bytes: 64 * 1024, stall: Duration::from_secs(8) };
+const SMALL_HOST: ByteLimits = ByteLimits {
+    max_bytes: 26_400_000,
+    max_buffered_response_bytes: 64 * 1024,
+    stall_timeout: Duration::from_secs(8),
+};
 
 /// A host with its network and what its backend server has under way.
 struct HeldHost {
@@ -71,7 +74,7 @@
 }
 
 impl HeldHost {
-    async fn start(held: Option<HeldTerms>) -> Self {
+    async fn start(held: Option<ByteLimits>) -> Self {
         let net = MemoryNet::new();
         let site = TestSite::default();
         site.write_config("1 /x/");
@@ -89,7 +92,8 @@
                     let sent = sent.expect("a request");
                     let (to, limit) = (address(UNREADING), Duration::from_secs(1));
                     let ended =
-                        exchange_held(&backend_stack, to, sent, limit, &request.held_bytes).await;
+                        exchange_with_budget(&backend_stack, to, sent, limit, &request.held_bytes)
+                            .await;
                     let reason = format!("{ended:?}");
                     return Err(CallError::Lost { reason });
                 }
@@ -313,7 +317,7 @@
 /// Beyond the limit, requests are refused at once and have not run; the others are answered whole.
 #[tokio::test(start_paused = true)]
 async fn a_surge_at_the_limit_is_refused_at_once_and_over_soon() {
-    let terms = HeldTerms { limit: 1_000_000, ..SMALL_HOST };
+    let terms = ByteLimits { max_bytes: 1_000_000, ..SMALL_HOST };
     let host = HeldHost::start(Some(terms)).await;
     let body = Bytes::from(vec![b'x'; 100_000]);
     let surge = (0..60).map(|_call| host.call(CALLERS, "/x/usual", body.clone()));
@@ -338,7 +342,7 @@
 /// Exchanges in progress go on at the limit; only the largest one is ended for them.
 #[tokio::test(start_paused = true)]
 async fn an_exchange_in_progress_that_finds_no_room_ends_the_largest() {
-    let terms = HeldTerms { limit: 300_000, ..SMALL_HOST };
+    let terms = ByteLimits { max_bytes: 300_000, ..SMALL_HOST };
     let host = HeldHost::start(Some(terms)).await;
     let mut callers = Vec::new();
     for _caller in 0..12 {
@@ -346,7 +350,7 @@
     }
     pass(6).await;
     let held = host.figure("dillspool_held_bytes").await.expect("a figure");
-    assert!(held <= terms.limit, "{held} bytes held");
+    assert!(held <= terms.max_bytes, "{held} bytes held");
     let ended = host.figure("dillspool_exchanges_stalled_total{side=\"budget\"}").await;
     assert!(ended.is_some_and(|ended| (1..12).contains(&ended)), "{ended:?}");
     for caller in callers {
--- a/crates/dillspool_watch/src/follow.rs
+++ b/crates/dillspool_watch/src/follow.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_io::MomentPassed;
+use dillspool_io::DeadlineElapsed;
 use dillspool_moment::Moment;
 use dillspool_platform::{StoreEra, StoreVersion, TableWatch, WatchError};
 use tokio::sync::watch;
@@ -386,12 +386,12 @@
         biased;
         response = clock.timeout(limit, changes) => response,
         // The response would reflect the time before the suspension.
-        () = clock.stalled() => return Ok(PollOutcome::Abandoned),
+        () = clock.next_stall() => return Ok(PollOutcome::Abandoned),
         // A restored store may hold the poll open until it times out, waiting for a version of the
         // previous era.
         era = restore_detected(status, version) => return Err(WatchError::Restored { era }),
     };
-    let delta = response.map_err(|MomentPassed| timeout_error(limit))??;
+    let delta = response.map_err(|DeadlineElapsed| timeout_error(limit))??;
     replica.merge(&delta);
     Ok(PollOutcome::Answered)
 }
--- a/crates/dillspool_watch/src/freshness.rs
+++ b/crates/dillspool_watch/src/freshness.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use dillspool_io::{AwakeWatch, HostClock};
+use dillspool_io::{HostClock, StallDetector};
 use dillspool_moment::Moment;
 
 /// Times at which a table was known to be complete.
@@ -23,11 +23,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TableFreshness {
     times: Arc<Mutex<FreshnessTimes>>,
-    awake: AwakeWatch,
+    awake: StallDetector,
 }
 
 impl TableFreshness {
-    pub(crate) fn new(awake: AwakeWatch) -> Self {
+    pub(crate) fn new(awake: StallDetector) -> Self {
         Self { times: Arc::default(), awake }
     }
 
@@ -39,7 +39,7 @@
     /// The latest time that a response awaited since `since` can reflect; earlier than now if the
     /// host was suspended while it waited.
     pub(crate) fn valid_as_of(&self, since: Moment) -> Moment {
-        self.awake.heard_at(since)
+        self.awake.observed_at(since)
     }
 
     fn with<T>(&self, run: impl FnOnce(&mut FreshnessTimes) -> T) -> T {
--- a/crates/dillspool_watch/src/replica.rs
+++ b/crates/dillspool_watch/src/replica.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
-use dillspool_io::AwakeWatch;
+use dillspool_io::StallDetector;
 use dillspool_part::{RowCounts, TableSubset};
 use dillspool_platform::{ChangedRow, StoreVersion, TableDelta};
 use dillspool_schema::Name;
@@ -261,7 +261,7 @@
 
 impl SharedReplica {
     /// An empty replica, whose age is measured by the clock of `awake`.
-    pub fn new(table: Name, awake: AwakeWatch) -> Self {
+    pub fn new(table: Name, awake: StallDetector) -> Self {
         Self {
             table,
             sender: watch::Sender::new(TableReplica::default()),
--- a/crates/dillspool_watch/src/snapshot.rs
+++ b/crates/dillspool_watch/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dillspool_io::MomentPassed;
+use dillspool_io::DeadlineElapsed;
 use dillspool_platform::{StoreEra, StoreVersion, TableWatch, WatchError};
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -86,7 +86,7 @@
 ) -> Result<StoreVersion, WatchError> {
     let snapshot = (store.snapshot)(Arc::clone(&replica.table));
     let response = replica.freshness().clock().timeout(settings.snapshot_timeout, snapshot).await;
-    let response = response.map_err(|MomentPassed| timeout_error(settings.snapshot_timeout))?;
+    let response = response.map_err(|DeadlineElapsed| timeout_error(settings.snapshot_timeout))?;
     let delta = response.map_err(|source| WatchError::Store { source })?;
     replica.merge(&delta);
     Ok(delta.version)
--- a/crates/dillspool_watch/tests/relay.rs
+++ b/crates/dillspool_watch/tests/relay.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use dillspool_io::{AwakeWatch, HostClock, LinkMode, MemoryNet};
+use dillspool_io::{HostClock, LinkMode, MemoryNet, StallDetector};
 use dillspool_platform::{
     ChangedRow, PlatformError, StoreEra, StoreVersion, TableDelta, TableWatch, WatchError,
 };
@@ -338,8 +338,8 @@
 }
 
 /// A suspension detector on tokio's clock.
-fn awake() -> AwakeWatch {
-    AwakeWatch::start(HostClock::steady(), CancellationToken::new())
+fn awake() -> StallDetector {
+    StallDetector::start(HostClock::steady(), CancellationToken::new())
 }
 
 /// Guards against a replica that counts as fresh by the relay message of a peer that does not know
--- a/crates/dillspool_watch/tests/relay_codec.rs
+++ b/crates/dillspool_watch/tests/relay_codec.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_io::{AwakeWatch, HostClock, MemoryNet, NetStack};
+use dillspool_io::{HostClock, MemoryNet, NetStack, StallDetector};
 use dillspool_platform::{ChangedRow, TableDelta};
 use dillspool_schema::relay::RelayMessage;
 use dillspool_watch::{
@@ -212,6 +212,6 @@
 }
 
 /// A suspension detector on tokio's clock.
-fn awake() -> AwakeWatch {
-    AwakeWatch::start(HostClock::steady(), CancellationToken::new())
+fn awake() -> StallDetector {
+    StallDetector::start(HostClock::steady(), CancellationToken::new())
 }
--- a/crates/dillspool_watch/tests/source_change.rs
+++ b/crates/dillspool_watch/tests/source_change.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use dillspool_io::{AwakeWatch, HostClock, MemoryNet, NetStack};
+use dillspool_io::{HostClock, MemoryNet, NetStack, StallDetector};
 use dillspool_watch::{RelayPeers, SharedReplica, StoreReachability, relay_from_peers};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -36,7 +36,7 @@
             refuse_all(stack, number, Arc::clone(&attempts)).await;
         }
         let clock = HostClock::steady();
-        let awake = AwakeWatch::start(clock, CancellationToken::new());
+        let awake = StallDetector::start(clock, CancellationToken::new());
         let replicas = vec![SharedReplica::new("op".into(), awake)];
         let (sources, listed) = watch::channel(vec![address(2)]);
         let peers = move || RelayPeers {
--- a/crates/dillspool_watch/tests/table_freshness.rs
+++ b/crates/dillspool_watch/tests/table_freshness.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dillspool_cases::ClockJumps;
-use dillspool_io::{AwakeWatch, MemoryNet};
+use dillspool_io::{MemoryNet, StallDetector};
 use dillspool_platform::{ChangedRow, PlatformError, TableDelta, TableWatch, WatchError};
 use dillspool_schema::Name;
 use dillspool_watch::{
@@ -137,7 +137,7 @@
 ) -> TestHost {
     let cancel = CancellationToken::new();
     let jumps = ClockJumps::default();
-    let awake = AwakeWatch::start(jumps.clock(), cancel.clone());
+    let awake = StallDetector::start(jumps.clock(), cancel.clone());
     let config = SharedReplica::new(CONFIG.into(), awake.clone());
     let backends = SharedReplica::new(BACKENDS.into(), awake);
     let (access, reader) = watch::channel(Access::Served);
--- a/crates/dillspool_watch/tests/table_subsets.rs
+++ b/crates/dillspool_watch/tests/table_subsets.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_io::{AwakeWatch, HostClock, MemoryNet, NetStack};
+use dillspool_io::{HostClock, MemoryNet, NetStack, StallDetector};
 use dillspool_part::{RowCounts, TableSubset};
 use dillspool_platform::{ChangedRow, PlatformError, TableDelta, TableWatch, WatchError};
 use dillspool_watch::{
@@ -18,8 +18,8 @@
 /// The seed that selects the host's subset.
 const SEED: u64 = 0xD177;
 
-fn awake() -> AwakeWatch {
-    AwakeWatch::start(HostClock::steady(), CancellationToken::new())
+fn awake() -> StallDetector {
+    StallDetector::start(HostClock::steady(), CancellationToken::new())
 }
 
 fn address(last: u8) -> SocketAddr {
