--- a/crates/dillspool_cases/src/lib.rs
+++ b/crates/dillspool_cases/src/lib.rs
@@ -38,8 +38,8 @@
     prop_oneof![
         3 => Just(StoreFault::None),
         1 => Just(StoreFault::Refuse),
-        2 => Just(StoreFault::LoseAnswer),
-        2 => Just(StoreFault::LoseCall),
+        2 => Just(StoreFault::LoseResponse),
+        2 => Just(StoreFault::LoseRequest),
         2 => (1..latest_ms).prop_map(|ms| StoreFault::Late(Duration::from_millis(ms))),
     ]
 }
--- a/crates/dillspool_config/src/store.rs
+++ b/crates/dillspool_config/src/store.rs
@@ -8,7 +8,7 @@
 
 use dillspool_io::{UnixMillis, WallClock};
 use dillspool_platform::{
-    CommitReply, ObjectStore, PlatformError, PutRequest, RowExpect, RowWrite, ScanRequest,
+    CommitReply, ObjectStore, PlatformError, PutRequest, RowPrecondition, RowWrite, ScanRequest,
     StoreVersion, TableStore,
 };
 use dillspool_schema::Name;
@@ -239,7 +239,8 @@
         };
         let audit =
             AuditRow { operator, at: self.clock.now(), from, to, token, changes: changes.clone() };
-        let expect = before.map_or(RowExpect::Absent, |row| RowExpect::Version(row.row_version));
+        let expect =
+            before.map_or(RowPrecondition::Absent, |row| RowPrecondition::Version(row.row_version));
         self.commit_head(&head, &audit, expect).await?;
         Ok(AppliedConfig { version: to, changes })
     }
@@ -271,7 +272,8 @@
         };
         let changes = vec!["= written again, the store had lost it".to_owned()];
         let audit = AuditRow { operator, at: self.clock.now(), from, to: *to, token, changes };
-        let expect = before.map_or(RowExpect::Absent, |row| RowExpect::Version(row.row_version));
+        let expect =
+            before.map_or(RowPrecondition::Absent, |row| RowPrecondition::Version(row.row_version));
         self.commit_head(&head, &audit, expect).await?;
         Ok(true)
     }
@@ -298,11 +300,11 @@
         &self,
         head: &ConfigHead,
         audit: &AuditRow,
-        expect: RowExpect,
+        expect: RowPrecondition,
     ) -> Result<(), ApplyError> {
         let writes = vec![
             row_write(HEAD_KEY.into(), expect, head),
-            row_write(audit_key(head.version), RowExpect::Absent, audit),
+            row_write(audit_key(head.version), RowPrecondition::Absent, audit),
         ];
         let mut unclear = false;
         for attempt in 0..SETTLE_TRIES {
@@ -370,6 +372,6 @@
     format!("{AUDIT_PREFIX}{:012}", version.0).into()
 }
 
-fn row_write<T: Serialize>(key: Name, expect: RowExpect, value: &T) -> RowWrite {
+fn row_write<T: Serialize>(key: Name, expect: RowPrecondition, value: &T) -> RowWrite {
     RowWrite { key, expect, value: serde_json::to_string(value).ok() }
 }
--- a/crates/dillspool_config/tests/apply_interleavings.rs
+++ b/crates/dillspool_config/tests/apply_interleavings.rs
@@ -57,7 +57,7 @@
         });
     }
     let outcomes = racing.join_all().await;
-    table.mend();
+    table.clear_faults();
     tokio::time::sleep(Duration::from_mins(1)).await;
     check(&store, outcomes).await;
 }
--- a/crates/dillspool_host/src/acks.rs
+++ b/crates/dillspool_host/src/acks.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use dillspool_config::ConfigVersion;
-use dillspool_platform::{PlatformError, RowExpect, RowWrite, ScanRequest, TableStore};
+use dillspool_platform::{PlatformError, RowPrecondition, RowWrite, ScanRequest, TableStore};
 use dillspool_schema::Name;
 use serde::{Deserialize, Serialize};
 
@@ -31,7 +31,7 @@
 ) -> Result<(), PlatformError> {
     let write = RowWrite {
         key: format!("{ACK_PREFIX}{host}").into(),
-        expect: RowExpect::Any,
+        expect: RowPrecondition::Any,
         value: serde_json::to_string(ack).ok(),
     };
     table.commit(vec![write]).await.map(|_written| ())
--- a/crates/dillspool_host/src/alive_rows.rs
+++ b/crates/dillspool_host/src/alive_rows.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use dillspool_peer::{HostView, OwnerJudgement, PeerLinks};
-use dillspool_platform::{RowExpect, RowWrite, StoreVersion, TableStore};
+use dillspool_platform::{RowPrecondition, RowWrite, StoreVersion, TableStore};
 use dillspool_schema::Name;
 use tokio::time::Instant;
 
@@ -43,7 +43,7 @@
     /// Writes or removes this host's own row.
     pub(crate) async fn write(&self, host: &str, alive: bool) {
         let value = alive.then(|| "alive".to_owned());
-        let write = RowWrite { key: row_key(host), expect: RowExpect::Any, value };
+        let write = RowWrite { key: row_key(host), expect: RowPrecondition::Any, value };
         if let Err(error) = self.table.commit(vec![write]).await {
             log::debug!("event=alive_row_not_written error=\"{error}\"");
         }
--- a/crates/dillspool_ledger/src/closing.rs
+++ b/crates/dillspool_ledger/src/closing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dillspool_io::UnixMillis;
-use dillspool_platform::{PlatformError, RowExpect, RowWrite, TableRow};
+use dillspool_platform::{PlatformError, RowPrecondition, RowWrite, TableRow};
 use dillspool_schema::Name;
 use dillspool_version::{StoreEra, StoreVersion};
 
@@ -22,7 +22,7 @@
 /// What an attempt that was given up does next.
 enum ClosingStep {
     /// It writes `not_run` on this condition.
-    Write { expect: RowExpect, reserved_until: Option<UnixMillis> },
+    Write { expect: RowPrecondition, reserved_until: Option<UnixMillis> },
     /// It looks again later.
     Wait,
     /// Its intent does not stand and cannot come.
@@ -98,11 +98,11 @@
     /// What closes an attempt whose intent may stand, or may yet come in place of a row that is free.
     fn judge_closing(&self, row: Option<&TableRow>, token: &Name) -> ClosingStep {
         let Some(row) = row else {
-            return ClosingStep::Write { expect: RowExpect::Absent, reserved_until: None };
+            return ClosingStep::Write { expect: RowPrecondition::Absent, reserved_until: None };
         };
         let Some(record) = CallRecord::parse(&row.value) else { return ClosingStep::Closed };
         let is_own = record.token == *token;
-        let expect = RowExpect::Version(row.version);
+        let expect = RowPrecondition::Version(row.version);
         match record.state {
             CallState::Intent if is_own => ClosingStep::Write { expect, reserved_until: None },
             // The own intent may come over it until the row has another version.
--- a/crates/dillspool_ledger/src/guard.rs
+++ b/crates/dillspool_ledger/src/guard.rs
@@ -4,7 +4,7 @@
 //! at another attempt's row. Each commit therefore asks that the guard of the next era is absent, and that guard is
 //! written before any call begins in the next era. See `docs/design/ledger.md`.
 
-use dillspool_platform::{RowExpect, RowWrite};
+use dillspool_platform::{RowPrecondition, RowWrite};
 use dillspool_schema::Name;
 use dillspool_version::StoreEra;
 
@@ -18,7 +18,7 @@
 
 /// Holds a commit to an era: the deletion of a row that must be absent changes nothing, and fails after that era.
 pub(crate) fn hold_to_era(era: StoreEra) -> RowWrite {
-    RowWrite { key: guard_key(era.number() + 1), expect: RowExpect::Absent, value: None }
+    RowWrite { key: guard_key(era.number() + 1), expect: RowPrecondition::Absent, value: None }
 }
 
 /// Ends the effect of commits of all eras before this one.
@@ -27,7 +27,7 @@
     let value = Some(newest.to_string());
     (newest.saturating_sub(GUARDED_ERAS) + 1..=newest).map(move |era| RowWrite {
         key: guard_key(era),
-        expect: RowExpect::Any,
+        expect: RowPrecondition::Any,
         value: value.clone(),
     })
 }
--- a/crates/dillspool_ledger/src/ledger.rs
+++ b/crates/dillspool_ledger/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use dillspool_io::WallClock;
 use dillspool_platform::{
-    MemoryObjects, ObjectStore, PlatformError, RowExpect, RowWrite, TableRow, TableStore,
+    MemoryObjects, ObjectStore, PlatformError, RowPrecondition, RowWrite, TableRow, TableStore,
 };
 use dillspool_schema::Name;
 use dillspool_version::{StoreEra, StoreVersion};
@@ -125,7 +125,7 @@
     /// The era of the table when it began.
     era: StoreEra,
     /// On what condition its intent is written.
-    expect: RowExpect,
+    expect: RowPrecondition,
     /// Whether the journal names it.
     is_journaled: bool,
     /// Whether a write of its intent may have taken effect.
@@ -137,7 +137,7 @@
     /// This attempt's own intent stands.
     Own,
     /// The row may be written on this condition.
-    Free(RowExpect),
+    Free(RowPrecondition),
     /// The attempt ends with this.
     End(BeginOutcome),
 }
@@ -278,7 +278,7 @@
             record,
             begun,
             era,
-            expect: RowExpect::Absent,
+            expect: RowPrecondition::Absent,
             is_journaled: false,
             is_unclear: false,
         })
@@ -361,7 +361,7 @@
         match self.read_row(&request.key).await {
             Ok((Some(row), _era)) => self.judge(request, &record.token, &row),
             // Not there: whoever conflicted has gone, or the unclear write has not come yet.
-            Ok((None, _era)) => RowJudgement::Free(RowExpect::Absent),
+            Ok((None, _era)) => RowJudgement::Free(RowPrecondition::Absent),
             Err(_any) => {
                 attempt.is_unclear = true;
                 RowJudgement::Free(attempt.expect)
@@ -393,7 +393,7 @@
             {
                 RowJudgement::End(BeginOutcome::NotRun)
             }
-            CallState::NotRun => RowJudgement::Free(RowExpect::Version(row.version)),
+            CallState::NotRun => RowJudgement::Free(RowPrecondition::Version(row.version)),
             CallState::Answered => {
                 let unknown = BeginOutcome::Unknown { in_progress: false };
                 RowJudgement::End(record.answer.map_or(unknown, BeginOutcome::Recorded))
@@ -401,7 +401,7 @@
             CallState::Expired => RowJudgement::End(BeginOutcome::Unknown { in_progress: false }),
             // Only the process that gave an attempt up knows that it never sent it.
             CallState::Intent if self.has_given_up(&record.token) => {
-                RowJudgement::Free(RowExpect::Version(row.version))
+                RowJudgement::Free(RowPrecondition::Version(row.version))
             }
             CallState::Intent => RowJudgement::End(BeginOutcome::Unknown { in_progress: true }),
         }
@@ -421,7 +421,7 @@
                     // An intent is never superseded, so the row is this ticket's own.
                     let write = RowWrite {
                         key: Name::clone(request.key.row()),
-                        expect: RowExpect::Any,
+                        expect: RowPrecondition::Any,
                         value: record.text(),
                     };
                     match self.writer.write(write, StoreVersion::new(stood_in, 0)).await {
--- a/crates/dillspool_ledger/src/recovery.rs
+++ b/crates/dillspool_ledger/src/recovery.rs
@@ -7,7 +7,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use dillspool_platform::{PlatformError, ReadRequest, RowExpect, RowWrite, TableRow};
+use dillspool_platform::{PlatformError, ReadRequest, RowPrecondition, RowWrite, TableRow};
 use dillspool_schema::Name;
 use dillspool_version::{StoreEra, StoreVersion};
 use serde::{Deserialize, Serialize};
@@ -48,25 +48,25 @@
     /// Another process is at it, by the row of this version.
     Claimed(StoreVersion),
     /// It is free, on this condition.
-    Free(RowExpect),
+    Free(RowPrecondition),
 }
 
 fn judge_recovery(row: Option<&TableRow>, era: StoreEra) -> RecoveryStep {
-    let Some(row) = row else { return RecoveryStep::Free(RowExpect::Absent) };
+    let Some(row) = row else { return RecoveryStep::Free(RowPrecondition::Absent) };
     let record: Option<RecoveryRecord> = serde_json::from_str(&row.value).ok();
     match record.filter(|record| record.era == era.number()) {
         Some(RecoveryRecord { is_done: true, .. }) => RecoveryStep::Done,
         Some(_) => RecoveryStep::Claimed(row.version),
-        None => RecoveryStep::Free(RowExpect::Version(row.version)),
+        None => RecoveryStep::Free(RowPrecondition::Version(row.version)),
     }
 }
 
 /// On what condition the intent of an attempt is written again; `None` if its call cannot begin as it is.
-fn judge_attempt(record: &CallRecord, row: Option<&TableRow>) -> Option<RowExpect> {
-    let Some(row) = row else { return Some(RowExpect::Absent) };
+fn judge_attempt(record: &CallRecord, row: Option<&TableRow>) -> Option<RowPrecondition> {
+    let Some(row) = row else { return Some(RowPrecondition::Absent) };
     let found = CallRecord::parse(&row.value)?;
     let is_other = found.token != record.token;
-    (found.state == CallState::NotRun && is_other).then_some(RowExpect::Version(row.version))
+    (found.state == CallState::NotRun && is_other).then_some(RowPrecondition::Version(row.version))
 }
 
 impl CallLedger {
@@ -113,13 +113,13 @@
                 if known != version || since.elapsed() < CLAIM_TIME {
                     return Ok(());
                 }
-                RowExpect::Version(version)
+                RowPrecondition::Version(version)
             }
         };
         if self.write_recovery(expect, read_at, false).await
             && self.end_earlier_eras(read_at).await
             && self.recover_rows().await?
-            && self.write_recovery(RowExpect::Any, read_at, true).await
+            && self.write_recovery(RowPrecondition::Any, read_at, true).await
         {
             log::info!("event=calls_recovered era={era}");
             self.memory().note_recovered(era);
@@ -129,7 +129,7 @@
 
     async fn write_recovery(
         &self,
-        expect: RowExpect,
+        expect: RowPrecondition,
         read_at: StoreVersion,
         is_done: bool,
     ) -> bool {
--- a/crates/dillspool_ledger/src/restore.rs
+++ b/crates/dillspool_ledger/src/restore.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dillspool_platform::{PlatformError, ReadRequest, RowExpect, RowWrite, TableRow};
+use dillspool_platform::{PlatformError, ReadRequest, RowPrecondition, RowWrite, TableRow};
 use dillspool_schema::Name;
 use dillspool_version::StoreVersion;
 use tokio::task::JoinSet;
@@ -35,7 +35,7 @@
     /// It stands.
     Stands,
     /// It is written again on this condition.
-    Write(RowExpect),
+    Write(RowPrecondition),
     /// Another attempt has its place, and may free it yet.
     Taken,
     /// Another attempt has its place for good.
@@ -43,15 +43,15 @@
 }
 
 fn judge_lost(own: &CallRecord, found: Option<&TableRow>) -> LostJudgement {
-    let Some(row) = found else { return LostJudgement::Write(RowExpect::Absent) };
+    let Some(row) = found else { return LostJudgement::Write(RowPrecondition::Absent) };
     let Some(record) = CallRecord::parse(&row.value) else { return LostJudgement::Lost };
     let is_own = record.token == own.token;
     match record.state {
         CallState::Intent if is_own && own.state != CallState::Intent => {
-            LostJudgement::Write(RowExpect::Version(row.version))
+            LostJudgement::Write(RowPrecondition::Version(row.version))
         }
         _any if is_own => LostJudgement::Stands,
-        CallState::NotRun => LostJudgement::Write(RowExpect::Version(row.version)),
+        CallState::NotRun => LostJudgement::Write(RowPrecondition::Version(row.version)),
         // It may have been written across the restore, by an attempt that its host gives up.
         CallState::Intent => LostJudgement::Taken,
         CallState::Answered | CallState::Expired => LostJudgement::Lost,
@@ -131,7 +131,7 @@
         self,
         key: CallKey,
         record: CallRecord,
-        expect: RowExpect,
+        expect: RowPrecondition,
         read_at: StoreVersion,
     ) -> bool {
         let write = RowWrite { key: Name::clone(key.row()), expect, value: record.text() };
--- a/crates/dillspool_ledger/src/sweep.rs
+++ b/crates/dillspool_ledger/src/sweep.rs
@@ -4,7 +4,7 @@
 
 use dillspool_io::WallClock;
 use dillspool_platform::{
-    CommitReply, PlatformError, RowExpect, RowWrite, ScanRequest, ScannedRow, TableStore,
+    CommitReply, PlatformError, RowPrecondition, RowWrite, ScanRequest, ScannedRow, TableStore,
 };
 use dillspool_schema::Name;
 
@@ -87,7 +87,7 @@
 ) -> Option<RowWrite> {
     let record = CallRecord::parse(&scanned.row.value)?;
     let age = age(&record);
-    let expect = RowExpect::Version(scanned.row.version);
+    let expect = RowPrecondition::Version(scanned.row.version);
     let key = Name::clone(&scanned.key);
     if age >= times.key {
         return Some(RowWrite { key, expect, value: None });
--- a/crates/dillspool_ledger/tests/ledger_faults.rs
+++ b/crates/dillspool_ledger/tests/ledger_faults.rs
@@ -54,13 +54,13 @@
     },
     CommitRow {
         name: "the answer is lost after the effect",
-        faults: &[StoreFault::LoseAnswer],
+        faults: &[StoreFault::LoseResponse],
         first_runs: true,
         resend_runs: false,
     },
     CommitRow {
         name: "the call is lost without effect",
-        faults: &[StoreFault::LoseCall],
+        faults: &[StoreFault::LoseRequest],
         first_runs: true,
         resend_runs: false,
     },
@@ -72,13 +72,13 @@
     },
     CommitRow {
         name: "two answers lost in a row",
-        faults: &[StoreFault::LoseAnswer, StoreFault::LoseAnswer],
+        faults: &[StoreFault::LoseResponse, StoreFault::LoseResponse],
         first_runs: true,
         resend_runs: false,
     },
     CommitRow {
         name: "lost, then refused: still unclear, then settled",
-        faults: &[StoreFault::LoseCall, StoreFault::Refuse],
+        faults: &[StoreFault::LoseRequest, StoreFault::Refuse],
         first_runs: true,
         resend_runs: false,
     },
@@ -172,7 +172,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_store_that_is_out_means_not_run_and_the_key_stays_free() {
-    let outages = [StoreFault::Refuse, StoreFault::LoseCall, StoreFault::LoseAnswer, VERY_LATE];
+    let outages =
+        [StoreFault::Refuse, StoreFault::LoseRequest, StoreFault::LoseResponse, VERY_LATE];
     for outage in outages {
         let table = MemoryTable::new();
         table.set_outage(outage);
--- a/crates/dillspool_ledger/tests/ledger_interleavings.rs
+++ b/crates/dillspool_ledger/tests/ledger_interleavings.rs
@@ -112,7 +112,7 @@
         let outage = interleaving.outage.as_mut().map(|outage| &mut outage.fault);
         for fault in interleaving.faults.iter_mut().chain(outage) {
             if matches!(fault, StoreFault::Late(_)) {
-                *fault = StoreFault::LoseCall;
+                *fault = StoreFault::LoseRequest;
             }
         }
         Interleaving { restores, ..interleaving }
@@ -231,7 +231,7 @@
         let table = table.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(restore.copied_ms)).await;
-            let copy = table.copy();
+            let copy = table.snapshot();
             tokio::time::sleep(Duration::from_millis(restore.after_ms)).await;
             table.restore(&copy);
         });
@@ -243,7 +243,7 @@
     }
     let used: Vec<bool> = attempts.join_all().await;
     assert!(backend.runs() <= 1, "the call ran {} times", backend.runs());
-    table.mend();
+    table.clear_faults();
     tokio::time::sleep(Duration::from_mins(2)).await;
     // A host that has sent nothing and does not end.
     let asked = if interleaving.has_ends { &hosts[3].ledger } else { &hosts[0].ledger };
@@ -293,7 +293,8 @@
 fn a_free_key_was_stuck_by_an_intent_that_came_late() {
     let attempt = |at_ms| Attempt { host: 0, at_ms, after: AfterBegin::Finish };
     let late = StoreFault::Late(Duration::from_millis(1));
-    let faults = [StoreFault::None, StoreFault::LoseCall, StoreFault::None, StoreFault::None, late];
+    let faults =
+        [StoreFault::None, StoreFault::LoseRequest, StoreFault::None, StoreFault::None, late];
     run_paused(play(Interleaving {
         attempts: vec![attempt(3760), attempt(577)],
         faults: faults.into(),
@@ -311,7 +312,7 @@
     let late = StoreFault::Late(Duration::from_millis(2710));
     run_paused(play(Interleaving {
         attempts: vec![attempt(1371, AfterBegin::Abandon), attempt(1472, AfterBegin::Finish)],
-        faults: vec![StoreFault::LoseCall, StoreFault::LoseAnswer, late],
+        faults: vec![StoreFault::LoseRequest, StoreFault::LoseResponse, late],
         outage: None,
         restores: vec![Restore { copied_ms: 458, after_ms: 1074 }],
         has_ends: true,
--- a/crates/dillspool_ledger/tests/lost_owners.rs
+++ b/crates/dillspool_ledger/tests/lost_owners.rs
@@ -257,7 +257,7 @@
         let is_reached = Arc::new(AtomicBool::new(true));
         let owner = ledger(switched(&table, &is_reached), &objects, "owner.1", &owners);
         let mut other = ledger(table.store(), &objects, "other.1", &alive);
-        let (mut copy, mut ticket) = (table.copy(), None);
+        let (mut copy, mut ticket) = (table.snapshot(), None);
         for step in *steps {
             match *step {
                 Begin => ticket = Some(must_run(&owner, "r-1").await),
@@ -267,7 +267,7 @@
                 }
                 Abandon => owner.abandon(must_run(&owner, "r-1").await),
                 BeginOthers(count) => begin_others(&owner, count).await,
-                SaveCopy => copy = table.copy(),
+                SaveCopy => copy = table.snapshot(),
                 Restore => table.restore(&copy),
                 End => owners.cancel(),
                 Cut(is_cut) => is_reached.store(!is_cut, Ordering::Relaxed),
@@ -332,7 +332,7 @@
         "owner.1".into(),
         owners.clone(),
     );
-    let copy = table.copy();
+    let copy = table.snapshot();
     assert_eq!(got(&owner.begin(request("r-0")).await), Got::NotRun);
     let _ticket = must_run(&owner, "r-1").await;
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -352,7 +352,7 @@
     let owner = ledger(table.store(), &objects, "owner.1", &owners);
     let keep = Duration::from_mins(15);
     let mut sweeper = JournalSweeper::new(table.store(), objects.store(), keep);
-    let copy = table.copy();
+    let copy = table.snapshot();
     let _ticket = must_run(&owner, "r-1").await;
     owners.cancel();
     assert_eq!(sweeper.sweep().await.expect("the stores answer"), 0);
@@ -360,7 +360,7 @@
     tokio::time::sleep(keep * 2).await;
     sweeper.sweep().await.expect_err("the table is away");
     table.restore(&copy);
-    table.mend();
+    table.clear_faults();
     assert_eq!(sweeper.sweep().await.expect("the stores answer"), 0, "the rows may be lost");
     tokio::time::sleep(keep).await;
     assert_eq!(sweeper.sweep().await.expect("the stores answer"), 0, "it may still have grown");
@@ -395,7 +395,7 @@
     let other = ledger(table.store(), &objects, "other.1", &alive);
     let slow = ledger(slow_refusal(&table, Duration::from_secs(6)), &objects, "slow.1", &alive);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let copy = table.copy();
+    let copy = table.snapshot();
     let begin = tokio::spawn(async move { got(&slow.begin(request("r-1")).await) });
     tokio::time::sleep(Duration::from_millis(100)).await;
     table.restore(&copy);
--- a/crates/dillspool_ledger/tests/restored_failures.rs
+++ b/crates/dillspool_ledger/tests/restored_failures.rs
@@ -9,14 +9,14 @@
     LedgerSettings, RecordedAnswer,
 };
 use dillspool_platform::{
-    CommitRequest, MemoryObjects, MemoryTable, PlatformError, ReadRequest, RowExpect, RowWrite,
-    ScanRequest, StoreFault, TableStore,
+    CommitRequest, MemoryObjects, MemoryTable, PlatformError, ReadRequest, RowPrecondition,
+    RowWrite, ScanRequest, StoreFault, TableStore,
 };
 use dillspool_schema::Name;
 use log::{LevelFilter, Log, Metadata, Record};
 use tokio_util::sync::CancellationToken;
 
-const AWAY: StoreFault = StoreFault::LoseCall;
+const AWAY: StoreFault = StoreFault::LoseRequest;
 const FOREIGN: &str = "foreign.0";
 
 /// Keeps the warnings.
@@ -177,7 +177,7 @@
     },
     FailureCase {
         name: "writing again is lost twice",
-        steps: &[SaveCopy, Begin, Restore, Faults(StoreFault::LoseCall), Wait(2400)],
+        steps: &[SaveCopy, Begin, Restore, Faults(StoreFault::LoseRequest), Wait(2400)],
         resends: [Got::Unknown, Got::Unknown],
     },
     FailureCase {
@@ -236,7 +236,7 @@
 fn take(table: &MemoryTable, state: CallState) {
     let key = Name::clone(request("r-1").key.row());
     let value = serde_json::to_string(&foreign(state)).ok();
-    let writes = vec![RowWrite { key, expect: RowExpect::Absent, value }];
+    let writes = vec![RowWrite { key, expect: RowPrecondition::Absent, value }];
     table.commit(CommitRequest { writes, read_at: None }).expect("the table answers");
 }
 
@@ -263,13 +263,13 @@
         let (alive, owners) = (CancellationToken::new(), CancellationToken::new());
         let owner = ledger(&stores, "owner", &owners);
         let mut other = ledger(&stores, "other", &alive);
-        let (mut copy, mut ticket) = (table.copy(), None);
+        let (mut copy, mut ticket) = (table.snapshot(), None);
         for step in *steps {
             match *step {
                 Begin => ticket = Some(must_run(&owner, "r-1").await),
                 Finish => owner.finish(ticket.take().expect("it began"), answer(2)).await,
                 Abandon => other.abandon(must_run(&other, "r-1").await),
-                SaveCopy => copy = table.copy(),
+                SaveCopy => copy = table.snapshot(),
                 Restore => table.restore(&copy),
                 Outage(fault) => table.set_outage(fault),
                 Faults(fault) => table.fail_commits([fault; 2]),
@@ -323,7 +323,7 @@
     let (owner, third) = (ledger(&stores, "owner", &alive), ledger(&stores, "third", &alive));
     let slow = slow_closer(&stores);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let copy = table.copy();
+    let copy = table.snapshot();
     let _ticket = must_run(&owner, "s-1").await;
     table.restore(&copy);
     assert_eq!(got(&slow.begin(request("s-1")).await), Got::NotRun);
@@ -350,7 +350,7 @@
     const MORE: usize = 100;
     let stores = Stores::default();
     let table = &stores.table;
-    let copy = table.copy();
+    let copy = table.snapshot();
     let owner = ledger(&stores, "owner", &CancellationToken::new());
     let mut begun = 0;
     for group in [6000, 6000, ROWS + MORE - 12_000] {
--- a/crates/dillspool_ledger/tests/restored_ledger.rs
+++ b/crates/dillspool_ledger/tests/restored_ledger.rs
@@ -44,7 +44,7 @@
     for LostCase { name, answered, restored } in CASES {
         let table = MemoryTable::new();
         let (one, other) = (ledger(&table, "one"), ledger(&table, "other"));
-        let copy = table.copy();
+        let copy = table.snapshot();
         let BeginOutcome::Run(ticket) = one.begin(request()).await else {
             panic!("{name}: the first sending does not run");
         };
--- a/crates/dillspool_local/tests/configuration.rs
+++ b/crates/dillspool_local/tests/configuration.rs
@@ -7,7 +7,7 @@
 use common::{TestSystem, assert_whole, chat};
 use dillspool_config::{ConfigDelta, ConfigVersion, digest_configuration};
 use dillspool_io::LinkMode;
-use dillspool_platform::{PutRequest, ReadRequest, RowExpect, RowWrite, StoreFault};
+use dillspool_platform::{PutRequest, ReadRequest, RowPrecondition, RowWrite, StoreFault};
 use dillspool_schema::Name;
 use dillspool_schema::configuration::{Configuration, GroupEntry};
 
@@ -42,13 +42,13 @@
     ApplyRow { name: "no fault", commit_faults: &[], cut_platform: false, cut_peers: false },
     ApplyRow {
         name: "the commit's answer is lost",
-        commit_faults: &[StoreFault::LoseAnswer],
+        commit_faults: &[StoreFault::LoseResponse],
         cut_platform: false,
         cut_peers: false,
     },
     ApplyRow {
         name: "the commit is lost",
-        commit_faults: &[StoreFault::LoseCall],
+        commit_faults: &[StoreFault::LoseRequest],
         cut_platform: false,
         cut_peers: false,
     },
@@ -204,7 +204,7 @@
     tokio::time::sleep(FORCE_LIMIT).await;
     // As when the platform's table is restored from a copy.
     let value = old.map(|row| row.value);
-    let write = RowWrite { key: head_key, expect: RowExpect::Any, value };
+    let write = RowWrite { key: head_key, expect: RowPrecondition::Any, value };
     table.commit(vec![write]).await.expect("the table answers");
     tokio::time::sleep(Duration::from_secs(10)).await;
     assert_eq!(versions(&system).await, [2, 2, 2]);
@@ -274,7 +274,7 @@
         let system = TestSystem::start().await;
         let table = &system.cluster.platform.table;
         tokio::time::sleep(Duration::from_secs(5)).await;
-        let copy = table.copy();
+        let copy = table.snapshot();
         for share in lost {
             let (status, _body) = system.cluster.apply(0, &with_share(&system, *share)).await;
             assert_eq!(status, 200, "{name}");
@@ -300,7 +300,7 @@
         let system = TestSystem::start().await;
         let table = &system.cluster.platform.table;
         tokio::time::sleep(Duration::from_secs(5)).await;
-        let copy = table.copy();
+        let copy = table.snapshot();
         for share in shares {
             let (status, _body) = system.cluster.apply(0, &with_share(&system, *share)).await;
             assert_eq!(status, 200);
--- a/crates/dillspool_local/tests/store_outage.rs
+++ b/crates/dillspool_local/tests/store_outage.rs
@@ -10,7 +10,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn model_requests_go_on_for_as_long_as_an_outage_lasts() {
-    for outage in [StoreFault::Refuse, StoreFault::LoseCall] {
+    for outage in [StoreFault::Refuse, StoreFault::LoseRequest] {
         let system = TestSystem::start().await;
         system.cluster.platform.table.set_outage(outage);
         system.cluster.platform.objects.set_down(true);
--- a/crates/dillspool_local/tests/unrepeatable_calls.rs
+++ b/crates/dillspool_local/tests/unrepeatable_calls.rs
@@ -198,7 +198,7 @@
     let system = TestSystem::start().await;
     let table = &system.cluster.platform.table;
     let caller = system.caller("alerts");
-    let copy = table.copy();
+    let copy = table.snapshot();
     let sent = caller.plain(system.host(0), "/readings", KEY, BODY).await;
     assert_outcome(&sent, 201, None, "first sending");
     // The answer is recorded, too.
--- a/crates/dillspool_platform/src/lib.rs
+++ b/crates/dillspool_platform/src/lib.rs
@@ -14,10 +14,10 @@
 pub use dillspool_version::{StoreEra, StoreVersion};
 pub use error::PlatformError;
 pub use hosts::{HostEntry, HostKind, HostList, HostListQuery, HostListReply, HostState};
-pub use memory::{MemoryHosts, MemoryObjects, MemoryTable, StoreFault, StoreUsage, TableCopy};
+pub use memory::{MemoryHosts, MemoryObjects, MemoryTable, StoreFault, StoreUsage, TableSnapshot};
 pub use objects::{ListReply, ListRequest, ObjectReply, ObjectStore, PutRequest};
 pub use table::{
-    CommitReply, CommitRequest, ReadReply, ReadRequest, RowExpect, RowWrite, ScanReply,
+    CommitReply, CommitRequest, ReadReply, ReadRequest, RowPrecondition, RowWrite, ScanReply,
     ScanRequest, ScannedRow, TableRow, TableStore,
 };
 pub use watch::{ChangedRow, TableDelta, TableWatch, WatchError};
--- a/crates/dillspool_platform/src/memory.rs
+++ b/crates/dillspool_platform/src/memory.rs
@@ -14,7 +14,7 @@
 use crate::hosts::{HostEntry, HostList, HostListQuery, HostListReply};
 use crate::objects::{ListReply, ListRequest, ObjectReply, ObjectStore, PutRequest};
 use crate::table::{
-    CommitReply, CommitRequest, ReadReply, ReadRequest, RowExpect, RowWrite, ScanReply,
+    CommitReply, CommitRequest, ReadReply, ReadRequest, RowPrecondition, RowWrite, ScanReply,
     ScanRequest, ScannedRow, TableRow, TableStore,
 };
 
@@ -29,9 +29,9 @@
     /// The call is refused without effect.
     Refuse,
     /// The call takes effect but its answer is lost.
-    LoseAnswer,
+    LoseResponse,
     /// The call is lost without effect, and looks like a lost answer.
-    LoseCall,
+    LoseRequest,
     /// The call seems lost, and takes effect after this time.
     Late(Duration),
 }
@@ -49,7 +49,7 @@
 
 /// The rows of a table as they were at a moment.
 #[derive(Clone, Debug)]
-pub struct TableCopy {
+pub struct TableSnapshot {
     rows: BTreeMap<Name, TableRow>,
     newest_number: u64,
 }
@@ -100,20 +100,20 @@
     }
 
     /// Ends all faults, also those that were due.
-    pub fn mend(&self) {
+    pub fn clear_faults(&self) {
         let mut state = locked(&self.state);
         state.outage = None;
         state.next_commits.clear();
     }
 
     /// Its rows as they are now.
-    pub fn copy(&self) -> TableCopy {
+    pub fn snapshot(&self) -> TableSnapshot {
         let state = locked(&self.state);
-        TableCopy { rows: state.rows.clone(), newest_number: state.newest_number }
+        TableSnapshot { rows: state.rows.clone(), newest_number: state.newest_number }
     }
 
     /// Becomes what it was: what was written since the copy is gone, and its versions are given out again.
-    pub fn restore(&self, copy: &TableCopy) {
+    pub fn restore(&self, copy: &TableSnapshot) {
         let mut state = locked(&self.state);
         state.era += 1;
         state.rows.clone_from(&copy.rows);
@@ -164,8 +164,8 @@
         match fault.unwrap_or(StoreFault::None) {
             StoreFault::None => state.commit(request),
             StoreFault::Refuse => Err(refused()),
-            StoreFault::LoseCall => Err(lost()),
-            StoreFault::LoseAnswer => {
+            StoreFault::LoseRequest => Err(lost()),
+            StoreFault::LoseResponse => {
                 state.apply(request.writes);
                 Err(lost())
             }
@@ -214,7 +214,7 @@
         match self.outage {
             None | Some(StoreFault::None) => Ok(()),
             Some(StoreFault::Refuse) => Err(refused()),
-            Some(StoreFault::LoseAnswer | StoreFault::LoseCall | StoreFault::Late(_)) => {
+            Some(StoreFault::LoseResponse | StoreFault::LoseRequest | StoreFault::Late(_)) => {
                 Err(lost())
             }
         }
@@ -223,10 +223,10 @@
     fn holds(&self, write: &RowWrite) -> bool {
         let found = self.rows.get(&write.key).map(|row| row.version);
         match write.expect {
-            RowExpect::Any => true,
-            RowExpect::Absent => found.is_none(),
+            RowPrecondition::Any => true,
+            RowPrecondition::Absent => found.is_none(),
             // As on the wire, where a condition has no era.
-            RowExpect::Version(version) => {
+            RowPrecondition::Version(version) => {
                 found.map(StoreVersion::number) == Some(version.number())
             }
         }
@@ -239,8 +239,8 @@
     /// Applies a commit, and answers as a service does that knows in which era its conditions were read.
     fn commit(&mut self, request: CommitRequest) -> Result<CommitReply, PlatformError> {
         let expected = request.writes.iter().find_map(|write| match write.expect {
-            RowExpect::Version(version) => Some(version),
-            RowExpect::Any | RowExpect::Absent => None,
+            RowPrecondition::Version(version) => Some(version),
+            RowPrecondition::Any | RowPrecondition::Absent => None,
         });
         let read_in = expected.or(request.read_at).map(StoreVersion::era);
         let reply = self.apply(request.writes);
--- a/crates/dillspool_platform/src/table.rs
+++ b/crates/dillspool_platform/src/table.rs
@@ -25,7 +25,7 @@
 /// What a row must be for a commit to take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RowExpect {
+pub enum RowPrecondition {
     /// Anything.
     Any,
     /// Not there.
@@ -40,7 +40,7 @@
     /// Key of the row.
     pub key: Name,
     /// Condition on the row as it is.
-    pub expect: RowExpect,
+    pub expect: RowPrecondition,
     /// New text, or `None` to delete the row.
     pub value: Option<String>,
 }
--- a/crates/dillspool_platform/tests/table_contract.rs
+++ b/crates/dillspool_platform/tests/table_contract.rs
@@ -3,10 +3,10 @@
 use assert_matches::assert_matches;
 use dillspool_platform::{
     CommitReply, HostEntry, HostKind, HostListQuery, HostState, MemoryHosts, MemoryTable,
-    PlatformError, RowExpect, RowWrite, ScanRequest, StoreFault,
+    PlatformError, RowPrecondition, RowWrite, ScanRequest, StoreFault,
 };
 
-fn write(key: &str, expect: RowExpect, value: &str) -> RowWrite {
+fn write(key: &str, expect: RowPrecondition, value: &str) -> RowWrite {
     RowWrite { key: key.into(), expect, value: Some(value.to_owned()) }
 }
 
@@ -20,8 +20,8 @@
 
 const FAULTS: [FaultRow; 3] = [
     FaultRow { name: "refused", fault: StoreFault::Refuse, unknown: false, written: false },
-    FaultRow { name: "answer lost", fault: StoreFault::LoseAnswer, unknown: true, written: true },
-    FaultRow { name: "call lost", fault: StoreFault::LoseCall, unknown: true, written: false },
+    FaultRow { name: "answer lost", fault: StoreFault::LoseResponse, unknown: true, written: true },
+    FaultRow { name: "call lost", fault: StoreFault::LoseRequest, unknown: true, written: false },
 ];
 
 #[tokio::test]
@@ -30,7 +30,7 @@
         let table = MemoryTable::new();
         table.fail_commits([row.fault]);
         let store = table.store();
-        let reply = store.commit(vec![write("k", RowExpect::Absent, "v")]).await;
+        let reply = store.commit(vec![write("k", RowPrecondition::Absent, "v")]).await;
         match reply {
             Err(PlatformError::Unknown { .. }) => assert!(row.unknown, "{}", row.name),
             Err(PlatformError::NotDone { .. }) => assert!(!row.unknown, "{}", row.name),
@@ -44,9 +44,10 @@
 #[tokio::test]
 async fn rows_are_written_together_or_not_at_all() {
     let store = MemoryTable::new().store();
-    let first = store.commit(vec![write("a", RowExpect::Absent, "1")]).await;
+    let first = store.commit(vec![write("a", RowPrecondition::Absent, "1")]).await;
     assert_matches!(first, Ok(CommitReply::Committed));
-    let both = vec![write("b", RowExpect::Absent, "2"), write("a", RowExpect::Absent, "2")];
+    let both =
+        vec![write("b", RowPrecondition::Absent, "2"), write("a", RowPrecondition::Absent, "2")];
     let reply = store.commit(both).await.expect("the table answers");
     assert_eq!(reply, CommitReply::Conflict(vec!["a".into()]));
     assert_eq!(store.read_one("b".into()).await, Ok(None));
@@ -55,9 +56,9 @@
 #[tokio::test]
 async fn a_version_is_good_for_one_write() {
     let store = MemoryTable::new().store();
-    store.commit(vec![write("a", RowExpect::Absent, "1")]).await.expect("the table answers");
+    store.commit(vec![write("a", RowPrecondition::Absent, "1")]).await.expect("the table answers");
     let row = store.read_one("a".into()).await.expect("the table answers").expect("it is there");
-    let on_version = |value| vec![write("a", RowExpect::Version(row.version), value)];
+    let on_version = |value| vec![write("a", RowPrecondition::Version(row.version), value)];
     assert_matches!(store.commit(on_version("2")).await, Ok(CommitReply::Committed));
     assert_matches!(store.commit(on_version("3")).await, Ok(CommitReply::Conflict(_)));
 }
@@ -66,7 +67,7 @@
 async fn a_scan_goes_on_after_its_last_key() {
     let store = MemoryTable::new().store();
     for key in ["x/1", "x/2", "x/3", "y/1"] {
-        store.commit(vec![write(key, RowExpect::Any, key)]).await.expect("the table answers");
+        store.commit(vec![write(key, RowPrecondition::Any, key)]).await.expect("the table answers");
     }
     let mut after = "".into();
     let mut keys: Vec<String> = Vec::new();
--- a/crates/dillspool_roles/src/lease.rs
+++ b/crates/dillspool_roles/src/lease.rs
@@ -10,7 +10,7 @@
 use dillspool_io::HostClock;
 use dillspool_moment::Moment;
 use dillspool_platform::{
-    CommitReply, CommitRequest, PlatformError, ReadRequest, RowExpect, RowWrite, StoreEra,
+    CommitReply, CommitRequest, PlatformError, ReadRequest, RowPrecondition, RowWrite, StoreEra,
     StoreVersion, TableRow, TableStore,
 };
 use dillspool_schema::Name;
@@ -181,8 +181,8 @@
         let term_start = self.clock.now();
         let read_at = state.version;
         let (expect, previous) = match state.row {
-            Some((row, version)) => (RowExpect::Version(version), row),
-            None => (RowExpect::Absent, LeaseRow::empty(0)),
+            Some((row, version)) => (RowPrecondition::Version(version), row),
+            None => (RowPrecondition::Absent, LeaseRow::empty(0)),
         };
         // Higher than all fencing tokens of earlier eras, and of rows that were overwritten because
         // a condition held by chance.
--- a/crates/dillspool_roles/tests/lease.rs
+++ b/crates/dillspool_roles/tests/lease.rs
@@ -84,7 +84,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_lost_reply_gives_no_term_and_the_fence_still_increases() {
     let table = MemoryTable::new();
-    table.fail_commits([StoreFault::LoseAnswer]);
+    table.fail_commits([StoreFault::LoseResponse]);
     let a = lease(&table, "a");
     let lost = a.acquire(&[], &BTreeMap::new(), 1).await;
     assert!(matches!(lost, Err(PlatformError::Unknown { .. })));
@@ -109,7 +109,7 @@
     let table = MemoryTable::new();
     let write = dillspool_platform::RowWrite {
         key: "orders/lease".into(),
-        expect: dillspool_platform::RowExpect::Any,
+        expect: dillspool_platform::RowPrecondition::Any,
         value: Some("{".to_owned()),
     };
     table.store().commit(vec![write]).await.expect("written");
--- a/crates/dillspool_roles/tests/restored_lease.rs
+++ b/crates/dillspool_roles/tests/restored_lease.rs
@@ -60,7 +60,7 @@
     for host in case.before {
         last = acquire(&leases[host]).await;
     }
-    let copy = table.copy();
+    let copy = table.snapshot();
     for host in case.lost {
         last = acquire(&leases[host]).await;
     }
@@ -112,7 +112,7 @@
             let mut pause = || Duration::from_millis(random.random_range(1..7_000));
             let (interval, age) = (pause(), pause());
             tokio::time::sleep(interval).await;
-            let copy = table.copy();
+            let copy = table.snapshot();
             tokio::time::sleep(age).await;
             table.restore(&copy);
         }
--- a/crates/dillspool_router/src/peer_list.rs
+++ b/crates/dillspool_router/src/peer_list.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dillspool_part::host_seed;
-use dillspool_platform::{PlatformError, RowExpect, RowWrite, TableStore};
+use dillspool_platform::{PlatformError, RowPrecondition, RowWrite, TableStore};
 use dillspool_scheduler::{SchedulePeers, SchedulerCandidate, rank_candidates};
 use dillspool_schema::Name;
 use dillspool_watch::{FollowRole, RelayPeers, TableReplica};
@@ -233,6 +233,6 @@
     let value = serde_json::to_string(own)
         .map_err(|error| PlatformError::NotDone { reason: error.to_string() })?;
     let key = format!("{HOST_PREFIX}{}", config.host).into();
-    store.commit(vec![RowWrite { key, expect: RowExpect::Any, value: Some(value) }]).await?;
+    store.commit(vec![RowWrite { key, expect: RowPrecondition::Any, value: Some(value) }]).await?;
     Ok(())
 }
--- a/crates/dillspool_router/src/suspect_rows.rs
+++ b/crates/dillspool_router/src/suspect_rows.rs
@@ -12,7 +12,7 @@
 
 use dillspool_io::{UnixMillis, WallClock};
 use dillspool_platform::{
-    CommitReply, PlatformError, RowExpect, RowWrite, StoreEra, StoreVersion, TableStore,
+    CommitReply, PlatformError, RowPrecondition, RowWrite, StoreEra, StoreVersion, TableStore,
 };
 use dillspool_schema::Name;
 use dillspool_suspects::{RequestFingerprint, SuspectTracker, SuspectUpdate};
@@ -217,8 +217,11 @@
     }
 
     async fn write(&self, state: &mut KeeperState, text: String) {
-        let write =
-            RowWrite { key: self.own_key(), expect: RowExpect::Any, value: Some(text.clone()) };
+        let write = RowWrite {
+            key: self.own_key(),
+            expect: RowPrecondition::Any,
+            value: Some(text.clone()),
+        };
         match self.store.commit(vec![write]).await {
             Ok(CommitReply::Committed | CommitReply::Conflict(_)) => {
                 log::info!(
@@ -250,8 +253,11 @@
                 .map(|(key, version, _text)| (Name::clone(key), version))
         };
         let Some((key, version)) = old else { return };
-        let write =
-            RowWrite { key: Name::clone(&key), expect: RowExpect::Version(version), value: None };
+        let write = RowWrite {
+            key: Name::clone(&key),
+            expect: RowPrecondition::Version(version),
+            value: None,
+        };
         match self.store.commit(vec![write]).await {
             Ok(reply) => log::info!("event=suspects_row_deleted key={key} reply={reply:?}"),
             Err(PlatformError::NotDone { reason } | PlatformError::Unknown { reason }) => {
--- a/crates/dillspool_standin/src/platform.rs
+++ b/crates/dillspool_standin/src/platform.rs
@@ -6,7 +6,7 @@
 
 use dillspool_io::{NetListener, ResponseBody, ServerLimits, handler, serve_http};
 use dillspool_platform::{
-    HostEntry, MemoryHosts, MemoryObjects, MemoryTable, PlatformError, StoreFault, TableCopy,
+    HostEntry, MemoryHosts, MemoryObjects, MemoryTable, PlatformError, StoreFault, TableSnapshot,
 };
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -45,7 +45,7 @@
     pub objects: MemoryObjects,
     /// The host list.
     pub hosts: MemoryHosts,
-    copy: Arc<Mutex<TableCopy>>,
+    copy: Arc<Mutex<TableSnapshot>>,
     address: SocketAddr,
 }
 
@@ -54,7 +54,7 @@
     pub fn start(listener: NetListener, cancel: &CancellationToken) -> Self {
         let table = MemoryTable::new();
         let platform = Self {
-            copy: Arc::new(Mutex::new(table.copy())),
+            copy: Arc::new(Mutex::new(table.snapshot())),
             table,
             objects: MemoryObjects::new(),
             hosts: MemoryHosts::new(),
@@ -123,7 +123,7 @@
         answered.unwrap_or_else(|refusal| refusal)
     }
 
-    fn copy(&self) -> MutexGuard<'_, TableCopy> {
+    fn copy(&self) -> MutexGuard<'_, TableSnapshot> {
         self.copy.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -131,11 +131,11 @@
         match order {
             PlatformOrder::Down(down) => self.set_down(down),
             PlatformOrder::LoseAnswers(count) => {
-                self.table.fail_commits(std::iter::repeat_n(StoreFault::LoseAnswer, count));
+                self.table.fail_commits(std::iter::repeat_n(StoreFault::LoseResponse, count));
             }
             PlatformOrder::SetHost(entry) => self.hosts.set(entry),
             PlatformOrder::RemoveHost(name) => self.hosts.remove(&name),
-            PlatformOrder::SaveCopy => *self.copy() = self.table.copy(),
+            PlatformOrder::SaveCopy => *self.copy() = self.table.snapshot(),
             PlatformOrder::Restore => self.table.restore(&self.copy()),
         }
         json(&())
