--- a/crates/dillspool_entry/src/plain.rs
+++ b/crates/dillspool_entry/src/plain.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use dillspool_config::ConfigSnapshot;
 use dillspool_io::{HttpError, ResponseBody, full_body, read_body};
-use dillspool_ledger::{BeginOutcome, CallKey, CallRequest, CallTicket, RecordedAnswer};
+use dillspool_ledger::{BeginOutcome, CallKey, CallRequest, CallTicket, RecordedResponse};
 use dillspool_schema::Name;
 use dillspool_schema::configuration::{BackendRole, GroupEntry, RouteEntry};
 use dillspool_suspects::{RequestFingerprint, SuspectDecision};
@@ -61,10 +61,10 @@
         response
     }
 
-    fn record(&self) -> RecordedAnswer {
+    fn record(&self) -> RecordedResponse {
         let content_type = self.content_type.to_str().unwrap_or("application/octet-stream");
         let kept = if self.body.len() <= RECORD_LIMIT { &self.body[..] } else { &[] };
-        RecordedAnswer::new(self.status.as_u16(), content_type, kept)
+        RecordedResponse::new(self.status.as_u16(), content_type, kept)
     }
 }
 
@@ -129,7 +129,7 @@
         }
         BeginOutcome::NotRun => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            let Some(settle_left) = context.ledger.settle_left() else {
+            let Some(settle_time_left) = context.ledger.settle_time_left() else {
                 let detail = "the call cannot be entered in the ledger now; send it again later";
                 let problem = RequestProblem::not_run(status, "store_down", detail);
                 return Err(problem.retry_after(STORE_RETRY));
@@ -137,7 +137,7 @@
             let detail =
                 "the platform's table was restored; send the call again when the ledger is settled";
             let problem = RequestProblem::not_run(status, "store_restored", detail);
-            Err(problem.retry_after(settle_left))
+            Err(problem.retry_after(settle_time_left))
         }
     }
 }
@@ -153,8 +153,8 @@
     if in_progress { problem.retry_after(PROGRESS_RETRY) } else { problem }
 }
 
-fn replay(answer: &RecordedAnswer) -> Response<ResponseBody> {
-    let mut response = Response::new(full_body(answer.bytes()));
+fn replay(answer: &RecordedResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(answer.body_bytes()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
         response.headers_mut().insert(CONTENT_TYPE, value);
--- a/crates/dillspool_host/src/parts.rs
+++ b/crates/dillspool_host/src/parts.rs
@@ -135,7 +135,7 @@
     pub(crate) fn entry_context(&self) -> EntryContext {
         let limits = self.settings.limits.clone().unwrap_or_default();
         let owner = format!("{}.{}", self.settings.host, self.incarnation);
-        let ledger = CallLedger::journaled(
+        let ledger = CallLedger::with_journal(
             self.table.clone(),
             self.objects.clone(),
             self.environment.clock.clone(),
--- a/crates/dillspool_host/src/upkeep.rs
+++ b/crates/dillspool_host/src/upkeep.rs
@@ -5,7 +5,7 @@
 
 use dillspool_entry::PlacementRegistry;
 use dillspool_io::WallClock;
-use dillspool_ledger::{JOURNAL_KEEP, JournalSweeper, RetentionTimes, sweep_page};
+use dillspool_ledger::{JOURNAL_RETENTION, JournalSweeper, RetentionTimes, sweep_page};
 use dillspool_peer::{HostView, PeerLinks};
 use dillspool_platform::{ObjectStore, TableStore};
 use dillspool_schema::Name;
@@ -93,7 +93,7 @@
     view: HostView,
     cancel: CancellationToken,
 ) {
-    let mut journal = JournalSweeper::new(table.clone(), objects, JOURNAL_KEEP);
+    let mut journal = JournalSweeper::new(table.clone(), objects, JOURNAL_RETENTION);
     let mut after: Name = "".into();
     loop {
         tokio::select! {
--- a/crates/dillspool_ledger/src/journal_sweep.rs
+++ b/crates/dillspool_ledger/src/journal_sweep.rs
@@ -13,7 +13,7 @@
 
 /// How long a segment is kept after it was first seen: a table that comes back from an older copy may have lost rows
 /// that nothing names any more.
-pub const JOURNAL_KEEP: Duration = Duration::from_mins(15);
+pub const JOURNAL_RETENTION: Duration = Duration::from_mins(15);
 
 /// Deletes old segments of all hosts. Several may do so at once.
 #[derive(Debug)]
--- a/crates/dillspool_ledger/src/ledger.rs
+++ b/crates/dillspool_ledger/src/ledger.rs
@@ -20,7 +20,7 @@
 use crate::journal::CallJournal;
 use crate::memory::{RowMemory, RowState};
 use crate::recent::RecentKeys;
-use crate::record::{CallRecord, CallState, RecordedAnswer};
+use crate::record::{CallRecord, CallState, RecordedResponse};
 use crate::recovery::LostRows;
 
 /// Pause between two tries to settle what became of an unclear write.
@@ -61,7 +61,7 @@
     /// Send it, once.
     Run(CallTicket),
     /// It ran before; give this answer.
-    Recorded(RecordedAnswer),
+    Recorded(RecordedResponse),
     /// It was begun before, and it is not known whether it ran.
     Unknown {
         /// Whether an answer may still be recorded.
@@ -151,12 +151,12 @@
         owner: Name,
         cancel: CancellationToken,
     ) -> Self {
-        Self::journaled(table, MemoryObjects::new().store(), clock, settings, owner, cancel)
+        Self::with_journal(table, MemoryObjects::new().store(), clock, settings, owner, cancel)
     }
 
     /// A ledger whose attempts are in a journal in the object store, where other processes find what this one began
     /// after the table lost it.
-    pub fn journaled(
+    pub fn with_journal(
         table: TableStore,
         objects: ObjectStore,
         clock: WallClock,
@@ -195,8 +195,8 @@
     }
 
     /// How long this host begins no call whose row is absent, since the table was restored.
-    pub fn settle_left(&self) -> Option<Duration> {
-        self.memory().settle_left(Instant::now())
+    pub fn settle_time_left(&self) -> Option<Duration> {
+        self.memory().settle_time_left(Instant::now())
     }
 
     /// The era of the table; `None` while the table has never answered.
@@ -286,7 +286,7 @@
 
     async fn enter(&self, attempt: &mut CallAttempt) -> BeginOutcome {
         loop {
-            let judgement = if self.settle_left().is_some() {
+            let judgement = if self.settle_time_left().is_some() {
                 // Nothing is written, so a read without an answer leaves nothing unclear.
                 let was_unclear = attempt.is_unclear;
                 let judgement = self.judge_again(attempt).await;
@@ -301,7 +301,7 @@
                 RowJudgement::Free(next) => attempt.expect = next,
             }
             let is_late = attempt.begun.elapsed() >= self.settings.begin_limit;
-            if is_late || self.settle_left().is_some() {
+            if is_late || self.settle_time_left().is_some() {
                 if attempt.is_unclear {
                     self.close_later(attempt.request.key.clone(), &attempt.record, attempt.era);
                 }
@@ -408,7 +408,7 @@
     }
 
     /// Records the answer of a call that ran; tries until it stands or the table stays away.
-    pub async fn finish(&self, ticket: CallTicket, answer: RecordedAnswer) {
+    pub async fn finish(&self, ticket: CallTicket, answer: RecordedResponse) {
         let CallTicket { request, token, record, era, .. } = ticket;
         let record = CallRecord { state: CallState::Answered, answer: Some(answer), ..record };
         let stood_in = self.memory().hold_answer(&request.key, &record, era, Instant::now());
--- a/crates/dillspool_ledger/src/lib.rs
+++ b/crates/dillspool_ledger/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use batch::{BatchWriter, WriteOutcome};
 pub use call::{CallKey, CallRequest};
-pub use journal_sweep::{JOURNAL_KEEP, JournalSweeper};
+pub use journal_sweep::{JOURNAL_RETENTION, JournalSweeper};
 pub use ledger::{BeginOutcome, CallLedger, CallTicket, LedgerSettings};
-pub use record::{CallRecord, CallState, RecordedAnswer};
+pub use record::{CallRecord, CallState, RecordedResponse};
 pub use sweep::{RetentionTimes, SweepPage, sweep_page};
--- a/crates/dillspool_ledger/src/memory.rs
+++ b/crates/dillspool_ledger/src/memory.rs
@@ -107,7 +107,7 @@
     }
 
     /// How long no call may begin yet whose row the table lacks.
-    pub(crate) fn settle_left(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn settle_time_left(&self, now: Instant) -> Option<Duration> {
         let mut left = self.settled_at?.saturating_duration_since(now);
         if self.unrecovered().is_some() {
             left = left.max(RECOVERY_TIME);
--- a/crates/dillspool_ledger/src/record.rs
+++ b/crates/dillspool_ledger/src/record.rs
@@ -20,7 +20,7 @@
 
 /// An answer as it was given.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct RecordedAnswer {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -29,14 +29,14 @@
     pub body: Name,
 }
 
-impl RecordedAnswer {
+impl RecordedResponse {
     /// Records an answer.
     pub fn new(status: u16, content_type: &str, body: &[u8]) -> Self {
         Self { status, content_type: content_type.into(), body: hex::encode(body).into() }
     }
 
     /// The body's bytes.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn body_bytes(&self) -> Vec<u8> {
         hex::decode(&*self.body).unwrap_or_default()
     }
 }
@@ -53,7 +53,7 @@
     /// When the attempt began.
     pub at: UnixMillis,
     /// The answer, once there is one.
-    pub answer: Option<RecordedAnswer>,
+    pub answer: Option<RecordedResponse>,
     /// Beside [`CallState::NotRun`]: until when no call begins, since the row of another attempt, which a restored
     /// table lost, may belong in its place. The host of that attempt takes it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/dillspool_ledger/tests/ledger_faults.rs
+++ b/crates/dillspool_ledger/tests/ledger_faults.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use dillspool_io::{UnixMillis, WallClock};
 use dillspool_ledger::{
-    BeginOutcome, CallKey, CallLedger, CallRequest, CallTicket, LedgerSettings, RecordedAnswer,
+    BeginOutcome, CallKey, CallLedger, CallRequest, CallTicket, LedgerSettings, RecordedResponse,
     RetentionTimes, sweep_page,
 };
 use dillspool_platform::{MemoryTable, StoreFault};
@@ -17,8 +17,8 @@
     CallRequest::new(CallKey::new("stations", "r-1"), "POST", "/readings", body.as_bytes())
 }
 
-fn answer() -> RecordedAnswer {
-    RecordedAnswer::new(201, "application/json", b"{\"run\":1}")
+fn answer() -> RecordedResponse {
+    RecordedResponse::new(201, "application/json", b"{\"run\":1}")
 }
 
 fn ledger(table: &MemoryTable, owner: &str) -> CallLedger {
--- a/crates/dillspool_ledger/tests/ledger_interleavings.rs
+++ b/crates/dillspool_ledger/tests/ledger_interleavings.rs
@@ -8,7 +8,7 @@
 use dillspool_cases::{commit_fault, fixed_cases, run_paused};
 use dillspool_io::{UnixMillis, WallClock};
 use dillspool_ledger::{
-    BeginOutcome, CallKey, CallLedger, CallRequest, LedgerSettings, RecordedAnswer,
+    BeginOutcome, CallKey, CallLedger, CallRequest, LedgerSettings, RecordedResponse,
 };
 use dillspool_platform::{MemoryObjects, MemoryTable, StoreFault};
 use proptest::prelude::*;
@@ -142,10 +142,10 @@
 }
 
 impl Backend {
-    fn run(&self) -> RecordedAnswer {
+    fn run(&self) -> RecordedResponse {
         let mut runs = self.runs.lock().expect("no test panics with the lock");
         *runs += 1;
-        RecordedAnswer::new(201, "text/plain", &[*runs])
+        RecordedResponse::new(201, "text/plain", &[*runs])
     }
 
     fn runs(&self) -> u8 {
@@ -169,7 +169,7 @@
     let ticket = match ledger.begin(request()).await {
         BeginOutcome::Run(ticket) => ticket,
         BeginOutcome::Recorded(answer) => {
-            assert_eq!(answer.bytes(), vec![1], "another answer than the run gave");
+            assert_eq!(answer.body_bytes(), vec![1], "another answer than the run gave");
             return false;
         }
         BeginOutcome::Mismatch => panic!("the calls are the same"),
@@ -204,7 +204,7 @@
         // Only a process that really ends is ended with its ledger.
         let end = if has_ends { cancel.clone() } else { CancellationToken::new() };
         let ledger = if has_ends {
-            CallLedger::journaled(table, objects.store(), clock, settings, owner, cancel)
+            CallLedger::with_journal(table, objects.store(), clock, settings, owner, cancel)
         } else {
             CallLedger::new(table, clock, settings, owner, cancel)
         };
--- a/crates/dillspool_ledger/tests/lost_owners.rs
+++ b/crates/dillspool_ledger/tests/lost_owners.rs
@@ -17,7 +17,7 @@
 use dillspool_io::{UnixMillis, WallClock};
 use dillspool_ledger::{
     BeginOutcome, CallKey, CallLedger, CallRequest, CallTicket, JournalSweeper, LedgerSettings,
-    RecordedAnswer,
+    RecordedResponse,
 };
 use dillspool_platform::{
     MemoryObjects, MemoryTable, ObjectStore, PlatformError, StoreFault, TableStore,
@@ -34,7 +34,7 @@
     owner: &str,
     cancel: &CancellationToken,
 ) -> CallLedger {
-    CallLedger::journaled(
+    CallLedger::with_journal(
         table,
         objects.store(),
         WallClock::tokio(UnixMillis(1_700_000_000_000)),
@@ -262,7 +262,7 @@
             match *step {
                 Begin => ticket = Some(must_run(&owner, "r-1").await),
                 Finish => {
-                    let answer = RecordedAnswer::new(201, "application/json", b"{}");
+                    let answer = RecordedResponse::new(201, "application/json", b"{}");
                     owner.finish(ticket.take().expect("it began"), answer).await;
                 }
                 Abandon => owner.abandon(must_run(&owner, "r-1").await),
@@ -324,7 +324,7 @@
 async fn a_late_write_of_the_journal_drops_no_attempt() {
     let (table, objects) = (MemoryTable::new(), MemoryObjects::new());
     let (alive, owners) = (CancellationToken::new(), CancellationToken::new());
-    let owner = CallLedger::journaled(
+    let owner = CallLedger::with_journal(
         table.store(),
         late_objects(&objects, Duration::from_secs(1)),
         WallClock::tokio(UnixMillis(1_700_000_000_000)),
--- a/crates/dillspool_ledger/tests/restored_failures.rs
+++ b/crates/dillspool_ledger/tests/restored_failures.rs
@@ -6,7 +6,7 @@
 use dillspool_io::{UnixMillis, WallClock};
 use dillspool_ledger::{
     BeginOutcome, CallKey, CallLedger, CallRecord, CallRequest, CallState, CallTicket,
-    LedgerSettings, RecordedAnswer,
+    LedgerSettings, RecordedResponse,
 };
 use dillspool_platform::{
     CommitRequest, MemoryObjects, MemoryTable, PlatformError, ReadRequest, RowPrecondition,
@@ -65,7 +65,7 @@
     owner: &str,
     cancel: &CancellationToken,
 ) -> CallLedger {
-    CallLedger::journaled(
+    CallLedger::with_journal(
         store,
         objects.store(),
         WallClock::tokio(UnixMillis(1_700_000_000_000)),
@@ -75,8 +75,8 @@
     )
 }
 
-fn answer(bytes: usize) -> RecordedAnswer {
-    RecordedAnswer::new(201, "application/json", &vec![b'1'; bytes])
+fn answer(bytes: usize) -> RecordedResponse {
+    RecordedResponse::new(201, "application/json", &vec![b'1'; bytes])
 }
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/dillspool_ledger/tests/restored_ledger.rs
+++ b/crates/dillspool_ledger/tests/restored_ledger.rs
@@ -4,7 +4,7 @@
 
 use dillspool_io::{UnixMillis, WallClock};
 use dillspool_ledger::{
-    BeginOutcome, CallKey, CallLedger, CallRequest, LedgerSettings, RecordedAnswer,
+    BeginOutcome, CallKey, CallLedger, CallRequest, LedgerSettings, RecordedResponse,
 };
 use dillspool_platform::MemoryTable;
 use tokio_util::sync::CancellationToken;
@@ -49,7 +49,7 @@
             panic!("{name}: the first sending does not run");
         };
         if answered {
-            let answer = RecordedAnswer::new(201, "application/json", b"{}");
+            let answer = RecordedResponse::new(201, "application/json", b"{}");
             one.finish(ticket, answer).await;
         }
         if restored {
