--- a/crates/dillspool_router/src/beliefs.rs
+++ b/crates/dillspool_router/src/beliefs.rs
@@ -135,7 +135,7 @@
             DirectorySources {
                 backends: backends.subscribe(),
                 operator: operator.subscribe(),
-                reach: reached.clone(),
+                reachability: reached.clone(),
                 leaving: site.leaving.subscribe(),
             },
             view_sender,
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -163,7 +163,7 @@
         };
         let stopping = Arc::new(AtomicBool::new(false));
         let daemon = Self {
-            held: config.held.map(ByteBudget::new),
+            held: config.held_bytes.map(ByteBudget::new),
             config,
             stopping,
             callers,
@@ -269,7 +269,7 @@
         let settings = ReconcilerSettings {
             host: Name::clone(&self.config.host),
             targets: PoolTargets::new(self.config.share_rule, demand),
-            handover_gap: self.config.orders_apart,
+            handover_gap: self.config.order_handover_gap,
             is_first_start: self.config.first_start,
             clock: clock.clone(),
             delay: order_delay(&self.config.host, beliefs.config.clone(), schedule),
@@ -339,7 +339,7 @@
             context,
             known,
             stopping,
-            self.config.print_key.clone(),
+            self.config.fingerprint_key.clone(),
             clock,
         );
         let limits = caller_limits(beliefs.config.clone(), &self.background);
@@ -358,8 +358,8 @@
     /// Stops: no new callers, open answers to their end, nothing beyond the grace.
     pub async fn stop(self) {
         let asked = self.clock.now();
-        let deadline = asked + self.config.grace.saturating_sub(KILL_MARGIN);
-        log::info!("event=stopping grace_ms={}", self.config.grace.as_millis());
+        let deadline = asked + self.config.shutdown_grace.saturating_sub(KILL_MARGIN);
+        log::info!("event=stopping grace_ms={}", self.config.shutdown_grace.as_millis());
         self.stopping.store(true, Ordering::Relaxed);
         self.clock.sleep_until(deadline.min(asked + STILL_LISTED)).await;
         self.callers.cancel();
--- a/crates/dillspool_router/src/directory_tracker.rs
+++ b/crates/dillspool_router/src/directory_tracker.rs
@@ -81,7 +81,7 @@
     /// The operator's rows.
     pub operator: watch::Receiver<TableReplica>,
     /// Whether the store is reached.
-    pub reach: watch::Receiver<StoreReachability>,
+    pub reachability: watch::Receiver<StoreReachability>,
     /// Backend servers that have said in an answer that they leave.
     pub leaving: watch::Receiver<LeavingRegistry>,
 }
@@ -107,7 +107,7 @@
     sources: DirectorySources,
     view: watch::Sender<Arc<DirectoryView>>,
 ) {
-    let DirectorySources { mut backends, mut operator, mut reach, mut leaving } = sources;
+    let DirectorySources { mut backends, mut operator, mut reachability, mut leaving } = sources;
     let drained = DrainedDomains::new(site.drained_domain, settings.lapse_grace);
     let mut tracker = DirectoryTracker {
         site,
@@ -122,7 +122,7 @@
     // Whether a backend server has said that it leaves since the last view.
     let mut leaves_more = false;
     loop {
-        let state = *reach.borrow_and_update();
+        let state = *reachability.borrow_and_update();
         let drains_changed = tracker.drained.take_rows(&operator.borrow_and_update());
         {
             let (rows, leaving) = (backends.borrow_and_update(), leaving.borrow_and_update());
@@ -136,7 +136,7 @@
         tokio::select! {
             changed = backends.changed() => if changed.is_err() { return },
             changed = operator.changed() => if changed.is_err() { return },
-            changed = reach.changed() => if changed.is_err() { return },
+            changed = reachability.changed() => if changed.is_err() { return },
             changed = leaving.changed() => {
                 if changed.is_err() {
                     return;
--- a/crates/dillspool_router/src/host_rows.rs
+++ b/crates/dillspool_router/src/host_rows.rs
@@ -8,7 +8,7 @@
 use dillspool_watch::TableReplica;
 use tokio::time::Instant;
 
-use crate::sources::{HostRow, should_be_listed};
+use crate::sources::{HostRow, should_register};
 use crate::unreadable_rows::UnreadableRows;
 
 /// Start of the keys of hosts.
@@ -53,7 +53,7 @@
         if listed.contains(own) {
             !self.stored.values().any(|row| row == own)
         } else {
-            should_be_listed(&listed, own)
+            should_register(&listed, own)
         }
     }
 
--- a/crates/dillspool_router/src/ingress.rs
+++ b/crates/dillspool_router/src/ingress.rs
@@ -20,8 +20,8 @@
 use hyper::{Request, Response, Uri, Version};
 use tokio::sync::{Semaphore, watch};
 
-use crate::patience::PatienceTable;
 use crate::receiving::{enter, receive};
+use crate::retry_detector::RetryDetector;
 use crate::site::SiteProtocol;
 
 /// When to come back to a host that is not ready; another host takes the connection then.
@@ -58,8 +58,8 @@
     /// Set once the host is to stop; answers then close their connections.
     pub stopping: Arc<AtomicBool>,
     in_flight: Arc<Semaphore>,
-    patience: PatienceTable,
-    print_key: FingerprintKey,
+    retry_detector: RetryDetector,
+    fingerprint_key: FingerprintKey,
     clock: HostClock,
 }
 
@@ -76,12 +76,12 @@
         context: ForwardContext,
         known: KnownConfig,
         stopping: Arc<AtomicBool>,
-        print_key: FingerprintKey,
+        fingerprint_key: FingerprintKey,
         clock: HostClock,
     ) -> Self {
         let in_flight = Arc::new(Semaphore::new(MOST_IN_FLIGHT));
-        let patience = PatienceTable::default();
-        Self { site, context, known, stopping, in_flight, patience, print_key, clock }
+        let retry_detector = RetryDetector::default();
+        Self { site, context, known, stopping, in_flight, retry_detector, fingerprint_key, clock }
     }
 
     /// The handler of the callers' listener.
@@ -94,14 +94,14 @@
 
     async fn answer(&self, mut request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = self.clock.now();
-        let terms = (self.site.take_terms)(request.headers_mut());
+        let terms = (self.site.extract_metadata)(request.headers_mut());
         let id = terms.id.clone();
         let mut response = match self.route(request, terms, arrived).await {
             Ok((routed, _permit)) => {
                 let route = Name::clone(&routed.route.name);
                 let response = handle_request(self.context.clone(), routed).await;
                 if response.headers().contains_key(RETRY_AFTER) {
-                    self.patience.note_refused(&route);
+                    self.retry_detector.record_refusal(&route);
                 }
                 response
             }
@@ -112,7 +112,7 @@
             }
         };
         if let Some(id) = &id {
-            (self.site.mark_answer)(response.headers_mut(), id);
+            (self.site.set_request_id)(response.headers_mut(), id);
         }
         if self.stopping.load(Ordering::Relaxed) {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -145,7 +145,7 @@
         let service = route.pick_service(&id).map(Name::clone);
         let service = service.ok_or(Refusal::new(RefusalCause::NoRoute))?;
         let caller_time = terms.time_budget.unwrap_or(route.timeout);
-        let spent_before = self.patience.note(&route.name, caller_time);
+        let spent_before = self.retry_detector.record_request(&route.name, caller_time);
         let deadline = arrived + caller_time.min(route.timeout);
         let body = receive(body, config.limits.max_body_bytes, &held);
         let received = self.clock.timeout_at(deadline, body).await;
@@ -154,7 +154,7 @@
         let caller = workspace.as_ref().map_or("", |workspace| &*workspace.name);
         let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
         let print = FingerprintInput { caller, host: &route.host, path, body: &body };
-        let print = RequestFingerprint::of(&self.print_key, &print);
+        let print = RequestFingerprint::of(&self.fingerprint_key, &print);
         let routed = RoutedRequest {
             id,
             fingerprint: print,
--- a/crates/dillspool_router/src/lib.rs
+++ b/crates/dillspool_router/src/lib.rs
@@ -17,10 +17,10 @@
 mod ingress;
 mod memory_terms;
 mod notice_keeper;
-mod patience;
 mod peer_list;
 mod policy;
 mod receiving;
+mod retry_detector;
 mod settings;
 mod site;
 mod sources;
@@ -34,11 +34,12 @@
 pub use daemon::{RouterDaemon, RouterError};
 pub use directory_tracker::{DirectorySettings, DirectorySources, track_directory};
 pub use ingress::{IngressState, KnownConfig};
-pub use patience::PatienceTable;
 pub use policy::PolicyConfig;
+pub use retry_detector::RetryDetector;
 pub use settings::{RouterConfig, SettingsError, SettingsWatch, load_settings};
 pub use site::SiteProtocol;
 pub use sources::{
-    HostRow, SourcePlan, count_hosts, plan_at_first, plan_sources, relied_on, should_be_listed,
+    HostRow, SourcePlan, count_hosts, full_replica_hosts, plan_initial_sources, plan_sources,
+    should_register,
 };
 pub use unreadable_rows::UnreadableRows;
--- a/crates/dillspool_router/src/peer_list.rs
+++ b/crates/dillspool_router/src/peer_list.rs
@@ -19,7 +19,8 @@
 use crate::host_rows::{HOST_PREFIX, HostRows};
 use crate::settings::RouterConfig;
 use crate::sources::{
-    HostRow, MOST_DIRECT_HOSTS, SourcePlan, count_hosts, plan_at_first, plan_sources, relied_on,
+    HostRow, MOST_DIRECT_HOSTS, SourcePlan, count_hosts, full_replica_hosts, plan_initial_sources,
+    plan_sources,
 };
 use crate::unreadable_rows::UnreadableRows;
 
@@ -79,7 +80,7 @@
             return self.with_rows(|rows| plan_sources(rows, &self.own));
         }
         let seeds = self.seeds();
-        self.with_rows(|rows| plan_at_first(rows, &self.own, &seeds))
+        self.with_rows(|rows| plan_initial_sources(rows, &self.own, &seeds))
     }
 
     /// Hosts that could schedule the pool of a service, the best first; each of them holds the whole directory.
@@ -88,8 +89,8 @@
             let link_mbps = row.link_mbps;
             Some(SchedulerCandidate { address: row.schedule?, link_mbps })
         };
-        let hosts: Vec<_> =
-            self.with_rows(|rows| relied_on(rows).into_iter().filter_map(candidate).collect());
+        let hosts: Vec<_> = self
+            .with_rows(|rows| full_replica_hosts(rows).into_iter().filter_map(candidate).collect());
         SchedulePeers { own: self.own.schedule, ranked: rank_candidates(service, &hosts) }
     }
 
@@ -120,7 +121,7 @@
             let near = |row: &&HostRow| row.failure_domain == self.own.failure_domain;
             let is_alone =
                 !rows.is_empty() && rows.iter().filter(near).count() <= MOST_DIRECT_HOSTS;
-            is_alone || relied_on(rows).iter().any(|row| row.peers == self.own.peers)
+            is_alone || full_replica_hosts(rows).iter().any(|row| row.peers == self.own.peers)
         });
         (!is_relied_on).then(|| host_seed(&self.own.peers.to_string()))
     }
--- a/crates/dillspool_router/src/patience.rs
+++ b/crates/dillspool_router/src/retry_detector.rs
@@ -66,14 +66,14 @@
 
 /// What callers named, by route.
 #[derive(Clone, Debug, Default)]
-pub struct PatienceTable {
+pub struct RetryDetector {
     routes: Arc<Mutex<HashMap<Name, RoutePatience>>>,
 }
 
-impl PatienceTable {
+impl RetryDetector {
     /// Notes the time that a caller has left, and returns what it has spent on attempts before this one;
     /// zero if it has not come back, as far as can be told.
-    pub fn note(&self, route: &Name, left: Duration) -> Duration {
+    pub fn record_request(&self, route: &Name, left: Duration) -> Duration {
         self.with(route, left, |patience, now| {
             if left >= patience.longest || patience.confirmed + FORGET_AFTER <= now {
                 (patience.longest, patience.confirmed) = (left, now);
@@ -92,7 +92,7 @@
     }
 
     /// Notes that a caller was refused and may come back.
-    pub fn note_refused(&self, route: &Name) {
+    pub fn record_refusal(&self, route: &Name) {
         self.with(route, Duration::ZERO, |patience, now| patience.refused.add(now));
     }
 
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -101,17 +101,17 @@
     /// How the limits of workspaces are counted.
     pub limits: LimitTerms,
     /// Limits on bytes held for slow peers; `None` where they are not limited.
-    pub held: Option<HeldTerms>,
+    pub held_bytes: Option<HeldTerms>,
     /// Key of the prints that stand for requests.
-    pub print_key: FingerprintKey,
+    pub fingerprint_key: FingerprintKey,
     /// Prints of requests that run whatever ended under them.
     pub lifted: Vec<RequestFingerprint>,
     /// Time from the signal to stop until the process is killed.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Time after an outage in which lapsed backend servers may register again.
     pub lapse_grace: Duration,
     /// Time between the orders of two holders.
-    pub orders_apart: Duration,
+    pub order_handover_gap: Duration,
     /// What decides how many engines of a pool prefill.
     pub share_rule: ShareRule,
     /// How requests for engines are decided on.
@@ -168,15 +168,15 @@
             extra: not_negative("retry.extra", retry.extra)?,
         },
         limits: limit_terms(settings.limits.as_ref())?,
-        held: memory_terms::check(settings.memory.as_ref())?,
-        print_key: print_key(settings.suspects.as_ref()),
+        held_bytes: memory_terms::check(settings.memory.as_ref())?,
+        fingerprint_key: fingerprint_key(settings.suspects.as_ref()),
         lifted: lifted(settings.suspects.as_ref())?,
-        grace: seconds("lifecycle.grace_s", lifecycle.grace_s)?,
+        shutdown_grace: seconds("lifecycle.grace_s", lifecycle.grace_s)?,
         lapse_grace: seconds(
             "lifecycle.lapse_grace_s",
             lifecycle.lapse_grace_s.unwrap_or(LAPSE_GRACE_S),
         )?,
-        orders_apart: seconds("orders.lease_ms", orders.lease_ms / 1000.0)?,
+        order_handover_gap: seconds("orders.lease_ms", orders.lease_ms / 1000.0)?,
         share_rule: share_rule(orders.prefill_share)?,
         policy: policy::check(settings.policy.as_ref())?,
         calls: call_terms(settings.calls.as_ref())?,
@@ -207,7 +207,7 @@
 }
 
 /// The key of prints; without one all fleets have the same.
-fn print_key(settings: Option<&SuspectSettings>) -> FingerprintKey {
+fn fingerprint_key(settings: Option<&SuspectSettings>) -> FingerprintKey {
     let key = settings.map(|settings| &*settings.key).filter(|key| !key.is_empty());
     key.map_or_else(FingerprintKey::default, FingerprintKey::new)
 }
--- a/crates/dillspool_router/src/site.rs
+++ b/crates/dillspool_router/src/site.rs
@@ -15,9 +15,9 @@
 #[derive(Clone)]
 pub struct SiteProtocol {
     /// Decodes a request's terms and leaves what is passed on.
-    pub take_terms: fn(&mut HeaderMap) -> RequestMetadata,
+    pub extract_metadata: fn(&mut HeaderMap) -> RequestMetadata,
     /// Names the request in an answer of the router's own.
-    pub mark_answer: fn(&mut HeaderMap, &str),
+    pub set_request_id: fn(&mut HeaderMap, &str),
     /// Decodes a configuration.
     pub decode_config: fn(&str) -> Result<RoutingConfig, String>,
     /// Decodes the row of a backend server with an id.
--- a/crates/dillspool_router/src/sources.rs
+++ b/crates/dillspool_router/src/sources.rs
@@ -71,7 +71,7 @@
 ///
 /// Everybody takes from hosts that come before it in one order, so nobody takes from those that take from it,
 /// whatever rows each of them knows; and nobody reads the store because it comes first among the few that it knows.
-pub fn plan_at_first(rows: &[HostRow], own: &HostRow, seeds: &[SocketAddr]) -> SourcePlan {
+pub fn plan_initial_sources(rows: &[HostRow], own: &HostRow, seeds: &[SocketAddr]) -> SourcePlan {
     if seeds.contains(&own.peers) {
         return SourcePlan::Root;
     }
@@ -93,7 +93,7 @@
 /// The hosts on which others may come to rely for whole tables, as sources, roots or schedulers: the first of each
 /// failure domain, or all of a small one, which read the store themselves. Hosts that recorded themselves
 /// before they heard of better ones are none of these.
-pub fn relied_on(rows: &[HostRow]) -> Vec<&HostRow> {
+pub fn full_replica_hosts(rows: &[HostRow]) -> Vec<&HostRow> {
     let domains: BTreeSet<&Name> = rows.iter().map(|row| &row.failure_domain).collect();
     let first = |domain: &Name| {
         let near = ranked(rows.iter().filter(|row| row.failure_domain == *domain));
@@ -103,7 +103,7 @@
 }
 
 /// Whether a host should record itself: its failure domain has too few that are as good as it.
-pub fn should_be_listed(rows: &[HostRow], own: &HostRow) -> bool {
+pub fn should_register(rows: &[HostRow], own: &HostRow) -> bool {
     let near = rows.iter().filter(|row| row.failure_domain == own.failure_domain);
     let as_good = near.filter(|row| row.peers != own.peers && row.link_mbps >= own.link_mbps);
     as_good.count() < MOST_LISTED && !rows.contains(own)
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -52,12 +52,12 @@
         link_mbps: 0.0,
         budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
         limits: LimitTerms { slack: 0.0, shares: 2 },
-        held: None,
-        print_key: FingerprintKey::default(),
+        held_bytes: None,
+        fingerprint_key: FingerprintKey::default(),
         lifted: vec![],
-        grace: Duration::from_secs(8),
+        shutdown_grace: Duration::from_secs(8),
         lapse_grace: Duration::from_secs(2),
-        orders_apart: Duration::from_secs(3),
+        order_handover_gap: Duration::from_secs(3),
         share_rule: ShareRule::Fixed(0.2),
         policy: PolicyConfig::default(),
         calls: CallTerms::default(),
@@ -92,14 +92,14 @@
     }
 }
 
-fn take_terms(headers: &mut HeaderMap) -> RequestMetadata {
+fn extract_metadata(headers: &mut HeaderMap) -> RequestMetadata {
     let id = headers.get("x-id").and_then(|value| value.to_str().ok()).map(Into::into);
     let key = headers.remove("x-key").and_then(|value| CallerKey::new(value.to_str().ok()?));
     let key = key.map_or(PresentedKey::Missing, PresentedKey::One);
     RequestMetadata { id, key, ..RequestMetadata::default() }
 }
 
-fn mark_answer(headers: &mut HeaderMap, id: &str) {
+fn set_request_id(headers: &mut HeaderMap, id: &str) {
     headers.insert("x-id", id.parse().expect("a header value"));
 }
 
@@ -223,8 +223,8 @@
 pub fn site(site: &TestSite) -> SiteProtocol {
     let (for_snapshot, for_changes) = (site.clone(), site.clone());
     SiteProtocol {
-        take_terms,
-        mark_answer,
+        extract_metadata,
+        set_request_id,
         decode_config,
         decode_backend,
         drained_domain: |key| key.strip_prefix("drained/"),
--- a/crates/dillspool_router/tests/common/tracked.rs
+++ b/crates/dillspool_router/tests/common/tracked.rs
@@ -41,7 +41,7 @@
         let sources = DirectorySources {
             backends: belief.subscribe(),
             operator: operator.subscribe(),
-            reach: reach.subscribe(),
+            reachability: reach.subscribe(),
             leaving: leaving.subscribe(),
         };
         tokio::spawn(track_directory(site, settings, unreadable.clone(), sources, sender));
--- a/crates/dillspool_router/tests/held_bytes.rs
+++ b/crates/dillspool_router/tests/held_bytes.rs
@@ -71,7 +71,7 @@
 }
 
 impl HeldHost {
-    async fn start(held: Option<HeldTerms>) -> Self {
+    async fn start(held_bytes: Option<HeldTerms>) -> Self {
         let net = MemoryNet::new();
         let site = TestSite::default();
         site.write_config("1 /x/");
@@ -97,7 +97,7 @@
                 Ok(answer(request.uri.path(), &open))
             })
         });
-        let config = RouterConfig { held, ..config() };
+        let config = RouterConfig { held_bytes, ..config() };
         let near = stack(&net, "10.0.0.1");
         let daemon = RouterDaemon::start(config, near, protocol, HostClock::steady()).await;
         let client = HttpClient::pooled(&stack(&net, "10.0.0.2"));
--- a/crates/dillspool_router/tests/patience.rs
+++ b/crates/dillspool_router/tests/retry_detector.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dillspool_router::PatienceTable;
+use dillspool_router::RetryDetector;
 
 #[derive(Clone, Copy)]
 enum Seen {
@@ -24,13 +24,13 @@
     spent_ms: u64,
 }
 
-async fn play(table: &PatienceTable, seen: &[Seen]) {
+async fn play(detector: &RetryDetector, seen: &[Seen]) {
     for step in seen {
         match step {
             Names(left) => {
-                table.note(&"route".into(), Duration::from_millis(*left));
+                detector.record_request(&"route".into(), Duration::from_millis(*left));
             }
-            Refused => table.note_refused(&"route".into()),
+            Refused => detector.record_refusal(&"route".into()),
             Pause(time) => tokio::time::sleep(Duration::from_millis(*time)).await,
         }
     }
@@ -67,9 +67,9 @@
         case("a refusal before any caller was heard of", &[Refused, Names(14_000)], 9_000, 5_000),
     ];
     for case in cases {
-        let table = PatienceTable::default();
-        play(&table, case.seen).await;
-        let spent = table.note(&"route".into(), Duration::from_millis(case.then));
+        let detector = RetryDetector::default();
+        play(&detector, case.seen).await;
+        let spent = detector.record_request(&"route".into(), Duration::from_millis(case.then));
         assert_eq!(spent, Duration::from_millis(case.spent_ms), "{}", case.name);
     }
 }
@@ -78,17 +78,18 @@
 /// for the first time must not yield to each other.
 #[tokio::test(start_paused = true)]
 async fn callers_of_different_patience_are_told_from_those_that_came_back() {
-    let table = PatienceTable::default();
+    let detector = RetryDetector::default();
     let patience = |number: u64| 14_000 - number * 37 % 21 * 100;
     let (mut fresh_as_returned, mut returned) = (0, 0);
     for number in 0..200 {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let first = table.note(&"route".into(), Duration::from_millis(patience(number)));
+        let first =
+            detector.record_request(&"route".into(), Duration::from_millis(patience(number)));
         fresh_as_returned += u32::from(!first.is_zero());
         if number % 5 == 0 {
-            table.note_refused(&"route".into());
+            detector.record_refusal(&"route".into());
             let left = patience(number) * 2 / 3;
-            let again = table.note(&"route".into(), Duration::from_millis(left));
+            let again = detector.record_request(&"route".into(), Duration::from_millis(left));
             returned += u32::from(!again.is_zero());
         }
     }
--- a/crates/dillspool_router/tests/sources.rs
+++ b/crates/dillspool_router/tests/sources.rs
@@ -4,7 +4,8 @@
 use std::net::SocketAddr;
 
 use dillspool_router::{
-    HostRow, SourcePlan, count_hosts, plan_at_first, plan_sources, relied_on, should_be_listed,
+    HostRow, SourcePlan, count_hosts, full_replica_hosts, plan_initial_sources, plan_sources,
+    should_register,
 };
 
 /// The host with a number in a failure domain, and the width of its link.
@@ -29,7 +30,7 @@
 fn listed(hosts: &[HostRow]) -> Vec<HostRow> {
     let mut rows = Vec::new();
     for host in hosts {
-        if should_be_listed(&rows, host) {
+        if should_register(&rows, host) {
             rows.push(host.clone());
         }
     }
@@ -129,12 +130,12 @@
     let hosts = fleet(&[vec![20.0; 8]]);
     let rows = listed(&hosts);
     for host in &rows {
-        assert!(!should_be_listed(&rows, host), "its row stands already");
+        assert!(!should_register(&rows, host), "its row stands already");
     }
     let mut moved = rows[0].clone();
     moved.link_mbps = 200.0;
     moved.peers = address(0, 99);
-    assert!(should_be_listed(&rows, &moved));
+    assert!(should_register(&rows, &moved));
 }
 
 /// Hosts that started again took the fleet for one of four hundred until they had a scheduler, though the rows
@@ -180,7 +181,7 @@
         let takes_from: Vec<BTreeSet<usize>> = (hosts.iter().zip(&known))
             .map(|(host, rows)| {
                 let number = |source| hosts.iter().position(|host| host.peers == source);
-                match plan_at_first(rows, host, &seeds) {
+                match plan_initial_sources(rows, host, &seeds) {
                     SourcePlan::Relayed(sources) => {
                         sources.into_iter().filter_map(number).collect()
                     }
@@ -212,7 +213,7 @@
     let seeds = [address(0, 5), address(1, 2)];
     for known in 0..=hosts.len() {
         for host in &hosts {
-            let plan = plan_at_first(&hosts[hosts.len() - known..], host, &seeds);
+            let plan = plan_initial_sources(&hosts[hosts.len() - known..], host, &seeds);
             let reads = !matches!(plan, SourcePlan::Relayed(_));
             assert_eq!(reads, seeds.contains(&host.peers), "{host:?} knows {known}");
         }
@@ -222,7 +223,7 @@
 #[test]
 fn six_hosts_of_a_domain_are_relied_on_whoever_else_is_recorded() {
     let rows = fleet(&[[vec![20.0; 30], vec![1000.0; 3]].concat(), vec![20.0; 4]]);
-    let relied: Vec<_> = relied_on(&rows).iter().map(|row| row.peers).collect();
+    let relied: Vec<_> = full_replica_hosts(&rows).iter().map(|row| row.peers).collect();
     assert_eq!(relied.len(), 10);
     for number in 30..33 {
         assert!(relied.contains(&address(0, number)), "wide links come first");
--- a/crates/dillspool_routerd/src/lib.rs
+++ b/crates/dillspool_routerd/src/lib.rs
@@ -15,8 +15,8 @@
     let throttle = ThrottleTracker::new(clock.clone());
     let leaving = LeavingTracker::new(clock.clone());
     SiteProtocol {
-        take_terms: dillspool_site::take_terms,
-        mark_answer: dillspool_site::mark_answer,
+        extract_metadata: dillspool_site::take_terms,
+        set_request_id: dillspool_site::mark_answer,
         decode_config: dillspool_site::decode_config,
         decode_backend: dillspool_site::decode_backend,
         drained_domain: dillspool_site::drained_domain,
--- a/crates/dillspool_routerd/src/main.rs
+++ b/crates/dillspool_routerd/src/main.rs
@@ -71,7 +71,7 @@
     let describe = |error: std::io::Error| format!("cannot wait for signals: {error}");
     let mut terminate = signal(SignalKind::terminate()).map_err(describe)?;
     let mut reload = signal(SignalKind::hangup()).map_err(describe)?;
-    let stack = NetStack::tcp_unsent(config.held.map(|_terms| UNSENT_BYTES));
+    let stack = NetStack::tcp_unsent(config.held_bytes.map(|_terms| UNSENT_BYTES));
     let clock = HostClock::boot();
     let site = prepared_platform(&stack, &config, &clock);
     let daemon =
