--- a/crates/dillspool_router/src/peer_list.rs
+++ b/crates/dillspool_router/src/peer_list.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dillspool_part::host_seed;
-use dillspool_platform::{PlatformError, RowExpect, RowWrite, TableStore};
+use dillspool_platform::{PlatformError, RowPrecondition, RowWrite, TableStore};
 use dillspool_scheduler::{SchedulePeers, SchedulerCandidate, rank_candidates};
 use dillspool_schema::Name;
 use dillspool_watch::{FollowRole, RelayPeers, TableReplica};
@@ -19,7 +19,8 @@
 use crate::host_rows::{HOST_PREFIX, HostRows};
 use crate::settings::RouterConfig;
 use crate::sources::{
-    HostRow, MOST_DIRECT_HOSTS, SourcePlan, count_hosts, plan_at_first, plan_sources, relied_on,
+    HostRow, MOST_DIRECT_HOSTS, SourcePlan, count_hosts, full_replica_hosts, plan_initial_sources,
+    plan_sources,
 };
 use crate::unreadable_rows::UnreadableRows;
 
@@ -79,7 +80,7 @@
             return self.with_rows(|rows| plan_sources(rows, &self.own));
         }
         let seeds = self.seeds();
-        self.with_rows(|rows| plan_at_first(rows, &self.own, &seeds))
+        self.with_rows(|rows| plan_initial_sources(rows, &self.own, &seeds))
     }
 
     /// Hosts that could schedule the pool of a service, the best first; each of them holds the whole directory.
@@ -88,8 +89,8 @@
             let link_mbps = row.link_mbps;
             Some(SchedulerCandidate { address: row.schedule?, link_mbps })
         };
-        let hosts: Vec<_> =
-            self.with_rows(|rows| relied_on(rows).into_iter().filter_map(candidate).collect());
+        let hosts: Vec<_> = self
+            .with_rows(|rows| full_replica_hosts(rows).into_iter().filter_map(candidate).collect());
         SchedulePeers { own: self.own.schedule, ranked: rank_candidates(service, &hosts) }
     }
 
@@ -120,7 +121,7 @@
             let near = |row: &&HostRow| row.failure_domain == self.own.failure_domain;
             let is_alone =
                 !rows.is_empty() && rows.iter().filter(near).count() <= MOST_DIRECT_HOSTS;
-            is_alone || relied_on(rows).iter().any(|row| row.peers == self.own.peers)
+            is_alone || full_replica_hosts(rows).iter().any(|row| row.peers == self.own.peers)
         });
         (!is_relied_on).then(|| host_seed(&self.own.peers.to_string()))
     }
@@ -233,6 +234,6 @@
     let value = serde_json::to_string(own)
         .map_err(|error| PlatformError::NotDone { reason: error.to_string() })?;
     let key = format!("{HOST_PREFIX}{}", config.host).into();
-    store.commit(vec![RowWrite { key, expect: RowExpect::Any, value: Some(value) }]).await?;
+    store.commit(vec![RowWrite { key, expect: RowPrecondition::Any, value: Some(value) }]).await?;
     Ok(())
 }
