--- a/crates/dillspool/src/local.rs
+++ b/crates/dillspool/src/local.rs
@@ -60,14 +60,14 @@
 /// Prints what became of the calls in some logs on which one host decides.
 pub(crate) fn count_calls(files: &[PathBuf]) -> Result<ExitCode, CliError> {
     let text = read_logs(files)?;
-    print!("{}", dillspool_explain::CallTable::of(text.lines()));
+    print!("{}", dillspool_explain::CallTable::from_lines(text.lines()));
     Ok(ExitCode::SUCCESS)
 }
 
 /// Prints how the requests in some logs ended.
 pub(crate) fn count_ends(files: &[PathBuf]) -> Result<ExitCode, CliError> {
     let text = read_logs(files)?;
-    print!("{}", dillspool_explain::EndTable::of(text.lines()));
+    print!("{}", dillspool_explain::OutcomeTable::from_lines(text.lines()));
     Ok(ExitCode::SUCCESS)
 }
 
@@ -75,8 +75,8 @@
 /// say they take.
 pub(crate) fn count_limits(files: &[PathBuf]) -> Result<ExitCode, CliError> {
     let text = read_logs(files)?;
-    print!("{}", dillspool_explain::LimitTable::of(text.lines()));
-    let backends = dillspool_explain::BackendLimitTable::of(text.lines());
+    print!("{}", dillspool_explain::LimitTable::from_lines(text.lines()));
+    let backends = dillspool_explain::BackendLimitTable::from_lines(text.lines());
     if !backends.backends.is_empty() {
         print!("\n{backends}");
     }
@@ -86,7 +86,7 @@
 /// Prints the requests in some logs under which backend servers ended.
 pub(crate) fn list_suspects(files: &[PathBuf]) -> Result<ExitCode, CliError> {
     let text = read_logs(files)?;
-    print!("{}", dillspool_explain::SuspectTable::of(text.lines()));
+    print!("{}", dillspool_explain::SuspectTable::from_lines(text.lines()));
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/dillspool_explain/src/backend_limits.rs
+++ b/crates/dillspool_explain/src/backend_limits.rs
@@ -7,7 +7,7 @@
 
 /// One backend server that has named a limit, by the logs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct BackendLimitUse {
+pub struct BackendLimitStats {
     /// The newest limit a second that it named.
     pub per_s: f64,
     /// Whether it names none any more.
@@ -28,12 +28,12 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendLimitTable {
     /// By start of the backend server.
-    pub backends: BTreeMap<String, BackendLimitUse>,
+    pub backends: BTreeMap<String, BackendLimitStats>,
 }
 
 impl BackendLimitTable {
     /// Reads the lines of some logs.
-    pub fn of<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn from_lines<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for line in lines.into_iter().filter_map(LogLine::parse) {
             match line.field("event") {
@@ -45,12 +45,12 @@
         table
     }
 
-    fn of_backend(&mut self, line: &LogLine) -> &mut BackendLimitUse {
+    fn of_backend(&mut self, line: &LogLine) -> &mut BackendLimitStats {
         self.backends.entry(line.field("backend").to_owned()).or_default()
     }
 }
 
-impl BackendLimitUse {
+impl BackendLimitStats {
     fn note_word(&mut self, line: &LogLine) {
         let age_ms = line.field("age_ms").parse().unwrap_or(0);
         let is_own = line.field("from") == "answer";
@@ -80,7 +80,7 @@
             "limit a second  now   heard   told  closed  unknown  said at ms     backend server"
         )?;
         for (name, used) in &self.backends {
-            let BackendLimitUse { per_s, is_over, said_ms, heard, told, closed, unknown } = used;
+            let BackendLimitStats { per_s, is_over, said_ms, heard, told, closed, unknown } = used;
             let now = if *is_over { "over" } else { "on" };
             let (heard, told) = (heard.len(), told.len());
             writeln!(
--- a/crates/dillspool_explain/src/calls.rs
+++ b/crates/dillspool_explain/src/calls.rs
@@ -7,7 +7,7 @@
 
 /// The calls of one service, by the logs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallUse {
+pub struct CallStats {
     /// Hosts for which one host decides, by their newest word.
     pub decided: BTreeSet<String>,
     /// Slots of its backend servers and hosts of the fleet, by the newest word.
@@ -34,12 +34,12 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallTable {
     /// By service.
-    pub services: BTreeMap<String, CallUse>,
+    pub services: BTreeMap<String, CallStats>,
 }
 
 impl CallTable {
     /// Counts the lines of some logs.
-    pub fn of<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn from_lines<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for line in lines.into_iter().filter_map(LogLine::parse) {
             match line.field("event") {
@@ -53,7 +53,7 @@
         table
     }
 
-    fn of_service(&mut self, line: &LogLine) -> &mut CallUse {
+    fn of_service(&mut self, line: &LogLine) -> &mut CallStats {
         self.services.entry(line.field("service").to_owned()).or_default()
     }
 }
@@ -62,7 +62,7 @@
     line.field(field).parse().unwrap_or(0)
 }
 
-impl CallUse {
+impl CallStats {
     fn note_switch(&mut self, line: &LogLine) {
         let host = line.field("host").to_owned();
         if line.field("by") == "one_host" {
@@ -104,7 +104,7 @@
             "decided for  slots  hosts  queued  mean ms  longest ms  no room  no server  overruled  service"
         )?;
         for (name, used) in &self.services {
-            let CallUse { slots, hosts, queued, longest_ms, no_room, no_server, .. } = used;
+            let CallStats { slots, hosts, queued, longest_ms, no_room, no_server, .. } = used;
             let (decided, mean_ms) = (used.decided.len(), used.waited_ms / (*queued).max(1));
             let causes: Vec<_> =
                 used.overruled.iter().map(|(why, count)| format!("{count} {why}")).collect();
--- a/crates/dillspool_explain/src/late.rs
+++ b/crates/dillspool_explain/src/late.rs
@@ -7,7 +7,7 @@
 
 /// How a request ended, as its last line says.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// A whole stream in time.
     StreamInTime,
     /// A whole stream that was late, by cause.
@@ -27,7 +27,7 @@
 /// back; less is the way of a first attempt.
 const RETURNED_MS: u64 = 100;
 
-impl RequestEnd {
+impl RequestOutcome {
     fn of(line: &LogLine) -> Self {
         let outcome = line.field("outcome");
         match (outcome, line.field("first_ms"), line.field("late")) {
@@ -45,7 +45,7 @@
     }
 }
 
-impl fmt::Display for RequestEnd {
+impl fmt::Display for RequestOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::StreamInTime => f.write_str("stream in time"),
@@ -63,25 +63,25 @@
 
 /// Counts of ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EndTable {
+pub struct OutcomeTable {
     /// Requests by their end.
-    pub counts: BTreeMap<RequestEnd, u64>,
+    pub counts: BTreeMap<RequestOutcome, u64>,
 }
 
-impl EndTable {
+impl OutcomeTable {
     /// Counts the last lines of all requests in some logs.
-    pub fn of<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn from_lines<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for line in lines.into_iter().filter_map(LogLine::parse) {
             if line.field("event") == "request_ended" {
-                *table.counts.entry(RequestEnd::of(&line)).or_default() += 1;
+                *table.counts.entry(RequestOutcome::of(&line)).or_default() += 1;
             }
         }
         table
     }
 }
 
-impl fmt::Display for EndTable {
+impl fmt::Display for OutcomeTable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let all: u64 = self.counts.values().sum();
         let mut rows: Vec<_> = self.counts.iter().collect();
--- a/crates/dillspool_explain/src/lib.rs
+++ b/crates/dillspool_explain/src/lib.rs
@@ -10,10 +10,10 @@
 mod story;
 mod suspects;
 
-pub use backend_limits::{BackendLimitTable, BackendLimitUse};
-pub use calls::{CallTable, CallUse};
-pub use late::{EndTable, RequestEnd};
-pub use limits::{LimitTable, WorkspaceUse};
+pub use backend_limits::{BackendLimitStats, BackendLimitTable};
+pub use calls::{CallStats, CallTable};
+pub use late::{OutcomeTable, RequestOutcome};
+pub use limits::{LimitTable, WorkspaceStats};
 pub use line::LogLine;
-pub use story::{RequestStory, explain};
-pub use suspects::{SuspectTable, SuspectUse};
+pub use story::{RequestReport, explain};
+pub use suspects::{SuspectStats, SuspectTable};
--- a/crates/dillspool_explain/src/limits.rs
+++ b/crates/dillspool_explain/src/limits.rs
@@ -7,7 +7,7 @@
 
 /// One workspace, by the logs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WorkspaceUse {
+pub struct WorkspaceStats {
     /// Requests that were answered, failures of backend servers included.
     pub answered: u64,
     /// Requests beyond the limit.
@@ -26,12 +26,12 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LimitTable {
     /// By workspace.
-    pub workspaces: BTreeMap<String, WorkspaceUse>,
+    pub workspaces: BTreeMap<String, WorkspaceStats>,
 }
 
 impl LimitTable {
     /// Counts the requests of some logs.
-    pub fn of<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn from_lines<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for line in lines.into_iter().filter_map(LogLine::parse) {
             let workspace = line.field("workspace");
@@ -47,12 +47,12 @@
         table
     }
 
-    fn of_workspace(&mut self, workspace: &str) -> &mut WorkspaceUse {
+    fn of_workspace(&mut self, workspace: &str) -> &mut WorkspaceStats {
         self.workspaces.entry(workspace.to_owned()).or_default()
     }
 }
 
-impl WorkspaceUse {
+impl WorkspaceStats {
     fn note_end(&mut self, line: &LogLine) {
         let count = match (line.field("outcome"), line.field("cause")) {
             ("answered" | "failed", _) => &mut self.answered,
@@ -78,7 +78,7 @@
         let mut rows: Vec<_> = self.workspaces.iter().collect();
         rows.sort_by(|a, b| b.1.over_limit.cmp(&a.1.over_limit).then(a.0.cmp(b.0)));
         for (name, used) in rows {
-            let WorkspaceUse { answered, over_limit, unknown, other, per_s, .. } = used;
+            let WorkspaceStats { answered, over_limit, unknown, other, per_s, .. } = used;
             let limit = if *per_s > 0.0 { format!("{per_s}") } else { "-".to_owned() };
             writeln!(
                 f,
--- a/crates/dillspool_explain/src/story.rs
+++ b/crates/dillspool_explain/src/story.rs
@@ -27,7 +27,7 @@
 
 /// What became of a request, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RequestStory {
+pub struct RequestReport {
     /// The request's own lines in order.
     pub lines: Vec<LogLine>,
     /// Changes of belief on its hosts that bear on it.
@@ -38,7 +38,7 @@
     pub verdict: String,
 }
 
-impl fmt::Display for RequestStory {
+impl fmt::Display for RequestReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
             writeln!(f, "{}", line.text)?;
@@ -60,7 +60,7 @@
 }
 
 /// Tells the story of a request; `None` when no line names it.
-pub fn explain<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Option<RequestStory> {
+pub fn explain<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Option<RequestReport> {
     let all: Vec<LogLine> = lines.into_iter().filter_map(LogLine::parse).collect();
     let mut own: Vec<LogLine> = all.iter().filter(|line| line.field("id") == id).cloned().collect();
     own.sort_by_key(|line| line.time_ms);
@@ -91,7 +91,7 @@
     copies.sort_by_key(|line| line.time_ms);
     copies.drain(..copies.len().saturating_sub(MOST_COPIES));
     let verdict = verdict(id, &own);
-    Some(RequestStory { lines: own, beliefs, copies, verdict })
+    Some(RequestReport { lines: own, beliefs, copies, verdict })
 }
 
 fn verdict(id: &str, lines: &[LogLine]) -> String {
--- a/crates/dillspool_explain/src/suspects.rs
+++ b/crates/dillspool_explain/src/suspects.rs
@@ -7,7 +7,7 @@
 
 /// One request, by the logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SuspectUse {
+pub struct SuspectStats {
     /// Starts of backend servers that ended while it ran.
     pub ended: BTreeSet<String>,
     /// Copies that were refused.
@@ -26,12 +26,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectTable {
     /// By print.
-    pub suspects: BTreeMap<String, SuspectUse>,
+    pub suspects: BTreeMap<String, SuspectStats>,
 }
 
 impl SuspectTable {
     /// Collects the requests of some logs.
-    pub fn of<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn from_lines<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for line in lines.into_iter().filter_map(LogLine::parse) {
             let print = line.field("print");
@@ -45,7 +45,7 @@
     }
 }
 
-impl SuspectUse {
+impl SuspectStats {
     fn note(&mut self, line: &LogLine) {
         match line.field("event") {
             "break_traced" if line.field("found") == "ended" => {
@@ -74,7 +74,7 @@
             (std::cmp::Reverse((used.ended.len(), used.refused)), used.last_ms)
         });
         for (print, used) in rows {
-            let SuspectUse { ended, refused, whole, route, workspace, last_ms } = used;
+            let SuspectStats { ended, refused, whole, route, workspace, last_ms } = used;
             writeln!(
                 f,
                 "{:>5}  {refused:>7}  {whole:>7}  {print:<32}  {last_ms:<13}  {route} {workspace}",
--- a/crates/dillspool_explain/tests/calls.rs
+++ b/crates/dillspool_explain/tests/calls.rs
@@ -25,5 +25,5 @@
 
 #[test]
 fn calls_are_counted_under_their_service() {
-    assert_eq!(CallTable::of(LOG.lines()).to_string(), TABLE);
+    assert_eq!(CallTable::from_lines(LOG.lines()).to_string(), TABLE);
 }
--- a/crates/dillspool_explain/tests/late.rs
+++ b/crates/dillspool_explain/tests/late.rs
@@ -1,6 +1,6 @@
 //! The table of ends counts each request once, under the cause that its last line names.
 
-use dillspool_explain::EndTable;
+use dillspool_explain::OutcomeTable;
 
 const LOG: &str = r"time_ms=1 host=h1 event=request_ended id=a outcome=answered cause= after_ms=900 status=200 late= spent_before_ms=0 first_ms=200 events=3
 time_ms=2 host=h1 event=request_ended id=b outcome=answered cause= after_ms=900 status=200 late=prefill spent_before_ms=0 first_ms=1200 events=3
@@ -21,10 +21,13 @@
 
 #[test]
 fn each_request_is_counted_under_its_cause() {
-    assert_eq!(EndTable::of(LOG.lines()).to_string(), TABLE);
+    assert_eq!(OutcomeTable::from_lines(LOG.lines()).to_string(), TABLE);
 }
 
 #[test]
 fn logs_without_requests_give_an_empty_table() {
-    assert_eq!(EndTable::of(["not a line of ours"]).to_string(), "       0  requests\n");
+    assert_eq!(
+        OutcomeTable::from_lines(["not a line of ours"]).to_string(),
+        "       0  requests\n"
+    );
 }
--- a/crates/dillspool_explain/tests/limits.rs
+++ b/crates/dillspool_explain/tests/limits.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn each_request_is_counted_under_its_workspace_and_the_newest_limit_is_shown() {
-    assert_eq!(LimitTable::of(LOG.lines()).to_string(), TABLE);
+    assert_eq!(LimitTable::from_lines(LOG.lines()).to_string(), TABLE);
 }
 
 const BACKEND_LOG: &str = r#"time_ms=1000 host=h1 event=backend_limit backend="i-1 7" per_s=5.7 before=none from=answer age_ms=60 sent_1s=3
@@ -45,5 +45,5 @@
 
 #[test]
 fn backend_servers_are_listed_with_their_newest_word() {
-    assert_eq!(BackendLimitTable::of(BACKEND_LOG.lines()).to_string(), BACKEND_TABLE);
+    assert_eq!(BackendLimitTable::from_lines(BACKEND_LOG.lines()).to_string(), BACKEND_TABLE);
 }
--- a/crates/dillspool_explain/tests/suspects.rs
+++ b/crates/dillspool_explain/tests/suspects.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn each_request_is_listed_with_what_ended_under_it() {
-    assert_eq!(SuspectTable::of(LOG.lines()).to_string(), TABLE);
+    assert_eq!(SuspectTable::from_lines(LOG.lines()).to_string(), TABLE);
 }
 
 #[test]
