--- a/crates/dillspool_host/src/admin.rs
+++ b/crates/dillspool_host/src/admin.rs
@@ -281,7 +281,7 @@
     let peers = context.view.peers();
     let own = context.view.host();
     let heard = |host: &Name| {
-        peers.get(host).is_some_and(|peer| peer.heard.elapsed() < dillspool_peer::LEASE_TIME)
+        peers.get(host).is_some_and(|peer| peer.last_heard.elapsed() < dillspool_peer::LEASE_TIME)
     };
     let known = listed.iter().chain(acks.keys()).chain(peers.keys());
     let mut names: Vec<Name> = known.chain([own]).map(Name::clone).collect();
--- a/crates/dillspool_host/src/alive_rows.rs
+++ b/crates/dillspool_host/src/alive_rows.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use dillspool_peer::{HostView, OwnerJudgement, PeerLinks};
+use dillspool_peer::{HostView, OwnerStatus, PeerLinks};
 use dillspool_platform::{RowPrecondition, RowWrite, StoreVersion, TableStore};
 use dillspool_schema::Name;
 use tokio::time::Instant;
@@ -74,12 +74,12 @@
         host: Name,
         incarnation: u64,
     ) -> bool {
-        match view.judge(&host, incarnation) {
-            OwnerJudgement::Alive => return false,
-            OwnerJudgement::Dead => return true,
-            OwnerJudgement::Unheard => {}
+        match view.owner_status(&host, incarnation) {
+            OwnerStatus::Alive => return false,
+            OwnerStatus::Dead => return true,
+            OwnerStatus::LeaseExpired => {}
         }
-        let heard_by_peers = links.ask_liveness(&host, incarnation).await;
+        let heard_by_peers = links.query_liveness(&host, incarnation).await;
         if heard_by_peers == Some(true) {
             return false;
         }
--- a/crates/dillspool_host/src/membership.rs
+++ b/crates/dillspool_host/src/membership.rs
@@ -30,7 +30,7 @@
         match (list.list)(known).await {
             Ok(reply) => {
                 known.known = reply.version;
-                view.take_list(reply.entries);
+                view.update_host_list(reply.entries);
             }
             Err(error) => log::debug!("event=host_list_not_read error=\"{error}\""),
         }
--- a/crates/dillspool_host/src/parts.rs
+++ b/crates/dillspool_host/src/parts.rs
@@ -208,7 +208,7 @@
         HostReadings {
             config_version: self.keeper.version().0,
             control_bytes: self.links.control_bytes(),
-            peers_linked: self.view.peers().values().filter(|peer| peer.linked).count(),
+            peers_linked: self.view.peers().values().filter(|peer| peer.is_linked).count(),
             placements: self.registry.len(),
             orphans: counts.iter().map(|it| it.orphans).sum(),
             granted: counts.iter().map(|it| it.granted).sum(),
@@ -306,6 +306,6 @@
             draining: view.is_draining(),
         }),
         config: Arc::new(move |query| giving.transfer(&query)),
-        take_config: Arc::new(move |transfer| taking.take_transfer(&transfer)),
+        apply_config: Arc::new(move |transfer| taking.take_transfer(&transfer)),
     }
 }
--- a/crates/dillspool_peer/src/dialer.rs
+++ b/crates/dillspool_peer/src/dialer.rs
@@ -52,7 +52,7 @@
             ended = run_link(&links, &host, address, &mut orders, &mut pause, &pauses) => ended,
             () = cancel.cancelled() => break,
         };
-        links.view.note_link(&host, false);
+        links.view.record_link(&host, false);
         if let Err(error) = ended {
             log::debug!("event=link_down host={host} error=\"{error}\"");
         }
@@ -64,7 +64,7 @@
             () = cancel.cancelled() => break,
         }
     }
-    links.view.note_link(&host, false);
+    links.view.record_link(&host, false);
 }
 
 async fn run_link(
@@ -75,7 +75,7 @@
     pause: &mut backon::ExponentialBackoff,
     pauses: &backon::ExponentialBuilder,
 ) -> Result<(), PeerError> {
-    let greeting = tokio::time::timeout(links.settings.silence, greet(links, address));
+    let greeting = tokio::time::timeout(links.settings.silence_timeout, greet(links, address));
     let Ok(greeted) = greeting.await else {
         return ConnectionSnafu { reason: "no greeting in time" }.fail();
     };
@@ -88,8 +88,8 @@
         sender.send(&PeerMessage::Held(report)).await?;
     }
     let unknown = HeartbeatMessage { config: 0, draining: false };
-    links.view.note_heartbeat(host, peer.incarnation, &unknown);
-    links.view.note_link(host, true);
+    links.view.record_heartbeat(host, peer.incarnation, &unknown);
+    links.view.record_link(host, true);
     *pause = pauses.build();
     log::debug!("event=link_up host={host}");
     exchange(links, &peer, &mut sender, &mut receiver, orders).await
@@ -119,7 +119,7 @@
     orders: &mut mpsc::Receiver<LinkOrder>,
 ) -> Result<(), PeerError> {
     let mut open = OpenQuestions::default();
-    let mut beat = tokio::time::interval(links.settings.heartbeat);
+    let mut beat = tokio::time::interval(links.settings.heartbeat_interval);
     beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut heard = Instant::now();
     loop {
@@ -127,7 +127,7 @@
             _ = beat.tick() => {
                 // The peer may beat on its own link alone.
                 let heard = links.view.last_heard(&peer.host).map_or(heard, |it| it.max(heard));
-                if heard.elapsed() > links.settings.silence {
+                if heard.elapsed() > links.settings.silence_timeout {
                     return ConnectionSnafu { reason: "silence" }.fail();
                 }
                 sender.send(&PeerMessage::Beat((links.handlers.heartbeat)())).await?;
@@ -173,7 +173,7 @@
 ) -> Option<PeerMessage> {
     match message {
         PeerMessage::Beat(beat) => {
-            links.view.note_heartbeat(&peer.host, peer.incarnation, &beat);
+            links.view.record_heartbeat(&peer.host, peer.incarnation, &beat);
             return even_out(links, &beat);
         }
         PeerMessage::Answer(answer) => {
@@ -194,7 +194,7 @@
                 let _asker_left = waiting.send(answer.alive);
             }
         }
-        PeerMessage::Config(transfer) => (links.handlers.take_config)(transfer),
+        PeerMessage::Config(transfer) => (links.handlers.apply_config)(transfer),
         PeerMessage::Hello(_)
         | PeerMessage::Ask(_)
         | PeerMessage::Free(_)
--- a/crates/dillspool_peer/src/lib.rs
+++ b/crates/dillspool_peer/src/lib.rs
@@ -17,4 +17,4 @@
 pub use hello::{PROTOCOL_VERSION, PeerIdentity};
 pub use links::{LinkSettings, PeerHandlers, PeerLinks};
 pub use rendezvous::rank_hosts;
-pub use view::{HostView, LEASE_TIME, OwnerJudgement, PeerStatus};
+pub use view::{HostView, LEASE_TIME, OwnerStatus, PeerStatus};
--- a/crates/dillspool_peer/src/links.rs
+++ b/crates/dillspool_peer/src/links.rs
@@ -46,7 +46,7 @@
     /// Answers a peer that lacks the newest configuration.
     pub config: Arc<dyn Fn(ConfigQuery) -> Option<ConfigTransfer> + Send + Sync>,
     /// Takes a configuration that a peer sent.
-    pub take_config: Arc<dyn Fn(ConfigTransfer) + Send + Sync>,
+    pub apply_config: Arc<dyn Fn(ConfigTransfer) + Send + Sync>,
 }
 
 impl fmt::Debug for PeerHandlers {
@@ -59,14 +59,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LinkSettings {
     /// Time between two heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Silence after which a connection is given up.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
 }
 
 impl Default for LinkSettings {
     fn default() -> Self {
-        Self { heartbeat: Duration::from_secs(1), silence: Duration::from_secs(3) }
+        Self { heartbeat_interval: Duration::from_secs(1), silence_timeout: Duration::from_secs(3) }
     }
 }
 
@@ -207,7 +207,7 @@
     /// Whether any connected peer has heard of an incarnation of a host within the lease time.
     ///
     /// `None` when no peer answered.
-    pub async fn ask_liveness(&self, host: &Name, incarnation: u64) -> Option<bool> {
+    pub async fn query_liveness(&self, host: &Name, incarnation: u64) -> Option<bool> {
         let linked = self.view.linked_hosts();
         let outboxes: Vec<mpsc::Sender<LinkOrder>> = {
             let links = self.lock();
--- a/crates/dillspool_peer/src/listener.rs
+++ b/crates/dillspool_peer/src/listener.rs
@@ -12,7 +12,7 @@
 use crate::error::ConnectionSnafu;
 use crate::hello::{PeerSide, ProvenPeer, exchange_hello};
 use crate::links::PeerLinks;
-use crate::view::OwnerJudgement;
+use crate::view::OwnerStatus;
 
 /// Answers waiting to be sent.
 const ANSWER_LIMIT: usize = 1024;
@@ -42,7 +42,7 @@
 }
 
 async fn serve_peer(links: &PeerLinks, stream: NetStream) -> Result<(), PeerError> {
-    let greeting = tokio::time::timeout(links.settings.silence, greet(links, stream));
+    let greeting = tokio::time::timeout(links.settings.silence_timeout, greet(links, stream));
     let Ok(greeted) = greeting.await else {
         return ConnectionSnafu { reason: "no greeting in time" }.fail();
     };
@@ -52,7 +52,7 @@
     let mut reserves = tokio::task::JoinSet::new();
     let mut heard = Instant::now();
     loop {
-        let silence = tokio::time::sleep_until(heard + links.settings.silence);
+        let silence = tokio::time::sleep_until(heard + links.settings.silence_timeout);
         tokio::select! {
             message = receiver.receive() => {
                 heard = Instant::now();
@@ -93,7 +93,7 @@
     let handlers = &links.handlers;
     match message {
         PeerMessage::Beat(beat) => {
-            links.view.note_heartbeat(&peer.host, peer.incarnation, &beat);
+            links.view.record_heartbeat(&peer.host, peer.incarnation, &beat);
             answer_heartbeat(links, peer, &beat)
         }
         PeerMessage::Ask(ask) => {
@@ -115,13 +115,14 @@
             None
         }
         PeerMessage::Heard(query) => {
-            let alive = links.view.judge(&query.host, query.incarnation) == OwnerJudgement::Alive;
+            let alive =
+                links.view.owner_status(&query.host, query.incarnation) == OwnerStatus::Alive;
             let (host, incarnation) = (query.host, query.incarnation);
             Some(PeerMessage::Alive(LivenessAnswer { host, incarnation, alive }))
         }
         PeerMessage::Want(query) => (handlers.config)(query).map(PeerMessage::Config),
         PeerMessage::Config(transfer) => {
-            (handlers.take_config)(transfer);
+            (handlers.apply_config)(transfer);
             None
         }
         PeerMessage::Hello(_) | PeerMessage::Answer(_) | PeerMessage::Alive(_) => {
--- a/crates/dillspool_peer/src/view.rs
+++ b/crates/dillspool_peer/src/view.rs
@@ -22,13 +22,13 @@
     /// Newest incarnation heard of.
     pub incarnation: u64,
     /// When it was last heard of.
-    pub heard: Instant,
+    pub last_heard: Instant,
     /// Configuration version that it named last.
     pub config: u64,
     /// Whether it drains.
     pub draining: bool,
     /// Whether this host's own connection to it is up.
-    pub linked: bool,
+    pub is_linked: bool,
 }
 
 #[derive(Debug)]
@@ -77,7 +77,7 @@
     }
 
     /// Takes over the platform's host list; `None` if it is as it was.
-    pub fn take_list(&self, entries: Option<Vec<HostEntry>>) {
+    pub fn update_host_list(&self, entries: Option<Vec<HostEntry>>) {
         let mut state = self.lock();
         if let Some(entries) = entries {
             let named = |entry: HostEntry| (Name::clone(&entry.name), entry);
@@ -105,46 +105,46 @@
     }
 
     /// Notes a sign of life of a host.
-    pub fn note_heartbeat(&self, host: &Name, incarnation: u64, beat: &HeartbeatMessage) {
+    pub fn record_heartbeat(&self, host: &Name, incarnation: u64, beat: &HeartbeatMessage) {
         let mut state = self.lock();
         let now = Instant::now();
         let peer = state.peers.entry(Name::clone(host)).or_insert(PeerStatus {
             incarnation,
-            heard: now,
+            last_heard: now,
             config: beat.config,
             draining: beat.draining,
-            linked: false,
+            is_linked: false,
         });
         if incarnation < peer.incarnation {
             return;
         }
         peer.incarnation = incarnation;
-        peer.heard = now;
+        peer.last_heard = now;
         peer.config = beat.config;
         peer.draining = beat.draining;
     }
 
     /// Notes whether this host's own connection to a host is up.
-    pub fn note_link(&self, host: &Name, linked: bool) {
+    pub fn record_link(&self, host: &Name, is_linked: bool) {
         if let Some(peer) = self.lock().peers.get_mut(host) {
-            peer.linked = linked;
+            peer.is_linked = is_linked;
         }
     }
 
     /// Whether this host's own connection to a host is up.
     pub fn is_linked(&self, host: &str) -> bool {
-        self.lock().peers.get(host).is_some_and(|peer| peer.linked)
+        self.lock().peers.get(host).is_some_and(|peer| peer.is_linked)
     }
 
     /// When a host was last heard of, over whichever connection.
     pub fn last_heard(&self, host: &str) -> Option<Instant> {
-        self.lock().peers.get(host).map(|peer| peer.heard)
+        self.lock().peers.get(host).map(|peer| peer.last_heard)
     }
 
     /// Hosts to which this host's own connection is up.
     pub fn linked_hosts(&self) -> Vec<Name> {
         let state = self.lock();
-        let linked = state.peers.iter().filter(|(_, peer)| peer.linked);
+        let linked = state.peers.iter().filter(|(_, peer)| peer.is_linked);
         linked.map(|(host, _)| Name::clone(host)).collect()
     }
 
@@ -166,7 +166,7 @@
     /// Whether anyone was heard of within the lease time: a peer, or the platform.
     pub fn is_connected(&self) -> bool {
         let state = self.lock();
-        let heard = state.peers.values().any(|peer| peer.heard.elapsed() < LEASE_TIME);
+        let heard = state.peers.values().any(|peer| peer.last_heard.elapsed() < LEASE_TIME);
         let listed = state.list_read.is_some_and(|at| at.elapsed() < LEASE_TIME);
         heard || listed
     }
@@ -201,7 +201,7 @@
     pub fn has_lost_link(&self, pools: &[Name]) -> bool {
         let targets = self.dial_targets(pools);
         let state = self.lock();
-        targets.keys().any(|host| state.peers.get(host).is_none_or(|peer| !peer.linked))
+        targets.keys().any(|host| state.peers.get(host).is_none_or(|peer| !peer.is_linked))
     }
 
     /// The first hosts in rendezvous order for a pool, among the live ones of the list.
@@ -225,35 +225,35 @@
                 return !state.draining;
             }
             state.peers.get(*host).is_some_and(|peer| {
-                peer.linked && !peer.draining && peer.heard.elapsed() < LEASE_TIME
+                peer.is_linked && !peer.draining && peer.last_heard.elapsed() < LEASE_TIME
             })
         };
         candidates.iter().find(usable).map_or_else(|| Name::clone(&self.host), Name::clone)
     }
 
     /// What this host alone knows of an incarnation of a host.
-    pub fn judge(&self, host: &str, incarnation: u64) -> OwnerJudgement {
+    pub fn owner_status(&self, host: &str, incarnation: u64) -> OwnerStatus {
         if host == &*self.host {
             let own = incarnation == self.incarnation;
-            return if own { OwnerJudgement::Alive } else { OwnerJudgement::Dead };
+            return if own { OwnerStatus::Alive } else { OwnerStatus::Dead };
         }
         let state = self.lock();
         match state.peers.get(host) {
-            Some(peer) if incarnation < peer.incarnation => OwnerJudgement::Dead,
-            Some(peer) if peer.heard.elapsed() < LEASE_TIME => OwnerJudgement::Alive,
-            Some(_) | None if self.started.elapsed() < LEASE_TIME => OwnerJudgement::Alive,
-            Some(_) | None => OwnerJudgement::Unheard,
+            Some(peer) if incarnation < peer.incarnation => OwnerStatus::Dead,
+            Some(peer) if peer.last_heard.elapsed() < LEASE_TIME => OwnerStatus::Alive,
+            Some(_) | None if self.started.elapsed() < LEASE_TIME => OwnerStatus::Alive,
+            Some(_) | None => OwnerStatus::LeaseExpired,
         }
     }
 }
 
 /// What one host knows of the owner of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnerJudgement {
+pub enum OwnerStatus {
     /// Heard of within the lease time.
     Alive,
     /// Replaced by a newer incarnation.
     Dead,
     /// Not heard of for the lease time; others may have heard of it.
-    Unheard,
+    LeaseExpired,
 }
--- a/crates/dillspool_peer/tests/peers.rs
+++ b/crates/dillspool_peer/tests/peers.rs
@@ -7,7 +7,7 @@
 use dillspool_cases::fixed_cases;
 use dillspool_io::{LinkMode, MemoryNet};
 use dillspool_peer::{
-    HostView, LinkSettings, OwnerJudgement, PeerHandlers, PeerIdentity, PeerLinks, decode_message,
+    HostView, LinkSettings, OwnerStatus, PeerHandlers, PeerIdentity, PeerLinks, decode_message,
     encode_message, rank_hosts,
 };
 use dillspool_platform::{HostEntry, HostKind, HostState};
@@ -97,7 +97,7 @@
         placements: Arc::new(Vec::new),
         heartbeat: Arc::new(|| HeartbeatMessage { config: 0, draining: false }),
         config: Arc::new(|_query| None),
-        take_config: Arc::new(|_transfer| {}),
+        apply_config: Arc::new(|_transfer| {}),
     }
 }
 
@@ -144,7 +144,7 @@
         let net = MemoryNet::new();
         let first = start_peer(&net, FIRST, "first", "shared").await;
         let second = start_peer(&net, SECOND, "second", row.key).await;
-        first.view.take_list(Some(vec![entry(row.listed, second.address)]));
+        first.view.update_host_list(Some(vec![entry(row.listed, second.address)]));
         let targets = first.view.dial_targets(&[]);
         first.links.set_targets(&targets, &CancellationToken::new());
         tokio::time::sleep(Duration::from_secs(2)).await;
@@ -159,16 +159,16 @@
     let net = MemoryNet::new();
     let first = start_peer(&net, FIRST, "first", "shared").await;
     let second = start_peer(&net, SECOND, "second", "shared").await;
-    first.view.take_list(Some(vec![entry("second", second.address)]));
+    first.view.update_host_list(Some(vec![entry("second", second.address)]));
     let targets = first.view.dial_targets(&[]);
     first.links.set_targets(&targets, &CancellationToken::new());
     tokio::time::sleep(Duration::from_secs(5)).await;
-    assert_eq!(first.view.judge("second", 1), OwnerJudgement::Alive);
-    assert_eq!(first.view.judge("second", 0), OwnerJudgement::Dead, "an older incarnation");
+    assert_eq!(first.view.owner_status("second", 1), OwnerStatus::Alive);
+    assert_eq!(first.view.owner_status("second", 0), OwnerStatus::Dead, "an older incarnation");
     net.set_link(FIRST, SECOND, LinkMode::Frozen);
     tokio::time::sleep(Duration::from_secs(4)).await;
-    assert_eq!(first.view.judge("second", 1), OwnerJudgement::Unheard);
+    assert_eq!(first.view.owner_status("second", 1), OwnerStatus::LeaseExpired);
     net.set_link(FIRST, SECOND, LinkMode::Open);
     tokio::time::sleep(Duration::from_secs(6)).await;
-    assert_eq!(first.view.judge("second", 1), OwnerJudgement::Alive);
+    assert_eq!(first.view.owner_status("second", 1), OwnerStatus::Alive);
 }
