--- a/crates/dillspool_bench/src/slopes.rs
+++ b/crates/dillspool_bench/src/slopes.rs
@@ -225,7 +225,7 @@
         for number in 0..count {
             now += Duration::from_millis(200);
             state.submit(reserve(number.into(), "group-00001"), now);
-            state.pump(now);
+            state.dispatch(now);
         }
         (ALLOCATED.current_usage() - before) as f64
     };
@@ -276,7 +276,7 @@
         let group: Name = format!("group-{:05}", number % 6900).into();
         let started = Instant::now();
         state.submit(reserve(number, &group), now);
-        state.pump(now);
+        state.dispatch(now);
         if number >= kept {
             state.release(&release(number - kept), now);
         }
--- a/crates/dillspool_host/src/directory.rs
+++ b/crates/dillspool_host/src/directory.rs
@@ -49,7 +49,7 @@
         });
         for pool in &snapshot.configuration.pool {
             if let Some(entry) = pools.get(&pool.name) {
-                entry.scheduler.configure(snapshot);
+                entry.scheduler.apply_config(snapshot);
                 continue;
             }
             let cancel = self.cancel.child_token();
--- a/crates/dillspool_host/src/parts.rs
+++ b/crates/dillspool_host/src/parts.rs
@@ -297,7 +297,7 @@
         }),
         report: Arc::new(move |host, incarnation, report| {
             if let Some(pool) = reporting.get(&report.pool) {
-                pool.report(host, incarnation, &report);
+                pool.apply_report(host, incarnation, &report);
             }
         }),
         placements: Arc::new(move || registry.reports(&pools.names())),
--- a/crates/dillspool_host/src/upkeep.rs
+++ b/crates/dillspool_host/src/upkeep.rs
@@ -81,7 +81,7 @@
         return;
     }
     if let Some(own) = directory.get(pool) {
-        own.report(view.host(), view.incarnation(), &report);
+        own.apply_report(view.host(), view.incarnation(), &report);
     }
 }
 
--- a/crates/dillspool_pool/benches/decision.rs
+++ b/crates/dillspool_pool/benches/decision.rs
@@ -54,7 +54,7 @@
         print: None,
     };
     state.submit(message, now);
-    state.pump(now);
+    state.dispatch(now);
     let cause = ReleaseCause::Done;
     state.release(
         &ReleaseMessage {
--- a/crates/dillspool_pool/src/affinity.rs
+++ b/crates/dillspool_pool/src/affinity.rs
@@ -22,7 +22,7 @@
 pub(crate) struct PrefixMemory {
     records: BTreeMap<u64, PrefixRecord>,
     uses: u64,
-    last_event: u64,
+    last_cache_event: u64,
 }
 
 impl PrefixMemory {
@@ -60,12 +60,12 @@
     }
 
     /// Takes numbered events in; a gap may hide removals, so all is forgotten.
-    pub(crate) fn take_events(&mut self, events: &[CacheEvent]) {
+    pub(crate) fn apply_cache_events(&mut self, events: &[CacheEvent]) {
         for event in events {
-            if event.number != self.last_event + 1 {
+            if event.number != self.last_cache_event + 1 {
                 self.records.clear();
             }
-            self.last_event = event.number;
+            self.last_cache_event = event.number;
             if event.kind == CacheEventKind::Removed {
                 self.records.remove(&event.prefix);
             }
@@ -73,7 +73,7 @@
     }
 
     /// Number of the last event seen.
-    pub(crate) fn last_event(&self) -> u64 {
-        self.last_event
+    pub(crate) fn last_cache_event(&self) -> u64 {
+        self.last_cache_event
     }
 }
--- a/crates/dillspool_pool/src/health.rs
+++ b/crates/dillspool_pool/src/health.rs
@@ -43,7 +43,7 @@
     }
 
     /// The engine did or did not answer the periodic listing.
-    pub(crate) fn note_listing(&mut self, answered: bool) {
+    pub(crate) fn record_listing(&mut self, answered: bool) {
         self.unreachable = !answered;
     }
 }
--- a/crates/dillspool_pool/src/lib.rs
+++ b/crates/dillspool_pool/src/lib.rs
@@ -16,6 +16,6 @@
 mod sweep;
 
 pub use engines::{DecodeState, PrefillState};
-pub use queue::{FairQueue, QueueTag, WaitingRequest};
+pub use queue::{FairQueue, QueueTag, QueuedRequest};
 pub use scheduler::{LivenessCheck, PoolScheduler, SchedulerCounts};
 pub use state::{PoolState, ReserveOutcome};
--- a/crates/dillspool_pool/src/placements.rs
+++ b/crates/dillspool_pool/src/placements.rs
@@ -66,7 +66,7 @@
     /// Takes over all that an entry host holds; a new scheduler learns its state so.
     ///
     /// What the host does not hold any more, such as a grant whose answer was lost, is freed.
-    pub fn report(&mut self, owner: (&Name, u64), held: &[HeldPlacement], now: Instant) {
+    pub fn apply_report(&mut self, owner: (&Name, u64), held: &[HeldPlacement], now: Instant) {
         let reported: BTreeSet<&StreamId> = held.iter().map(|it| &it.stream).collect();
         let (host, incarnation) = owner;
         let stale: Vec<StreamId> = self
@@ -105,7 +105,7 @@
     }
 
     /// Compares an engine's listing with the placements; returns released streams that linger.
-    pub fn take_listing(
+    pub fn reconcile_listing(
         &mut self,
         engine: &str,
         listing: &StreamListing,
@@ -136,25 +136,25 @@
     }
 
     /// Whether an engine answered the periodic listing.
-    pub fn note_listing(&mut self, engine: &str, answered: bool) {
+    pub fn record_listing(&mut self, engine: &str, answered: bool) {
         if let Some(decode) = self.decodes.get_mut(engine) {
-            decode.health.note_listing(answered);
+            decode.health.record_listing(answered);
         }
         if let Some(prefill) = self.prefills.iter_mut().find(|it| &*it.entry.name == engine) {
-            prefill.health.note_listing(answered);
+            prefill.health.record_listing(answered);
         }
     }
 
     /// Takes cache events of a prefill engine in.
-    pub fn take_events(&mut self, engine: &str, events: &[CacheEvent]) {
+    pub fn apply_cache_events(&mut self, engine: &str, events: &[CacheEvent]) {
         if let Some(prefill) = self.prefills.iter_mut().find(|it| &*it.entry.name == engine) {
-            prefill.memory.take_events(events);
+            prefill.memory.apply_cache_events(events);
         }
     }
 
     /// Number of the last cache event seen of a prefill engine.
-    pub fn last_event(&self, engine: &str) -> u64 {
+    pub fn last_cache_event(&self, engine: &str) -> u64 {
         let prefill = self.prefills.iter().find(|it| &*it.entry.name == engine);
-        prefill.map_or(0, |it| it.memory.last_event())
+        prefill.map_or(0, |it| it.memory.last_cache_event())
     }
 }
--- a/crates/dillspool_pool/src/placing.rs
+++ b/crates/dillspool_pool/src/placing.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use crate::engines::{SlotHold, time_at};
-use crate::queue::{QueueTag, WaitingRequest};
+use crate::queue::{QueueTag, QueuedRequest};
 use crate::state::{PoolState, refusal};
 
 /// A prefill is granted this long before its engine is free, to cover the way to the engine.
@@ -36,7 +36,7 @@
     /// Grants what can start now and gives up what can no longer meet its target.
     ///
     /// A request that is given up is answered at once and told when to come back.
-    pub fn pump(&mut self, now: Instant) -> Vec<ReserveAnswer> {
+    pub fn dispatch(&mut self, now: Instant) -> Vec<ReserveAnswer> {
         let mut answers = Vec::new();
         let mut ahead = WorkAhead::default();
         for tag in self.queue.service_order() {
@@ -44,8 +44,8 @@
                 continue;
             };
             if let Some(choice) = self.choose(request, now) {
-                if choice.first_token > request.due {
-                    let late = choice.first_token - request.due;
+                if choice.first_token > request.first_token_deadline {
+                    let late = choice.first_token - request.first_token_deadline;
                     answers.push(self.give_up(&tag, RefuseCause::TooLate, late));
                     continue;
                 }
@@ -58,15 +58,15 @@
                 continue;
             }
             let predicted = self.predict(&ahead, request, now);
-            if predicted > request.due {
-                let late = predicted - request.due;
+            if predicted > request.first_token_deadline {
+                let late = predicted - request.first_token_deadline;
                 answers.push(self.give_up(&tag, RefuseCause::TooLate, late));
                 continue;
             }
             ahead.requests += 1;
             ahead.prefill += self.least_work(request);
         }
-        self.queue.forget_idle();
+        self.queue.remove_idle_groups();
         answers
     }
 
@@ -75,14 +75,14 @@
             && self.decodes.values().any(|it| it.is_usable(now))
     }
 
-    fn least_work(&self, request: &WaitingRequest) -> Duration {
+    fn least_work(&self, request: &QueuedRequest) -> Duration {
         let ReserveMessage { prompt, prefix, .. } = request.message;
         let works = self.prefills.iter().map(|it| it.work_time(prompt, prefix));
         works.min().unwrap_or_default()
     }
 
     /// The engines with the earliest first token that have room now, `None` if no slot is free.
-    fn choose(&self, request: &WaitingRequest, now: Instant) -> Option<PlacementChoice> {
+    fn choose(&self, request: &QueuedRequest, now: Instant) -> Option<PlacementChoice> {
         let message = &request.message;
         let avoided = |name: &Name| message.avoid.contains(name);
         let (index, ready) = self.choose_prefill(message, now)?;
@@ -179,7 +179,7 @@
     }
 
     /// When a waiting request would get its first token, behind the work ahead of it.
-    fn predict(&self, ahead: &WorkAhead, request: &WaitingRequest, now: Instant) -> Instant {
+    fn predict(&self, ahead: &WorkAhead, request: &QueuedRequest, now: Instant) -> Instant {
         let usable = self.prefills.iter().filter(|it| it.is_usable(now));
         let (mut engines, mut backlog) = (0_u32, ahead.prefill);
         for prefill in usable {
--- a/crates/dillspool_pool/src/queue.rs
+++ b/crates/dillspool_pool/src/queue.rs
@@ -31,11 +31,11 @@
 
 /// A request that waits for a placement.
 #[derive(Clone, Debug)]
-pub struct WaitingRequest {
+pub struct QueuedRequest {
     /// What was asked.
     pub message: ReserveMessage,
     /// When the first token is due.
-    pub due: Instant,
+    pub first_token_deadline: Instant,
     /// Share of the pool's time that the request takes.
     pub cost: Duration,
     /// Target for each further token.
@@ -56,7 +56,7 @@
 /// Waiting requests in their order of service.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    order: BTreeMap<QueueTag, WaitingRequest>,
+    order: BTreeMap<QueueTag, QueuedRequest>,
     by_stream: BTreeMap<StreamId, QueueTag>,
     /// Virtual finish time of each group's last request, by class and group.
     finish: BTreeMap<(u32, Name), u64>,
@@ -72,7 +72,7 @@
 
 impl FairQueue {
     /// Adds a request of a group with this share and priority.
-    pub fn push(&mut self, request: WaitingRequest, share: u32, priority: u32) -> QueueTag {
+    pub fn push(&mut self, request: QueuedRequest, share: u32, priority: u32) -> QueueTag {
         let class = self.classes.entry(priority).or_default();
         let key = (priority, Name::clone(&request.message.group));
         let finish = self.finish.entry(key).or_default();
@@ -97,7 +97,7 @@
     }
 
     /// All requests in order of tags.
-    pub fn iter(&self) -> impl Iterator<Item = (&QueueTag, &WaitingRequest)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&QueueTag, &QueuedRequest)> {
         self.order.iter()
     }
 
@@ -122,12 +122,12 @@
     }
 
     /// A request by its tag.
-    pub fn get(&self, tag: &QueueTag) -> Option<&WaitingRequest> {
+    pub fn get(&self, tag: &QueueTag) -> Option<&QueuedRequest> {
         self.order.get(tag)
     }
 
     /// Takes a request out because it is served: its class and the others are charged.
-    pub fn serve(&mut self, tag: &QueueTag) -> Option<WaitingRequest> {
+    pub fn serve(&mut self, tag: &QueueTag) -> Option<QueuedRequest> {
         let request = self.take(tag)?;
         let cost = micros(request.cost);
         for (priority, class) in &mut self.classes {
@@ -144,7 +144,7 @@
     }
 
     /// Takes a request out unserved; its group is not charged for it.
-    pub fn withdraw(&mut self, tag: &QueueTag, share: u32) -> Option<WaitingRequest> {
+    pub fn withdraw(&mut self, tag: &QueueTag, share: u32) -> Option<QueuedRequest> {
         let request = self.take(tag)?;
         let key = (tag.priority, Name::clone(&request.message.group));
         if let Some(finish) = self.finish.get_mut(&key) {
@@ -159,7 +159,7 @@
         self.by_stream.get(stream).copied()
     }
 
-    fn take(&mut self, tag: &QueueTag) -> Option<WaitingRequest> {
+    fn take(&mut self, tag: &QueueTag) -> Option<QueuedRequest> {
         let request = self.order.remove(tag)?;
         self.by_stream.remove(&request.message.stream);
         if let Some(class) = self.classes.get_mut(&tag.priority) {
@@ -171,7 +171,7 @@
     /// Forgets groups whose virtual finish lies behind their class, to bound the memory.
     ///
     /// It looks at every group, so it does so only once for many served requests.
-    pub fn forget_idle(&mut self) {
+    pub fn remove_idle_groups(&mut self) {
         if self.arrivals < self.forget_at {
             return;
         }
--- a/crates/dillspool_pool/src/scheduler.rs
+++ b/crates/dillspool_pool/src/scheduler.rs
@@ -94,7 +94,7 @@
             inner: Arc::new(Mutex::new(inner)),
             changed: Arc::new(Notify::new()),
         };
-        tokio::spawn(pump_queue(scheduler.clone(), cancel.clone()));
+        tokio::spawn(dispatch_queue(scheduler.clone(), cancel.clone()));
         tokio::spawn(sweep_engines(scheduler.clone(), engines, liveness, cancel));
         scheduler
     }
@@ -113,7 +113,7 @@
         let now = Instant::now();
         let mut inner = self.lock();
         let result = change(&mut inner.state, now);
-        inner.pump(now);
+        inner.dispatch(now);
         drop(inner);
         self.changed.notify_one();
         result
@@ -137,9 +137,9 @@
                     inner.copies.leave(&stream);
                     return Some(answer);
                 }
-                ReserveOutcome::Waiting => inner.waiters.insert(stream, sender),
+                ReserveOutcome::Queued => inner.waiters.insert(stream, sender),
             };
-            inner.pump(now);
+            inner.dispatch(now);
         }
         self.changed.notify_one();
         receiver.await.ok()
@@ -153,9 +153,9 @@
     }
 
     /// Takes over all placements that an entry host, named with its incarnation, holds.
-    pub fn report(&self, host: &Name, incarnation: u64, report: &PlacementReport) {
+    pub fn apply_report(&self, host: &Name, incarnation: u64, report: &PlacementReport) {
         self.lock().copies.learn(&report.ended);
-        self.update(|state, now| state.report((host, incarnation), &report.placements, now));
+        self.update(|state, now| state.apply_report((host, incarnation), &report.placements, now));
     }
 
     /// Drops copies of requests that neither wait nor hold a placement.
@@ -166,8 +166,8 @@
     }
 
     /// Takes a new configuration over.
-    pub fn configure(&self, snapshot: &Arc<ConfigSnapshot>) {
-        self.update(|state, now| state.configure(snapshot, now));
+    pub fn apply_config(&self, snapshot: &Arc<ConfigSnapshot>) {
+        self.update(|state, now| state.apply_config(snapshot, now));
     }
 
     /// Marks the backend servers that are leaving.
@@ -196,8 +196,8 @@
 }
 
 impl SchedulerInner {
-    fn pump(&mut self, now: Instant) {
-        for answer in self.state.pump(now) {
+    fn dispatch(&mut self, now: Instant) {
+        for answer in self.state.dispatch(now) {
             if answer.grant.is_some() {
                 self.counts.granted += 1;
             } else {
@@ -234,9 +234,9 @@
 }
 
 /// Pumps the queue whenever a prefill engine becomes free or a deadline may have passed.
-async fn pump_queue(scheduler: PoolScheduler, cancel: CancellationToken) {
+async fn dispatch_queue(scheduler: PoolScheduler, cancel: CancellationToken) {
     loop {
-        let wake = scheduler.lock().state.next_wake(Instant::now());
+        let wake = scheduler.lock().state.next_dispatch(Instant::now());
         let nap = async {
             match wake {
                 Some(at) => tokio::time::sleep_until(at).await,
@@ -245,7 +245,7 @@
         };
         tokio::select! {
             () = nap => {
-                scheduler.lock().pump(Instant::now());
+                scheduler.lock().dispatch(Instant::now());
             }
             () = scheduler.changed.notified() => {}
             () = cancel.cancelled() => return,
--- a/crates/dillspool_pool/src/state.rs
+++ b/crates/dillspool_pool/src/state.rs
@@ -13,7 +13,7 @@
 use crate::class_service::ClassService;
 use crate::engines::{DecodeState, PrefillState, time_at};
 use crate::placing::LOOKAHEAD;
-use crate::queue::{FairQueue, WaitingRequest};
+use crate::queue::{FairQueue, QueuedRequest};
 
 /// Longest time between two looks at a queue that is not empty.
 const LONGEST_NAP: Duration = Duration::from_millis(20);
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReserveOutcome {
     /// It waits; its answer comes from a later pump.
-    Waiting,
+    Queued,
     /// It was answered at once.
     Answered(ReserveAnswer),
 }
@@ -65,12 +65,12 @@
             service: ClassService::new(now),
             draining: false,
         };
-        state.configure(snapshot, now);
+        state.apply_config(snapshot, now);
         state
     }
 
     /// Takes a new configuration over; placements on engines that stay are kept.
-    pub fn configure(&mut self, snapshot: &Arc<ConfigSnapshot>, now: Instant) {
+    pub fn apply_config(&mut self, snapshot: &Arc<ConfigSnapshot>, now: Instant) {
         if let Some(pool) = snapshot.pool(&self.pool.name) {
             self.pool = pool.clone();
         }
@@ -120,7 +120,7 @@
         (self.queue.len(), self.placements.len())
     }
 
-    /// Takes a request in; [`PoolState::pump`] gives the answers.
+    /// Takes a request in; [`PoolState::dispatch`] gives the answers.
     pub fn submit(&mut self, message: ReserveMessage, now: Instant) -> ReserveOutcome {
         let refuse =
             |cause, retry| ReserveOutcome::Answered(refusal(&message.stream, cause, retry));
@@ -134,15 +134,15 @@
             return refuse(RefuseCause::UnknownPool, RETRY_RANGE.1);
         };
         let (share, priority) = (group.share, group.priority);
-        let request = WaitingRequest {
-            due: now + Duration::from_millis(message.wait_ms.into()),
+        let request = QueuedRequest {
+            first_token_deadline: now + Duration::from_millis(message.wait_ms.into()),
             cost: self.cost(&message),
             per_token: Duration::from_millis(group.per_token_ms.into()),
             priority,
             message,
         };
         self.queue.push(request, share, priority);
-        ReserveOutcome::Waiting
+        ReserveOutcome::Queued
     }
 
     /// Share of the pool's time that a request takes: prefill and slot time in one figure.
@@ -157,7 +157,7 @@
     }
 
     /// When to pump again if nothing happens before, `None` when nothing waits.
-    pub fn next_wake(&self, now: Instant) -> Option<Instant> {
+    pub fn next_dispatch(&self, now: Instant) -> Option<Instant> {
         if self.queue.is_empty() {
             return None;
         }
--- a/crates/dillspool_pool/src/sweep.rs
+++ b/crates/dillspool_pool/src/sweep.rs
@@ -105,7 +105,7 @@
     let unchecked = listed().map(owner).filter(|it| !dead.contains(it)).collect();
     dead.extend(dead_owners(liveness, unchecked).await);
     for listing in &listings {
-        take_listing(scheduler, engines, listing, &dead).await;
+        reconcile_listing(scheduler, engines, listing, &dead).await;
     }
     forget_placements(scheduler, &dead);
 }
@@ -136,18 +136,18 @@
         .collect()
 }
 
-async fn take_listing(
+async fn reconcile_listing(
     scheduler: &PoolScheduler,
     engines: &EngineClient,
     listed: &EngineListing,
     dead: &BTreeSet<StreamOwner>,
 ) {
     let (engine, address) = (&listed.engine, listed.address);
-    scheduler.update(|state, _now| state.note_listing(engine, listed.listing.is_some()));
+    scheduler.update(|state, _now| state.record_listing(engine, listed.listing.is_some()));
     let Some(listing) = &listed.listing else {
         return;
     };
-    let lingering = scheduler.update(|state, now| state.take_listing(engine, listing, now));
+    let lingering = scheduler.update(|state, now| state.reconcile_listing(engine, listing, now));
     let orphans = held_streams(listing).filter(|stream| dead.contains(&owner(stream)));
     let orphans: BTreeSet<StreamId> = orphans.cloned().chain(lingering).collect();
     for stream in orphans {
@@ -172,10 +172,10 @@
         if !is_prefill {
             return;
         }
-        inner.state.last_event(engine)
+        inner.state.last_cache_event(engine)
     };
     if let Ok(events) = engines.cache_events(address, after).await {
-        scheduler.update(|state, _now| state.take_events(engine, &events.events));
+        scheduler.update(|state, _now| state.apply_cache_events(engine, &events.events));
     }
 }
 
--- a/crates/dillspool_pool/tests/scheduling.rs
+++ b/crates/dillspool_pool/tests/scheduling.rs
@@ -101,8 +101,8 @@
         let message = self.message(group, prompt, wait_ms);
         let stream = message.stream.clone();
         let submitted = self.state.submit(message, self.now);
-        assert_eq!(submitted, ReserveOutcome::Waiting);
-        (stream, self.state.pump(self.now))
+        assert_eq!(submitted, ReserveOutcome::Queued);
+        (stream, self.state.dispatch(self.now))
     }
 
     fn release(&mut self, stream: &StreamId) -> Vec<ReserveAnswer> {
@@ -116,7 +116,7 @@
             ended: None,
         };
         self.state.release(&message, self.now);
-        self.state.pump(self.now)
+        self.state.dispatch(self.now)
     }
 
     /// Takes all eight slots with short prompts.
@@ -293,7 +293,7 @@
         message.prefix = 7;
         let stream = message.stream.clone();
         pool.state.submit(message, pool.now);
-        let answers = pool.state.pump(pool.now);
+        let answers = pool.state.dispatch(pool.now);
         let grant = answers[0].grant.as_ref().expect("it is granted");
         (stream, std::sync::Arc::clone(&grant.prefill))
     };
