--- a/crates/dillspool_forward/tests/long_responses.rs
+++ b/crates/dillspool_forward/tests/long_responses.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use common::{ScriptedSite, Step, entry, request, view};
 use dillspool_forward::{BackendResponse, ForwardContext, handle_request};
-use dillspool_io::{ByteBudget, HeldTerms, read_response_body};
+use dillspool_io::{ByteBudget, ByteLimits, read_response_body};
 use dillspool_routing::RequestKind::{self, Idempotent, NonIdempotent};
 use dillspool_routing::{BackendEntry, BackendStart, RoutedRequest};
 use http_body_util::BodyExt;
@@ -17,15 +17,18 @@
 
 /// Longer than the buffered size, so that each chunk is relayed when it arrives.
 const LONG: &str = "a part that is longer than what is read whole";
-const TERMS: HeldTerms =
-    HeldTerms { limit: 10_000, answer_bytes: 20, stall: Duration::from_secs(8) };
+const TERMS: ByteLimits = ByteLimits {
+    max_bytes: 10_000,
+    max_buffered_response_bytes: 20,
+    stall_timeout: Duration::from_secs(8),
+};
 
 fn budget() -> ByteBudget {
     ByteBudget::new(TERMS)
 }
 
 fn budgeted_request(budget: &ByteBudget, kind: RequestKind, attempts: u32) -> RoutedRequest {
-    let held = budget.enter("request-1", CancellationToken::new());
+    let held = budget.open_exchange("request-1", CancellationToken::new());
     RoutedRequest { held_bytes: held, ..request(kind, attempts, false) }
 }
 
@@ -73,9 +76,10 @@
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
         let budget = budget();
-        let answer = handle_request(context.clone(), budgeted_request(&budget, case.kind, 2)).await;
-        assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
-        let (body, is_complete) = read_chunks(answer.into_body()).await;
+        let response =
+            handle_request(context.clone(), budgeted_request(&budget, case.kind, 2)).await;
+        assert_eq!(response.status().as_u16(), case.status, "{}", case.name);
+        let (body, is_complete) = read_chunks(response.into_body()).await;
         let expected = if case.name == "long" { format!("{LONG}b") } else { case.body.to_owned() };
         if case.status < 502 {
             assert_eq!(body, expected, "{}", case.name);
@@ -83,7 +87,7 @@
         assert_eq!(is_complete, case.is_complete, "{}", case.name);
         tokio::time::sleep(Duration::from_secs(5)).await;
         assert_eq!(site.record.lock().unwrap().arrivals.len(), case.arrivals, "{}", case.name);
-        assert_eq!(budget.read().held, 0, "{}", case.name);
+        assert_eq!(budget.snapshot().held, 0, "{}", case.name);
         if !case.outcome.is_empty() {
             assert_eq!(outcomes(&context, case.outcome), 1, "{}", case.name);
         }
@@ -118,7 +122,7 @@
     is_complete: bool,
 }
 
-/// The deadline and a restart of the backend server apply until the last byte is read.
+/// A relayed response counts as load, and ends at the deadline or a restart, until its last byte is read.
 #[tokio::test(start_paused = true)]
 async fn relaying_ends_at_the_deadline_a_restart_or_a_disconnect() {
     let case = |name, reads_after_ms, restarts, is_complete| RelayCase {
@@ -141,9 +145,9 @@
         backend.start = Some(BackendStart(1));
         let (context, directory) = site.context(view([backend.clone()]));
         let budget = budget();
-        let answer =
+        let response =
             handle_request(context.clone(), budgeted_request(&budget, NonIdempotent, 1)).await;
-        let mut body = answer.into_body();
+        let mut body = response.into_body();
         let first = body.frame().await.expect("a chunk").expect("no break");
         assert_eq!(first.into_data().expect("data"), Bytes::from(LONG), "{}", case.name);
         if case.restarts {
@@ -154,13 +158,13 @@
             drop(body);
             tokio::time::sleep(Duration::from_millis(1)).await;
             assert_eq!(outcomes(&context, "caller_gone"), 1, "{}", case.name);
-            assert_eq!(budget.read().held, 0, "{}: released at once", case.name);
+            assert_eq!(budget.snapshot().held, 0, "{}: released at once", case.name);
             continue;
         }
         tokio::time::sleep(Duration::from_millis(case.reads_after_ms)).await;
         let (_text, is_complete) = read_chunks(body).await;
         assert_eq!(is_complete, case.is_complete, "{}", case.name);
-        assert_eq!(budget.read().held, 0, "{}", case.name);
+        assert_eq!(budget.snapshot().held, 0, "{}", case.name);
     }
 }
 
@@ -179,13 +183,13 @@
         let budget = budget();
         let routed = budgeted_request(&budget, NonIdempotent, 1);
         let unbounded = request(NonIdempotent, 1, false);
-        let answer = handle_request(context, if is_bounded { routed } else { unbounded }).await;
+        let response = handle_request(context, if is_bounded { routed } else { unbounded }).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         let before = taken.load(Ordering::Relaxed);
         assert!(before <= max_taken, "{before} chunks taken");
-        let held = budget.read().most_held;
+        let held = budget.snapshot().peak_held;
         assert!(held <= 2 * LONG.len() as u64, "{held}");
-        let (text, is_complete) = read_chunks(answer.into_body()).await;
+        let (text, is_complete) = read_chunks(response.into_body()).await;
         assert!(is_complete && text.len() == 60 * LONG.len());
     }
 }
@@ -236,9 +240,9 @@
         site.script("first", [first.clone()]);
         let backends = [entry("first", "near", None), entry("second", "far", None)];
         let (context, _directory) = site.context(view(backends));
-        let answer = handle_request(context, request(Idempotent, 2, false)).await;
-        assert_eq!(answer.status().as_u16(), status);
-        let body = read_response_body(answer.into_body(), 1_000_000).await.expect("whole");
+        let response = handle_request(context, request(Idempotent, 2, false)).await;
+        assert_eq!(response.status().as_u16(), status);
+        let body = read_response_body(response.into_body(), 1_000_000).await.expect("whole");
         assert_eq!(body.len(), if arrivals == 1 { long.len() } else { 2 });
         assert_eq!(site.record.lock().unwrap().arrivals.len(), arrivals);
     }
@@ -253,6 +257,6 @@
     let budget = budget();
     let routed =
         RoutedRequest { accepts_chunked: false, ..budgeted_request(&budget, NonIdempotent, 1) };
-    let answer = handle_request(context, routed).await;
-    assert_eq!(answer.status().as_u16(), 502);
+    let response = handle_request(context, routed).await;
+    assert_eq!(response.status().as_u16(), 502);
 }
--- a/crates/dillspool_watch/src/follow.rs
+++ b/crates/dillspool_watch/src/follow.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_io::MomentPassed;
+use dillspool_io::DeadlineElapsed;
 use dillspool_moment::Moment;
 use dillspool_platform::{StoreEra, StoreVersion, TableWatch, WatchError};
 use tokio::sync::watch;
@@ -43,8 +43,9 @@
     /// if it was relayed the table before and the store has compacted the changes since; zero to
     /// read at once.
     pub snapshot_delay: Duration,
-    /// How long such a host only polls for changes since its relayed replica, counted from the
-    /// store's first response. All hosts notice at the same moment that the store is back.
+    /// How long such a host polls for changes before it reads a snapshot, counted from the store's
+    /// first response. All hosts notice at the same moment that the store is back, and would
+    /// otherwise all read snapshots then.
     pub changes_only_period: Duration,
     /// Time beyond the long poll after which the response counts as lost.
     pub response_slack: Duration,
@@ -289,9 +290,9 @@
 ) {
     let since = Instant::now();
     while since.elapsed() < settings.probe_timeout {
-        let answered = status.borrow().last_answered;
-        let is_answered =
-            answered.is_some_and(|answered| answered + settings.min_poll_interval >= since);
+        let last_answered = status.borrow().last_answered;
+        let is_answered = last_answered
+            .is_some_and(|answered_at| answered_at + settings.min_poll_interval >= since);
         if is_answered || fresh_until(replica, settings).is_some() {
             return;
         }
@@ -381,16 +382,16 @@
     let changes = (store.changes)(Arc::clone(&replica.table), version, wait);
     let limit = wait + slack;
     let clock = replica.freshness().clock();
-    let answer = tokio::select! {
+    let response = tokio::select! {
         biased;
-        answer = clock.timeout(limit, changes) => answer,
+        response = clock.timeout(limit, changes) => response,
         // The response would reflect the time before the suspension.
-        () = clock.stalled() => return Ok(PollOutcome::Abandoned),
+        () = clock.next_stall() => return Ok(PollOutcome::Abandoned),
         // A restored store may hold the poll open until it times out, waiting for a version of the
         // previous era.
         era = restore_detected(status, version) => return Err(WatchError::Restored { era }),
     };
-    let delta = answer.map_err(|MomentPassed| timeout_error(limit))??;
+    let delta = response.map_err(|DeadlineElapsed| timeout_error(limit))??;
     replica.merge(&delta);
     Ok(PollOutcome::Answered)
 }
