--- a/crates/dillspool_ledger/src/journal_sweep.rs
+++ b/crates/dillspool_ledger/src/journal_sweep.rs
@@ -1,4 +1,5 @@
-//! Keeps the journal from growing: segments are deleted once no copy of the table can lack their rows.
+//! Bounds the size of the journal: segments are deleted once no snapshot of the table can lack
+//! their rows.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,38 +10,39 @@
 use tokio::time::Instant;
 
 use crate::call::ROW_PREFIX;
-use crate::journal::{SEGMENT_PREFIX, SEGMENT_TIME};
+use crate::journal::{MAX_SEGMENT_AGE, SEGMENT_PREFIX};
 
-/// How long a segment is kept after it was first seen: a table that comes back from an older copy may have lost rows
-/// that nothing names any more.
+/// How long a segment is kept after it was first seen. A table that is restored from an older
+/// snapshot may have lost rows that no journal entry lists any more.
 pub const JOURNAL_RETENTION: Duration = Duration::from_mins(15);
 
-/// Deletes old segments of all hosts. Several may do so at once.
+/// Deletes old segments of all hosts. Several sweepers may run concurrently.
 #[derive(Debug)]
 pub struct JournalSweeper {
     table: TableStore,
     objects: ObjectStore,
     keep: Duration,
-    /// The table's era at the last sweep.
+    /// Era of the table at the last sweep.
     era: Option<StoreEra>,
     /// When each segment was first seen in this era.
     first_seen: BTreeMap<Name, Instant>,
 }
 
 impl JournalSweeper {
-    /// A sweeper that keeps segments for `keep`, and for as long as they may still grow.
+    /// Creates a sweeper that keeps segments for `keep` after they can no longer grow.
     pub fn new(table: TableStore, objects: ObjectStore, keep: Duration) -> Self {
         Self { table, objects, keep, era: None, first_seen: BTreeMap::new() }
     }
 
-    /// Deletes the segments that are old enough; how many.
+    /// Deletes the segments that are old enough and returns their number.
     ///
-    /// The age counts from the last restore that this sweeper saw, so that no segment goes while a table that was
-    /// away for long comes back from a copy.
+    /// The age is counted from the last restore that this sweeper saw, so that no segment is
+    /// deleted while a table is restored from a snapshot after a long outage.
     ///
     /// # Errors
     ///
-    /// [`PlatformError`] when one of the stores does not answer; nothing is deleted while the table does not.
+    /// [`PlatformError`] if one of the stores does not respond. Nothing is deleted while the table
+    /// does not respond.
     pub async fn sweep(&mut self) -> Result<usize, PlatformError> {
         let listed = self.objects.list_all(&SEGMENT_PREFIX.into()).await?;
         let reply = (self.table.read)(ReadRequest { keys: vec![ROW_PREFIX.into()] }).await?;
@@ -53,7 +55,7 @@
         let mut deleted = 0;
         for segment in listed {
             let first = seen.remove(&segment).unwrap_or(now);
-            if now - first >= self.keep + SEGMENT_TIME {
+            if now - first >= self.keep + MAX_SEGMENT_AGE {
                 (self.objects.delete)(segment).await?;
                 deleted += 1;
             } else {
--- a/crates/dillspool_ledger/src/ledger.rs
+++ b/crates/dillspool_ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Beginning and finishing an unrepeatable call.
+//! Begins and finishes non-idempotent calls.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,80 +18,81 @@
 use crate::batch::{BatchWriter, WriteOutcome};
 use crate::call::{CallKey, CallRequest, ROW_PREFIX};
 use crate::journal::CallJournal;
-use crate::memory::{RowMemory, RowState};
-use crate::recent::RecentKeys;
+use crate::recent_keys::RecentKeys;
 use crate::record::{CallRecord, CallState, RecordedResponse};
-use crate::recovery::LostRows;
+use crate::recovery::JournalLookups;
+use crate::row_cache::{RowCache, RowState};
 
-/// Pause between two tries to settle what became of an unclear write.
-const SETTLE_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between two tries to record an answer.
-const FINISH_PAUSE: Duration = Duration::from_secs(1);
-/// Tries to record an answer before the call is left as unknown.
-const FINISH_TRIES: u32 = 20;
+/// Delay before a write of unknown outcome is retried.
+const UNKNOWN_WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay before recording a response is retried.
+const FINISH_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Number of tries to record a response before the outcome of the call is left unknown.
+const MAX_FINISH_TRIES: u32 = 20;
 
-/// Times of the ledger.
+/// Timing of the ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerSettings {
-    /// Least time between two commits of this host.
-    pub commit_spacing: Duration,
-    /// Time in which the intent must stand, else the call is refused as not run.
-    pub begin_limit: Duration,
-    /// Time between two checks whether the table was restored.
-    pub restore_check: Duration,
-    /// Time after a restore in which other hosts write their rows again, and no call begins whose row is absent. It
-    /// is longer than a check and [`Self::begin_limit`], within which a call is sent that began before the restore.
-    pub restore_settle: Duration,
+    /// Minimum time between the starts of two commits of this host.
+    pub min_commit_interval: Duration,
+    /// Time within which the intent must be written; otherwise the call is refused as not run.
+    pub begin_timeout: Duration,
+    /// Interval between two checks for a restore of the table.
+    pub restore_check_interval: Duration,
+    /// Time after a restore in which hosts write lost rows back, and no call begins whose row is
+    /// absent. It is longer than a check interval, and longer than [`Self::begin_timeout`], within
+    /// which a call that began before the restore is sent.
+    pub restore_settle_time: Duration,
 }
 
 impl Default for LedgerSettings {
     fn default() -> Self {
         Self {
-            commit_spacing: Duration::from_millis(20),
-            begin_limit: Duration::from_secs(2),
-            restore_check: Duration::from_secs(1),
-            restore_settle: Duration::from_millis(2500),
+            min_commit_interval: Duration::from_millis(20),
+            begin_timeout: Duration::from_secs(2),
+            restore_check_interval: Duration::from_secs(1),
+            restore_settle_time: Duration::from_millis(2500),
         }
     }
 }
 
-/// What to do with a call.
+/// What the caller must do with a call.
 #[derive(Debug)]
 pub enum BeginOutcome {
-    /// Send it, once.
+    /// Send the call, once.
     Run(CallTicket),
-    /// It ran before; give this answer.
+    /// The call ran before; return this response.
     Recorded(RecordedResponse),
-    /// It was begun before, and it is not known whether it ran.
+    /// The call was begun before, and it is unknown whether it ran.
     Unknown {
-        /// Whether an answer may still be recorded.
+        /// Whether a response may still be recorded.
         in_progress: bool,
     },
-    /// The key was used for another call.
+    /// The key was used for a different call.
     Mismatch,
-    /// It did not run and this attempt never will.
+    /// The call did not run and this attempt will never run it.
     NotRun,
 }
 
-/// The right to send a call once.
+/// Permission to send a call once.
 #[derive(Debug)]
 pub struct CallTicket {
     request: CallRequest,
     token: Name,
-    begun: Instant,
+    started_at: Instant,
     record: CallRecord,
-    /// The era in which the intent was written.
+    /// Era in which the intent was written.
     era: StoreEra,
 }
 
 impl CallTicket {
-    /// How long ago the call began, pauses of the process included.
+    /// Time since the call began, including pauses of the process.
     pub fn age(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 }
 
-/// The ledger as an entry host uses it.
+/// An entry host's handle to the ledger.
 #[derive(Clone)]
 pub struct CallLedger {
     pub(crate) table: TableStore,
@@ -99,14 +100,15 @@
     pub(crate) clock: WallClock,
     pub(crate) settings: LedgerSettings,
     pub(crate) journal: CallJournal,
-    pub(crate) lost_rows: Arc<LostRows>,
+    pub(crate) journal_lookups: Arc<JournalLookups>,
     owner: Name,
     sequence: Arc<AtomicU64>,
-    memory: Arc<Mutex<RowMemory>>,
-    /// Keys whose call this process was allowed to send.
-    sent_here: RecentKeys,
-    /// Attempts given up while it was unclear whether their intent was written, with the era that they began in.
-    pub(crate) given_up: Arc<Mutex<BTreeMap<Name, StoreEra>>>,
+    row_cache: Arc<Mutex<RowCache>>,
+    /// Keys whose calls this process was allowed to send.
+    sent_keys: RecentKeys,
+    /// Attempts abandoned while the outcome of writing their intent was unknown, with the era that
+    /// they began in.
+    pub(crate) abandoned_attempts: Arc<Mutex<BTreeMap<Name, StoreEra>>>,
     pub(crate) cancel: CancellationToken,
 }
 
@@ -119,31 +121,32 @@
 /// An attempt to begin a call.
 struct CallAttempt {
     request: CallRequest,
-    /// Its intent.
+    /// Intent of the attempt.
     record: CallRecord,
-    begun: Instant,
-    /// The era of the table when it began.
+    started_at: Instant,
+    /// Era of the table when the attempt began.
     era: StoreEra,
-    /// On what condition its intent is written.
+    /// Precondition for writing the intent.
     expect: RowPrecondition,
-    /// Whether the journal names it.
+    /// Whether the journal lists the attempt.
     is_journaled: bool,
-    /// Whether a write of its intent may have taken effect.
-    is_unclear: bool,
+    /// Whether a write of the intent may have taken effect, or may still.
+    may_be_written: bool,
 }
 
-/// What a row tells a new attempt.
-enum RowJudgement {
-    /// This attempt's own intent stands.
-    Own,
-    /// The row may be written on this condition.
-    Free(RowPrecondition),
-    /// The attempt ends with this.
-    End(BeginOutcome),
+/// What the row of a key means for a new attempt.
+enum RowDecision {
+    /// The row is this attempt's own intent.
+    Owned,
+    /// The intent may be written with this precondition.
+    Writable(RowPrecondition),
+    /// The attempt ends with this outcome.
+    Final(BeginOutcome),
 }
 
 impl CallLedger {
-    /// A ledger of the process `owner`, which names host and incarnation, with a journal that no other process reads.
+    /// Creates the ledger of the process `owner`, which identifies host and incarnation. Its
+    /// journal is not visible to other processes.
     pub fn new(
         table: TableStore,
         clock: WallClock,
@@ -154,8 +157,8 @@
         Self::with_journal(table, MemoryObjects::new().store(), clock, settings, owner, cancel)
     }
 
-    /// A ledger whose attempts are in a journal in the object store, where other processes find what this one began
-    /// after the table lost it.
+    /// Creates a ledger with its journal in the object store, where other processes find the
+    /// attempts of this one after the table lost them.
     pub fn with_journal(
         table: TableStore,
         objects: ObjectStore,
@@ -164,21 +167,22 @@
         owner: Name,
         cancel: CancellationToken,
     ) -> Self {
-        let spacing = settings.commit_spacing;
-        let writer = BatchWriter::start(table.clone(), spacing, cancel.clone());
-        let journal = CallJournal::start(objects, spacing, Name::clone(&owner), cancel.clone());
+        let min_interval = settings.min_commit_interval;
+        let writer = BatchWriter::start(table.clone(), min_interval, cancel.clone());
+        let journal =
+            CallJournal::start(objects, min_interval, Name::clone(&owner), cancel.clone());
         let ledger = Self {
             table,
             writer,
             clock,
             settings,
             journal,
-            lost_rows: Arc::default(),
+            journal_lookups: Arc::default(),
             owner,
             sequence: Arc::default(),
-            memory: Arc::default(),
-            sent_here: RecentKeys::default(),
-            given_up: Arc::default(),
+            row_cache: Arc::default(),
+            sent_keys: RecentKeys::default(),
+            abandoned_attempts: Arc::default(),
             cancel,
         };
         tokio::spawn(ledger.clone().watch_restores());
@@ -190,19 +194,20 @@
         Name::clone(&self.owner)
     }
 
-    pub(crate) fn memory(&self) -> MutexGuard<'_, RowMemory> {
-        self.memory.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn row_cache(&self) -> MutexGuard<'_, RowCache> {
+        self.row_cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How long this host begins no call whose row is absent, since the table was restored.
+    /// Time for which this host still begins no call whose row is absent, because the table was
+    /// restored.
     pub fn settle_time_left(&self) -> Option<Duration> {
-        self.memory().settle_time_left(Instant::now())
+        self.row_cache().settle_time_left(Instant::now())
     }
 
-    /// The era of the table; `None` while the table has never answered.
+    /// The era of the table; `None` if the table has never responded.
     async fn table_era(&self) -> Option<StoreEra> {
-        self.memory().use_at(Instant::now());
-        let known = self.memory().known();
+        self.row_cache().record_use(Instant::now());
+        let known = self.row_cache().known_version();
         if let Some(known) = known {
             return Some(known.era());
         }
@@ -210,28 +215,30 @@
         read.ok().map(|(_rows, version)| version.era())
     }
 
-    /// Puts the intent of a call into the table, or tells why the call must not be sent.
+    /// Writes the intent of a call to the table, or returns why the call must not be sent.
     ///
-    /// A refusal as not run speaks for this sending; if this process remembers that it sent the
-    /// call before, the answer is unknown instead, also while the table is out.
+    /// [`BeginOutcome::NotRun`] only covers this attempt. If this process remembers that it sent
+    /// the call before, the outcome is unknown instead, also during an outage of the table.
     pub async fn begin(&self, request: CallRequest) -> BeginOutcome {
         let key = request.key.clone();
         let Some(mut attempt) = self.new_attempt(request).await else {
             return self.refuse(&key);
         };
-        let outcome = self.enter(&mut attempt).await;
+        let outcome = self.write_until_decided(&mut attempt).await;
         if attempt.is_journaled && !matches!(outcome, BeginOutcome::Run(_)) {
-            self.end_attempt(&attempt);
+            self.close_unsent(&attempt);
         }
-        let was_sent = |token| self.sent_here.contains(&key) || !self.memory().holds(&key, token);
+        let was_sent =
+            |token| self.sent_keys.contains(&key) || !self.row_cache().contains(&key, token);
         match outcome {
-            // The table has lost the row of the first sending; the intent that stands now keeps other hosts off.
+            // The table lost the row of the first attempt. The intent that replaces it keeps other
+            // hosts from running the call.
             BeginOutcome::Run(ticket) if was_sent(&ticket.token) => {
                 log::warn!("event=call_row_lost token={}", ticket.token);
                 BeginOutcome::Unknown { in_progress: false }
             }
             BeginOutcome::Run(ticket) => {
-                self.sent_here.add(key);
+                self.sent_keys.insert(key);
                 BeginOutcome::Run(ticket)
             }
             BeginOutcome::NotRun => self.refuse(&key),
@@ -241,28 +248,29 @@
         }
     }
 
-    /// Notes that a journaled attempt never sent its call and never will.
-    fn end_attempt(&self, attempt: &CallAttempt) {
+    /// Records in the journal that an attempt never sent its call and never will.
+    fn close_unsent(&self, attempt: &CallAttempt) {
         let CallAttempt { request, record, era, .. } = attempt;
-        self.journal.enter_not_run(&request.key, record);
-        let known = self.memory().known().map(StoreVersion::era);
+        self.journal.record_not_run(&request.key, record);
+        let known = self.row_cache().known_version().map(StoreVersion::era);
         if known != Some(*era) {
-            // Whoever recovers the rows may have read the journal before, and written the intent.
-            self.close_later(request.key.clone(), record, *era);
+            // The host that recovers the rows may have read the journal before this entry, and
+            // written the intent.
+            self.close_in_background(request.key.clone(), record, *era);
         }
     }
 
-    /// Tells that a sending did not run.
+    /// The outcome for an attempt that did not run: unknown if this process sent the call before.
     fn refuse(&self, key: &CallKey) -> BeginOutcome {
-        if self.sent_here.contains(key) {
+        if self.sent_keys.contains(key) {
             return BeginOutcome::Unknown { in_progress: true };
         }
         BeginOutcome::NotRun
     }
 
-    /// `None` while the table has never answered.
+    /// Creates an attempt; `None` if the table has never responded.
     async fn new_attempt(&self, request: CallRequest) -> Option<CallAttempt> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let era = self.table_era().await?;
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed);
         let record = CallRecord {
@@ -270,101 +278,108 @@
             token: format!("{}.{sequence}", self.owner).into(),
             fingerprint: Name::clone(&request.fingerprint),
             at: self.clock.now(),
-            answer: None,
+            response: None,
             reserved_until: None,
         };
         Some(CallAttempt {
             request,
             record,
-            begun,
+            started_at,
             era,
             expect: RowPrecondition::Absent,
             is_journaled: false,
-            is_unclear: false,
+            may_be_written: false,
         })
     }
 
-    async fn enter(&self, attempt: &mut CallAttempt) -> BeginOutcome {
+    async fn write_until_decided(&self, attempt: &mut CallAttempt) -> BeginOutcome {
         loop {
-            let judgement = if self.settle_time_left().is_some() {
-                // Nothing is written, so a read without an answer leaves nothing unclear.
-                let was_unclear = attempt.is_unclear;
-                let judgement = self.judge_again(attempt).await;
-                attempt.is_unclear = was_unclear;
-                judgement
+            let decision = if self.settle_time_left().is_some() {
+                // Nothing was written, so a failed read adds no uncertainty.
+                let could_be_written = attempt.may_be_written;
+                let decision = self.reread_row(attempt).await;
+                attempt.may_be_written = could_be_written;
+                decision
             } else {
                 self.write_intent(attempt).await
             };
-            match judgement {
-                RowJudgement::Own => return self.take_place(attempt),
-                RowJudgement::End(outcome) => return outcome,
-                RowJudgement::Free(next) => attempt.expect = next,
+            match decision {
+                RowDecision::Owned => return self.grant(attempt),
+                RowDecision::Final(outcome) => return outcome,
+                RowDecision::Writable(next) => attempt.expect = next,
             }
-            let is_late = attempt.begun.elapsed() >= self.settings.begin_limit;
+            let is_late = attempt.started_at.elapsed() >= self.settings.begin_timeout;
             if is_late || self.settle_time_left().is_some() {
-                if attempt.is_unclear {
-                    self.close_later(attempt.request.key.clone(), &attempt.record, attempt.era);
+                if attempt.may_be_written {
+                    self.close_in_background(
+                        attempt.request.key.clone(),
+                        &attempt.record,
+                        attempt.era,
+                    );
                 }
                 return BeginOutcome::NotRun;
             }
-            if attempt.is_unclear {
-                tokio::time::sleep(SETTLE_PAUSE).await;
+            if attempt.may_be_written {
+                tokio::time::sleep(UNKNOWN_WRITE_RETRY_DELAY).await;
             }
         }
     }
 
-    /// Lets a call run whose intent stands, if that is known in time and no restore came between.
-    fn take_place(&self, attempt: &CallAttempt) -> BeginOutcome {
-        let CallAttempt { request, record, begun, era, .. } = attempt;
-        if begun.elapsed() < self.settings.begin_limit
-            && self.memory().hold_intent(&request.key, record, *era, Instant::now())
+    /// Permits a call whose intent is written, if that was confirmed in time and no restore
+    /// happened in between.
+    fn grant(&self, attempt: &CallAttempt) -> BeginOutcome {
+        let CallAttempt { request, record, started_at, era, .. } = attempt;
+        if started_at.elapsed() < self.settings.begin_timeout
+            && self.row_cache().keep_intent(&request.key, record, *era, Instant::now())
         {
             return BeginOutcome::Run(CallTicket {
                 request: request.clone(),
                 token: Name::clone(&record.token),
-                begun: *begun,
+                started_at: *started_at,
                 record: record.clone(),
                 era: *era,
             });
         }
-        // Written across a restore, perhaps in the place of a row that was lost, or late.
-        self.close_later(request.key.clone(), record, *era);
+        // The confirmation was late, or the intent was written across a restore and may have
+        // replaced a lost row.
+        self.close_in_background(request.key.clone(), record, *era);
         BeginOutcome::NotRun
     }
 
-    /// Writes the intent once and tells what became of it. The journal has the attempt before, so that the intent
-    /// cannot be lost with the table.
-    async fn write_intent(&self, attempt: &mut CallAttempt) -> RowJudgement {
+    /// Writes the intent once and evaluates the result. The attempt is journaled first, so that the
+    /// intent cannot be lost with the table.
+    async fn write_intent(&self, attempt: &mut CallAttempt) -> RowDecision {
         let key = &attempt.request.key;
         if !attempt.is_journaled {
-            if !self.journal.enter(key, &attempt.record).await {
-                return RowJudgement::End(BeginOutcome::NotRun);
+            if !self.journal.record_attempt(key, &attempt.record).await {
+                return RowDecision::Final(BeginOutcome::NotRun);
             }
             attempt.is_journaled = true;
         }
-        let value = attempt.record.text();
-        let write = RowWrite { key: Name::clone(key.row()), expect: attempt.expect, value };
+        let value = attempt.record.to_json();
+        let write = RowWrite { key: Name::clone(key.row_key()), expect: attempt.expect, value };
         match self.writer.write(write, StoreVersion::new(attempt.era, 0)).await {
-            WriteOutcome::Written => return RowJudgement::Own,
-            WriteOutcome::NotDone if !attempt.is_unclear => {
-                return RowJudgement::End(BeginOutcome::NotRun);
+            WriteOutcome::Written => return RowDecision::Owned,
+            WriteOutcome::NotDone if !attempt.may_be_written => {
+                return RowDecision::Final(BeginOutcome::NotRun);
             }
-            WriteOutcome::Unknown => attempt.is_unclear = true,
+            WriteOutcome::Unknown => attempt.may_be_written = true,
             WriteOutcome::NotDone | WriteOutcome::Conflict => {}
         }
-        self.judge_again(attempt).await
+        self.reread_row(attempt).await
     }
 
-    /// Reads the row back; without an answer, the same write may be tried again.
-    async fn judge_again(&self, attempt: &mut CallAttempt) -> RowJudgement {
+    /// Reads the row back. If the read fails, the same write may be retried.
+    async fn reread_row(&self, attempt: &mut CallAttempt) -> RowDecision {
         let CallAttempt { request, record, .. } = &*attempt;
         match self.read_row(&request.key).await {
-            Ok((Some(row), _era)) => self.judge(request, &record.token, &row),
-            // Not there: whoever conflicted has gone, or the unclear write has not come yet.
-            Ok((None, _era)) => RowJudgement::Free(RowPrecondition::Absent),
+            Ok((Some(row), _era)) => self.evaluate_row(request, &record.token, &row),
+            // The conflicting row was deleted, or the write of unknown outcome has not taken effect
+            // yet.
+            Ok((None, _era)) => RowDecision::Writable(RowPrecondition::Absent),
             Err(_any) => {
-                attempt.is_unclear = true;
-                RowJudgement::Free(attempt.expect)
+                attempt.may_be_written = true;
+                RowDecision::Writable(attempt.expect)
             }
         }
     }
@@ -373,67 +388,69 @@
         &self,
         key: &CallKey,
     ) -> Result<(Option<TableRow>, StoreVersion), PlatformError> {
-        let (rows, version) = self.read_rows(vec![Name::clone(key.row())]).await?;
+        let (rows, version) = self.read_rows(vec![Name::clone(key.row_key())]).await?;
         Ok((rows.into_iter().next().flatten(), version))
     }
 
-    fn judge(&self, request: &CallRequest, token: &Name, row: &TableRow) -> RowJudgement {
+    fn evaluate_row(&self, request: &CallRequest, token: &Name, row: &TableRow) -> RowDecision {
         let Some(record) = CallRecord::parse(&row.value) else {
-            return RowJudgement::End(BeginOutcome::Unknown { in_progress: false });
+            return RowDecision::Final(BeginOutcome::Unknown { in_progress: false });
         };
         if record.token == *token && record.state == CallState::Intent {
-            return RowJudgement::Own;
+            return RowDecision::Owned;
         }
         if record.fingerprint != request.fingerprint && record.state != CallState::NotRun {
-            return RowJudgement::End(BeginOutcome::Mismatch);
+            return RowDecision::Final(BeginOutcome::Mismatch);
         }
         match record.state {
             CallState::NotRun
                 if record.reserved_until.is_some_and(|until| self.clock.now() < until) =>
             {
-                RowJudgement::End(BeginOutcome::NotRun)
+                RowDecision::Final(BeginOutcome::NotRun)
             }
-            CallState::NotRun => RowJudgement::Free(RowPrecondition::Version(row.version)),
+            CallState::NotRun => RowDecision::Writable(RowPrecondition::Version(row.version)),
             CallState::Answered => {
                 let unknown = BeginOutcome::Unknown { in_progress: false };
-                RowJudgement::End(record.answer.map_or(unknown, BeginOutcome::Recorded))
+                RowDecision::Final(record.response.map_or(unknown, BeginOutcome::Recorded))
             }
-            CallState::Expired => RowJudgement::End(BeginOutcome::Unknown { in_progress: false }),
-            // Only the process that gave an attempt up knows that it never sent it.
-            CallState::Intent if self.has_given_up(&record.token) => {
-                RowJudgement::Free(RowPrecondition::Version(row.version))
+            CallState::Expired => RowDecision::Final(BeginOutcome::Unknown { in_progress: false }),
+            // Only the process that abandoned an attempt knows that it never sent the call.
+            CallState::Intent if self.is_abandoned(&record.token) => {
+                RowDecision::Writable(RowPrecondition::Version(row.version))
             }
-            CallState::Intent => RowJudgement::End(BeginOutcome::Unknown { in_progress: true }),
+            CallState::Intent => RowDecision::Final(BeginOutcome::Unknown { in_progress: true }),
         }
     }
 
-    /// Records the answer of a call that ran; tries until it stands or the table stays away.
-    pub async fn finish(&self, ticket: CallTicket, answer: RecordedResponse) {
+    /// Records the response of a call that ran. Retries until it is stored, or gives up when the
+    /// table stays unavailable.
+    pub async fn finish(&self, ticket: CallTicket, response: RecordedResponse) {
         let CallTicket { request, token, record, era, .. } = ticket;
-        let record = CallRecord { state: CallState::Answered, answer: Some(answer), ..record };
-        let stood_in = self.memory().hold_answer(&request.key, &record, era, Instant::now());
-        for _ in 0..FINISH_TRIES {
-            let state = self.memory().state(&request.key, &token);
+        let record = CallRecord { state: CallState::Answered, response: Some(response), ..record };
+        let written_era =
+            self.row_cache().keep_response(&request.key, &record, era, Instant::now());
+        for _ in 0..MAX_FINISH_TRIES {
+            let state = self.row_cache().row_state(&request.key, &token);
             match state {
-                // The table was restored and the row, as it is kept, was found or written again.
-                RowState::Stands(era) if era != stood_in => return,
-                RowState::Stands(_) => {
-                    // An intent is never superseded, so the row is this ticket's own.
+                // The table was restored, and the cached row was found there or written back.
+                RowState::Present(era) if era != written_era => return,
+                RowState::Present(_) => {
+                    // An intent is never replaced, so the row is this ticket's own.
                     let write = RowWrite {
-                        key: Name::clone(request.key.row()),
+                        key: Name::clone(request.key.row_key()),
                         expect: RowPrecondition::Any,
-                        value: record.text(),
+                        value: record.to_json(),
                     };
-                    match self.writer.write(write, StoreVersion::new(stood_in, 0)).await {
+                    match self.writer.write(write, StoreVersion::new(written_era, 0)).await {
                         WriteOutcome::Written => return,
                         WriteOutcome::Conflict | WriteOutcome::NotDone | WriteOutcome::Unknown => {}
                     }
                 }
                 RowState::Unchecked => {}
-                RowState::Gone => break,
+                RowState::Missing => break,
             }
             tokio::select! {
-                () = tokio::time::sleep(FINISH_PAUSE) => {}
+                () = tokio::time::sleep(FINISH_RETRY_DELAY) => {}
                 () = self.cancel.cancelled() => return,
             }
         }
@@ -442,9 +459,9 @@
 
     /// Frees the key of a call that was not sent and never will be.
     pub fn abandon(&self, ticket: CallTicket) {
-        self.sent_here.remove(&ticket.request.key);
-        self.memory().forget(&ticket.request.key, &ticket.token);
-        self.journal.enter_not_run(&ticket.request.key, &ticket.record);
-        self.close_later(ticket.request.key, &ticket.record, ticket.era);
+        self.sent_keys.remove(&ticket.request.key);
+        self.row_cache().remove_attempt(&ticket.request.key, &ticket.token);
+        self.journal.record_not_run(&ticket.request.key, &ticket.record);
+        self.close_in_background(ticket.request.key, &ticket.record, ticket.era);
     }
 }
--- a/crates/dillspool_ledger/src/lib.rs
+++ b/crates/dillspool_ledger/src/lib.rs
@@ -1,22 +1,22 @@
-//! The ledger of unrepeatable calls: each key runs at most once.
+//! The ledger of non-idempotent calls, which runs the call of each key at most once.
 //!
-//! Before a call is sent, its key and attempt token stand in the platform's table; an intent is
-//! never superseded, so that not even a host that was paused and wakes can run a call twice.
-//! A journal in the object store names the attempts that a restored table may have lost.
-//! See `docs/design/ledger.md`.
+//! Before a call is sent, its key and attempt token are written to the platform's table as an
+//! intent. An intent is never replaced by another attempt, so even a host that resumes after a
+//! pause cannot run a call twice. A journal in the object store lists the attempts that a restored
+//! table may have lost. See `docs/design/ledger.md`.
 
 mod batch;
 mod call;
 mod closing;
-mod guard;
+mod fence;
 mod journal;
 mod journal_sweep;
 mod ledger;
-mod memory;
-mod recent;
+mod recent_keys;
 mod record;
 mod recovery;
 mod restore;
+mod row_cache;
 mod sweep;
 
 pub use batch::{BatchWriter, WriteOutcome};
--- a/crates/dillspool_ledger/src/recent.rs
+++ b/crates/dillspool_ledger/src/recent_keys.rs
@@ -1,12 +1,12 @@
-//! The keys that this process sent lately.
+//! Keys of the calls that this process sent recently.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use crate::call::CallKey;
 
-/// Keys remembered; about 2 MB.
-const REMEMBERED: usize = 16_384;
+/// Maximum number of keys; they take about 2 MB.
+const MAX_RECENT_KEYS: usize = 16_384;
 
 #[derive(Debug, Default)]
 struct KeyWindow {
@@ -14,7 +14,7 @@
     order: VecDeque<CallKey>,
 }
 
-/// A bounded memory of keys, the newest kept.
+/// A bounded set of keys that evicts the oldest.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentKeys {
     window: Arc<Mutex<KeyWindow>>,
@@ -25,12 +25,12 @@
         self.window.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn add(&self, key: CallKey) {
+    pub(crate) fn insert(&self, key: CallKey) {
         let mut window = self.lock();
         if window.keys.insert(key.clone()) {
             window.order.push_back(key);
         }
-        if window.order.len() > REMEMBERED
+        if window.order.len() > MAX_RECENT_KEYS
             && let Some(oldest) = window.order.pop_front()
         {
             window.keys.remove(&oldest);
--- a/crates/dillspool_ledger/src/recovery.rs
+++ b/crates/dillspool_ledger/src/recovery.rs
@@ -1,7 +1,8 @@
-//! Writes the intents of all hosts again that a restored table lost, from the journal of attempts.
+//! Recovers the intents of all hosts that a restored table lost, from the journal of attempts.
 //!
-//! No call begins whose row is absent before this is done in the table's era. One host does it for all; a host that
-//! takes over from it, or does it a second time, does no harm, since each row is written on a condition.
+//! No call whose row is absent begins before the recovery of the table's era is complete. One host
+//! runs it for all. It is safe for another host to take over or to repeat it, since each write has
+//! a precondition.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -16,53 +17,54 @@
 
 use crate::batch::WriteOutcome;
 use crate::call::CallKey;
-use crate::guard::end_earlier_eras;
+use crate::fence::fence_earlier_eras;
 use crate::journal::JournalEntry;
 use crate::ledger::CallLedger;
 use crate::record::{CallRecord, CallState};
 
-/// Key of the row that tells how far the recovery is.
+/// Key of the row with the progress of the recovery.
 const RECOVERY_KEY: &str = "call_recovery";
-/// Pause between two looks at the recovery while calls wait for it.
-const RECOVERY_PAUSE: Duration = Duration::from_millis(200);
-/// Time after which another host takes the recovery over.
-const CLAIM_TIME: Duration = Duration::from_secs(3);
-/// Rows compared with the table in one read.
+/// Interval at which the recovery is polled while calls wait for it.
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Age of an unchanged claim at which another host takes over the recovery.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of rows compared with the table in one read.
 const PAGE_ROWS: usize = 128;
 
-/// How far the recovery of an era is.
+/// Progress of the recovery of an era, as stored in the table.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct RecoveryRecord {
     /// Number of the era.
     era: u64,
-    /// The process that recovers.
+    /// Process that runs the recovery.
     owner: Name,
     is_done: bool,
 }
 
-/// What to do about the recovery of an era.
+/// State of the recovery of an era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RecoveryStep {
-    /// It is done.
+enum RecoveryState {
+    /// The recovery is complete.
     Done,
-    /// Another process is at it, by the row of this version.
+    /// Another process claimed it, with the row of this version.
     Claimed(StoreVersion),
-    /// It is free, on this condition.
+    /// It can be claimed with this precondition.
     Free(RowPrecondition),
 }
 
-fn judge_recovery(row: Option<&TableRow>, era: StoreEra) -> RecoveryStep {
-    let Some(row) = row else { return RecoveryStep::Free(RowPrecondition::Absent) };
+fn recovery_state(row: Option<&TableRow>, era: StoreEra) -> RecoveryState {
+    let Some(row) = row else { return RecoveryState::Free(RowPrecondition::Absent) };
     let record: Option<RecoveryRecord> = serde_json::from_str(&row.value).ok();
     match record.filter(|record| record.era == era.number()) {
-        Some(RecoveryRecord { is_done: true, .. }) => RecoveryStep::Done,
-        Some(_) => RecoveryStep::Claimed(row.version),
-        None => RecoveryStep::Free(RowPrecondition::Version(row.version)),
+        Some(RecoveryRecord { is_done: true, .. }) => RecoveryState::Done,
+        Some(_) => RecoveryState::Claimed(row.version),
+        None => RecoveryState::Free(RowPrecondition::Version(row.version)),
     }
 }
 
-/// On what condition the intent of an attempt is written again; `None` if its call cannot begin as it is.
-fn judge_attempt(record: &CallRecord, row: Option<&TableRow>) -> Option<RowPrecondition> {
+/// Precondition for writing the intent of an attempt back; `None` if the present row already keeps
+/// the call from running.
+fn rewrite_precondition(record: &CallRecord, row: Option<&TableRow>) -> Option<RowPrecondition> {
     let Some(row) = row else { return Some(RowPrecondition::Absent) };
     let found = CallRecord::parse(&row.value)?;
     let is_other = found.token != record.token;
@@ -70,25 +72,27 @@
 }
 
 impl CallLedger {
-    /// Has the rows of all hosts written again after each restore of the table, until the ledger is cancelled.
+    /// Recovers the rows of all hosts after each restore of the table, until the ledger is
+    /// cancelled.
     pub(crate) async fn watch_recovery(self) {
         let mut claim = None;
         loop {
-            let unrecovered = self.memory().unrecovered();
+            let unrecovered = self.row_cache().unrecovered();
             if let Some(era) = unrecovered
                 && let Err(error) = self.advance_recovery(era, &mut claim).await
             {
                 log::warn!("event=call_recovery_failed era={era} error=\"{error}\"");
             }
             tokio::select! {
-                () = tokio::time::sleep(RECOVERY_PAUSE) => {}
+                () = tokio::time::sleep(RECOVERY_POLL_INTERVAL) => {}
                 () = self.cancel.cancelled() => return,
             }
         }
     }
 
-    /// Looks how far the recovery of an era is, and does it if nobody else does. `claim` is that of another process,
-    /// and since when this one has seen it: clocks of two hosts need not agree.
+    /// Checks the recovery of an era and runs it if no other process does. `claim` is another
+    /// process's claim and the local time at which it was first seen, since the clocks of two hosts
+    /// may differ.
     async fn advance_recovery(
         &self,
         era: StoreEra,
@@ -99,30 +103,30 @@
             return Ok(());
         }
         let row = rows.into_iter().next().flatten();
-        let expect = match judge_recovery(row.as_ref(), era) {
-            RecoveryStep::Done => {
-                self.memory().note_recovered(era);
+        let expect = match recovery_state(row.as_ref(), era) {
+            RecoveryState::Done => {
+                self.row_cache().record_recovered(era);
                 return Ok(());
             }
-            RecoveryStep::Free(expect) => expect,
-            RecoveryStep::Claimed(version) => {
+            RecoveryState::Free(expect) => expect,
+            RecoveryState::Claimed(version) => {
                 let (known, since) = *claim.get_or_insert((version, Instant::now()));
                 if known != version {
                     *claim = None;
                 }
-                if known != version || since.elapsed() < CLAIM_TIME {
+                if known != version || since.elapsed() < CLAIM_TIMEOUT {
                     return Ok(());
                 }
                 RowPrecondition::Version(version)
             }
         };
         if self.write_recovery(expect, read_at, false).await
-            && self.end_earlier_eras(read_at).await
+            && self.fence_earlier_eras(read_at).await
             && self.recover_rows().await?
             && self.write_recovery(RowPrecondition::Any, read_at, true).await
         {
             log::info!("event=calls_recovered era={era}");
-            self.memory().note_recovered(era);
+            self.row_cache().record_recovered(era);
         }
         Ok(())
     }
@@ -139,10 +143,10 @@
         self.writer.write(write, read_at).await == WriteOutcome::Written
     }
 
-    /// Keeps commits of earlier eras from replacing what is written from now on.
-    async fn end_earlier_eras(&self, read_at: StoreVersion) -> bool {
+    /// Fences off commits of earlier eras, so that they cannot replace rows written from now on.
+    async fn fence_earlier_eras(&self, read_at: StoreVersion) -> bool {
         let mut tasks = JoinSet::new();
-        for guard in end_earlier_eras(read_at.era()) {
+        for guard in fence_earlier_eras(read_at.era()) {
             let ledger = self.clone();
             tasks.spawn(async move { ledger.writer.write(guard, read_at).await });
         }
@@ -150,11 +154,11 @@
         outcomes.into_iter().all(|outcome| outcome == WriteOutcome::Written)
     }
 
-    /// Writes the intents again that the table lacks; false if some of them could not be written.
+    /// Writes back the intents that the table lacks. Returns false if some could not be written.
     async fn recover_rows(&self) -> Result<bool, PlatformError> {
         let mut are_written = true;
-        for segments in self.journal.segments().await? {
-            let attempts = self.journal.open_attempts(segments).await?;
+        for segments in self.journal.list_segments().await? {
+            let attempts = self.journal.read_open_attempts(segments).await?;
             for page in attempts.chunks(PAGE_ROWS) {
                 are_written &= self.recover_page(page).await?;
             }
@@ -167,9 +171,9 @@
         let reply = (self.table.read)(ReadRequest { keys }).await?;
         let mut tasks = JoinSet::new();
         for (entry, row) in page.iter().zip(reply.rows) {
-            let Some(expect) = judge_attempt(&entry.record, row.as_ref()) else { continue };
+            let Some(expect) = rewrite_precondition(&entry.record, row.as_ref()) else { continue };
             log::info!("event=call_row_recovered row={} token={}", entry.row, entry.record.token);
-            let value = entry.record.text();
+            let value = entry.record.to_json();
             let write = RowWrite { key: Name::clone(&entry.row), expect, value };
             let ledger = self.clone();
             tasks.spawn(async move { ledger.writer.write(write, reply.version).await });
@@ -178,33 +182,33 @@
         Ok(outcomes.into_iter().all(|outcome| outcome == WriteOutcome::Written))
     }
 
-    /// An attempt of another host at the same call that a restored table may have lost.
+    /// Finds another attempt at the same call that a restored table may have lost.
     ///
-    /// Calls that ask meanwhile are answered by one reading of the journal.
-    pub(crate) async fn lost_attempt(
+    /// Concurrent lookups share one read of the journal.
+    pub(crate) async fn find_lost_attempt(
         &self,
         key: &CallKey,
         own: &Name,
     ) -> Result<Option<CallRecord>, PlatformError> {
-        self.lost_rows.asked().insert(Name::clone(key.row()));
-        let mut found = self.lost_rows.found.lock().await;
-        if !found.contains_key(key.row()) {
-            let mut asked = std::mem::take(&mut *self.lost_rows.asked());
-            asked.insert(Name::clone(key.row()));
-            found.extend(self.attempts_of(asked).await?);
+        self.journal_lookups.requested().insert(Name::clone(key.row_key()));
+        let mut found = self.journal_lookups.found.lock().await;
+        if !found.contains_key(key.row_key()) {
+            let mut requested = std::mem::take(&mut *self.journal_lookups.requested());
+            requested.insert(Name::clone(key.row_key()));
+            found.extend(self.read_attempts(requested).await?);
         }
-        let records = found.remove(key.row()).unwrap_or_default();
+        let records = found.remove(key.row_key()).unwrap_or_default();
         Ok(records.into_iter().find(|record| record.token != *own))
     }
 
-    async fn attempts_of(
+    async fn read_attempts(
         &self,
         rows: BTreeSet<Name>,
     ) -> Result<BTreeMap<Name, Vec<CallRecord>>, PlatformError> {
         let mut attempts: BTreeMap<Name, Vec<CallRecord>> =
             rows.into_iter().map(|row| (row, Vec::new())).collect();
-        for segments in self.journal.segments().await? {
-            for entry in self.journal.open_attempts(segments).await? {
+        for segments in self.journal.list_segments().await? {
+            for entry in self.journal.read_open_attempts(segments).await? {
                 if let Some(records) = attempts.get_mut(&entry.row) {
                     records.push(entry.record);
                 }
@@ -214,15 +218,15 @@
     }
 }
 
-/// Calls whose attempts are looked for in the journal.
+/// Pending and finished lookups of calls in the journal.
 #[derive(Debug, Default)]
-pub(crate) struct LostRows {
-    asked: Mutex<BTreeSet<Name>>,
+pub(crate) struct JournalLookups {
+    requested: Mutex<BTreeSet<Name>>,
     found: tokio::sync::Mutex<BTreeMap<Name, Vec<CallRecord>>>,
 }
 
-impl LostRows {
-    fn asked(&self) -> MutexGuard<'_, BTreeSet<Name>> {
-        self.asked.lock().unwrap_or_else(PoisonError::into_inner)
+impl JournalLookups {
+    fn requested(&self) -> MutexGuard<'_, BTreeSet<Name>> {
+        self.requested.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/dillspool_ledger/src/sweep.rs
+++ b/crates/dillspool_ledger/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Keeps the ledger from growing: answers are dropped first, keys much later.
+//! Bounds the size of the ledger: responses are dropped first, keys much later.
 
 use std::time::Duration;
 
@@ -9,43 +9,43 @@
 use dillspool_schema::Name;
 
 use crate::call::ROW_PREFIX;
-use crate::guard::hold_to_era;
+use crate::fence::require_era;
 use crate::record::{CallRecord, CallState};
 
-/// Rows read in one page.
+/// Maximum number of rows in one page.
 const PAGE_ROWS: usize = 256;
 
-/// How long the parts of a row are kept.
+/// Retention of the parts of a row.
 #[derive(Clone, Copy, Debug)]
 pub struct RetentionTimes {
-    /// A resend within this time gets the recorded answer.
-    pub answer: Duration,
-    /// A resend within this time gets `unknown`; after it the key counts as new.
+    /// A client retry within this time gets the recorded response.
+    pub response: Duration,
+    /// A client retry within this time gets `unknown`; afterwards the key counts as new.
     pub key: Duration,
 }
 
 impl Default for RetentionTimes {
     fn default() -> Self {
-        Self { answer: Duration::from_hours(24), key: Duration::from_hours(24 * 30) }
+        Self { response: Duration::from_hours(24), key: Duration::from_hours(24 * 30) }
     }
 }
 
-/// Where a sweep stands.
+/// Result of sweeping one page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SweepPage {
-    /// Key to go on after; empty once the end was reached.
+    /// Key after which the next page begins; empty at the end of the ledger.
     pub next: Name,
-    /// Rows shortened or deleted.
+    /// Number of rows expired or deleted.
     pub changed: usize,
 }
 
-/// Sweeps one page of the ledger after a key.
+/// Sweeps the page of the ledger that begins after a key.
 ///
-/// Several hosts may sweep at once: each row changes only at the version that was read.
+/// Several hosts may sweep concurrently: each row is changed only at the version that was read.
 ///
 /// # Errors
 ///
-/// [`PlatformError`] when the table does not answer.
+/// [`PlatformError`] if the table does not respond.
 pub async fn sweep_page(
     table: &TableStore,
     clock: &WallClock,
@@ -62,7 +62,7 @@
     let writes: Vec<RowWrite> = reply
         .rows
         .iter()
-        .filter_map(|scanned| shorten(scanned, |record| now.since(record.at), times))
+        .filter_map(|scanned| expire_row(scanned, |record| now.since(record.at), times))
         .collect();
     let changed = writes.len();
     let Some(era) = reply.rows.first().map(|first| first.row.version.era()) else {
@@ -71,16 +71,16 @@
     if changed == 0 {
         return Ok(SweepPage { next, changed });
     }
-    let writes = writes.into_iter().chain([hold_to_era(era)]).collect();
+    let writes = writes.into_iter().chain([require_era(era)]).collect();
     let changed = match table.commit(writes).await? {
         CommitReply::Committed => changed,
-        // Someone else changed a row of the page; the next sweep comes by again.
+        // Another host changed a row of the page; the next sweep handles it.
         CommitReply::Conflict(_) => 0,
     };
     Ok(SweepPage { next, changed })
 }
 
-fn shorten(
+fn expire_row(
     scanned: &ScannedRow,
     age: impl Fn(&CallRecord) -> Duration,
     times: RetentionTimes,
@@ -94,15 +94,15 @@
     }
     let droppable = match record.state {
         CallState::Answered | CallState::Intent => true,
-        // Proven not run: the key may be used again at any time.
+        // The call did not run, so the key may be reused at any time.
         CallState::NotRun => {
-            return (age >= times.answer).then_some(RowWrite { key, expect, value: None });
+            return (age >= times.response).then_some(RowWrite { key, expect, value: None });
         }
         CallState::Expired => false,
     };
-    if !droppable || age < times.answer {
+    if !droppable || age < times.response {
         return None;
     }
-    let expired = CallRecord { state: CallState::Expired, answer: None, ..record };
-    Some(RowWrite { key, expect, value: expired.text() })
+    let expired = CallRecord { state: CallState::Expired, response: None, ..record };
+    Some(RowWrite { key, expect, value: expired.to_json() })
 }
--- a/crates/dillspool_ledger/tests/ledger_faults.rs
+++ b/crates/dillspool_ledger/tests/ledger_faults.rs
@@ -1,4 +1,4 @@
-//! Unrepeatable calls run at most once, whatever the table does.
+//! Non-idempotent calls run at most once under faults of the table.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     CallRequest::new(CallKey::new("stations", "r-1"), "POST", "/readings", body.as_bytes())
 }
 
-fn answer() -> RecordedResponse {
+fn response() -> RecordedResponse {
     RecordedResponse::new(201, "application/json", b"{\"run\":1}")
 }
 
@@ -31,84 +31,84 @@
     )
 }
 
-/// What becomes of one commit, and what a first call and its resend get.
+/// A sequence of commit faults, and the expected outcomes of the first attempt and of a retry.
 struct CommitRow {
     name: &'static str,
     faults: &'static [StoreFault],
-    /// Whether the first attempt may send.
-    first_runs: bool,
-    /// Whether a resend on another host may send.
-    resend_runs: bool,
+    /// Whether the first attempt may send the call.
+    first_attempt_runs: bool,
+    /// Whether a retry on another host may send the call.
+    retry_runs: bool,
 }
 
-const LATE: StoreFault = StoreFault::Late(Duration::from_millis(700));
-const VERY_LATE: StoreFault = StoreFault::Late(Duration::from_secs(20));
+const DELAYED: StoreFault = StoreFault::Late(Duration::from_millis(700));
+const DELAYED_BEYOND_TIMEOUT: StoreFault = StoreFault::Late(Duration::from_secs(20));
 
 const COMMITS: [CommitRow; 8] = [
-    CommitRow { name: "no fault", faults: &[], first_runs: true, resend_runs: false },
+    CommitRow { name: "no fault", faults: &[], first_attempt_runs: true, retry_runs: false },
     CommitRow {
-        name: "refused: nothing was written",
+        name: "rejected without effect",
         faults: &[StoreFault::Refuse],
-        first_runs: false,
-        resend_runs: true,
+        first_attempt_runs: false,
+        retry_runs: true,
     },
     CommitRow {
-        name: "the answer is lost after the effect",
+        name: "response lost after the effect",
         faults: &[StoreFault::LoseResponse],
-        first_runs: true,
-        resend_runs: false,
+        first_attempt_runs: true,
+        retry_runs: false,
     },
     CommitRow {
-        name: "the call is lost without effect",
+        name: "request lost without effect",
         faults: &[StoreFault::LoseRequest],
-        first_runs: true,
-        resend_runs: false,
+        first_attempt_runs: true,
+        retry_runs: false,
     },
     CommitRow {
-        name: "the effect comes late, after the same write was tried again",
-        faults: &[LATE],
-        first_runs: true,
-        resend_runs: false,
+        name: "delayed effect, after a retry of the same write",
+        faults: &[DELAYED],
+        first_attempt_runs: true,
+        retry_runs: false,
     },
     CommitRow {
-        name: "two answers lost in a row",
+        name: "two lost responses in a row",
         faults: &[StoreFault::LoseResponse, StoreFault::LoseResponse],
-        first_runs: true,
-        resend_runs: false,
+        first_attempt_runs: true,
+        retry_runs: false,
     },
     CommitRow {
-        name: "lost, then refused: still unclear, then settled",
+        name: "request lost, then rejected: unknown until the row is read",
         faults: &[StoreFault::LoseRequest, StoreFault::Refuse],
-        first_runs: true,
-        resend_runs: false,
+        first_attempt_runs: true,
+        retry_runs: false,
     },
     CommitRow {
-        name: "late beyond the call's own time",
-        faults: &[VERY_LATE],
-        first_runs: true,
-        resend_runs: false,
+        name: "effect delayed beyond the begin timeout",
+        faults: &[DELAYED_BEYOND_TIMEOUT],
+        first_attempt_runs: true,
+        retry_runs: false,
     },
 ];
 
 #[tokio::test(start_paused = true)]
-async fn each_commit_fault_leads_to_one_run_at_most() {
+async fn a_call_runs_at_most_once_under_each_commit_fault() {
     for row in &COMMITS {
         let table = MemoryTable::new();
         table.fail_commits(row.faults.iter().copied());
         let first = ledger(&table, "entry-1.1").begin(request("41")).await;
         assert_eq!(
             matches!(first, BeginOutcome::Run(_)),
-            row.first_runs,
+            row.first_attempt_runs,
             "{}: {first:?}",
             row.name
         );
-        if !row.first_runs {
+        if !row.first_attempt_runs {
             assert_matches!(first, BeginOutcome::NotRun, "{}", row.name);
         }
         tokio::time::sleep(Duration::from_secs(30)).await;
-        let resend = ledger(&table, "entry-2.1").begin(request("41")).await;
-        let runs = matches!(resend, BeginOutcome::Run(_));
-        assert_eq!(runs, row.resend_runs, "{}: {resend:?}", row.name);
+        let retry = ledger(&table, "entry-2.1").begin(request("41")).await;
+        let runs = matches!(retry, BeginOutcome::Run(_));
+        assert_eq!(runs, row.retry_runs, "{}: {retry:?}", row.name);
     }
 }
 
@@ -120,23 +120,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_resend_gets_the_recorded_answer_on_any_host() {
+async fn a_retry_gets_the_recorded_response_on_any_host() {
     let table = MemoryTable::new();
     let first = ledger(&table, "entry-1.1");
     let ticket = must_run(&first).await;
-    first.finish(ticket, answer()).await;
+    first.finish(ticket, response()).await;
     for owner in ["entry-1.1", "entry-2.1"] {
-        let resend = ledger(&table, owner).begin(request("41")).await;
-        assert_matches!(resend, BeginOutcome::Recorded(recorded) if recorded == answer());
+        let retry = ledger(&table, owner).begin(request("41")).await;
+        assert_matches!(retry, BeginOutcome::Recorded(recorded) if recorded == response());
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_resend_while_the_first_is_under_way_is_unknown() {
+async fn a_retry_during_the_first_call_is_unknown() {
     let table = MemoryTable::new();
     let _ticket = must_run(&ledger(&table, "entry-1.1")).await;
-    let resend = ledger(&table, "entry-2.1").begin(request("41")).await;
-    assert_matches!(resend, BeginOutcome::Unknown { in_progress: true });
+    let retry = ledger(&table, "entry-2.1").begin(request("41")).await;
+    assert_matches!(retry, BeginOutcome::Unknown { in_progress: true });
 }
 
 #[tokio::test(start_paused = true)]
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_resends_at_once_run_once() {
+async fn concurrent_retries_run_once() {
     let table = MemoryTable::new();
     let mut begins = tokio::task::JoinSet::new();
     for number in 0..8 {
@@ -171,9 +171,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_is_out_means_not_run_and_the_key_stays_free() {
-    let outages =
-        [StoreFault::Refuse, StoreFault::LoseRequest, StoreFault::LoseResponse, VERY_LATE];
+async fn calls_are_not_run_during_a_store_outage_and_keys_stay_free() {
+    let outages = [
+        StoreFault::Refuse,
+        StoreFault::LoseRequest,
+        StoreFault::LoseResponse,
+        DELAYED_BEYOND_TIMEOUT,
+    ];
     for outage in outages {
         let table = MemoryTable::new();
         table.set_outage(outage);
@@ -181,14 +185,14 @@
         assert_matches!(first.begin(request("41")).await, BeginOutcome::NotRun, "{outage:?}");
         tokio::time::sleep(Duration::from_mins(1)).await;
         table.set_outage(StoreFault::None);
-        // The host that gave up closes its attempt once the store is back.
+        // The first host closes its abandoned attempt once the store is available.
         tokio::time::sleep(Duration::from_secs(30)).await;
         must_run(&ledger(&table, "entry-2.1")).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_host_that_was_held_up_in_its_commit_does_not_send() {
+async fn a_host_paused_during_its_commit_does_not_send() {
     let table = MemoryTable::new();
     let slow = table.store();
     let mut held_up = slow.clone();
@@ -196,7 +200,7 @@
         let commit = (slow.commit)(request);
         Box::pin(async move {
             let reply = commit.await;
-            // The process stands still between the effect and the answer.
+            // Pauses the process between the effect and the response.
             tokio::time::sleep(Duration::from_mins(5)).await;
             reply
         })
@@ -212,17 +216,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_expired_answer_is_unknown_and_never_runs_again() {
+async fn an_expired_response_is_unknown_and_never_runs_again() {
     let table = MemoryTable::new();
     let first = ledger(&table, "entry-1.1");
     let ticket = must_run(&first).await;
-    first.finish(ticket, answer()).await;
+    first.finish(ticket, response()).await;
     let clock = WallClock::tokio(START);
     tokio::time::sleep(Duration::from_hours(25)).await;
     let page = sweep_page(&table.store(), &clock, RetentionTimes::default(), "".into()).await;
-    assert_eq!(page.expect("the table answers").changed, 1);
-    let resend = ledger(&table, "entry-2.1").begin(request("41")).await;
-    assert_matches!(resend, BeginOutcome::Unknown { in_progress: false });
+    assert_eq!(page.expect("the table responds").changed, 1);
+    let retry = ledger(&table, "entry-2.1").begin(request("41")).await;
+    assert_matches!(retry, BeginOutcome::Unknown { in_progress: false });
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/dillspool_ledger/tests/ledger_interleavings.rs
+++ b/crates/dillspool_ledger/tests/ledger_interleavings.rs
@@ -1,6 +1,7 @@
-//! Interleavings of hosts, store answers, pauses and crashes, chosen by `proptest`.
+//! Property tests over interleavings of hosts, store faults, pauses and crashes.
 //!
-//! `stateright` cannot be had here; this explores the code itself instead of a model of it.
+//! They explore the code itself instead of a model, since `stateright` is not available to this
+//! project.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -14,18 +15,18 @@
 use proptest::prelude::*;
 use tokio_util::sync::CancellationToken;
 
-/// What a host does with the right to send.
+/// What a host does once it is permitted to send the call.
 #[derive(Clone, Copy, Debug)]
 enum AfterBegin {
-    /// Sends and records the answer.
+    /// Sends and records the response.
     Finish,
-    /// Sends and dies before the answer is recorded.
+    /// Sends and crashes before the response is recorded.
     DieAfterSend,
-    /// Dies before it sends.
+    /// Crashes before it sends.
     DieBeforeSend,
-    /// Decides not to send.
+    /// Abandons the attempt without sending.
     Abandon,
-    /// Stands still for this many milliseconds, then sends and records.
+    /// Pauses for this many milliseconds, then sends and records the response.
     Pause(u64),
 }
 
@@ -43,10 +44,10 @@
     fault: StoreFault,
 }
 
-/// The table becomes what it was at a moment.
+/// Restores the table from a snapshot that was taken earlier.
 #[derive(Clone, Debug)]
 struct Restore {
-    copied_ms: u64,
+    snapshot_ms: u64,
     after_ms: u64,
 }
 
@@ -56,9 +57,9 @@
     faults: Vec<StoreFault>,
     outage: Option<Outage>,
     restores: Vec<Restore>,
-    /// Whether a host that dies ends, and another one finds its attempts in the journal that all share; else it only
-    /// forgets the call.
-    has_ends: bool,
+    /// Whether a crash ends the host's ledger, with a journal shared by all hosts, so that others
+    /// find its attempts there. Otherwise the host only forgets the call.
+    ends_processes: bool,
 }
 
 fn after_begin() -> impl Strategy<Value = AfterBegin> {
@@ -97,15 +98,16 @@
             faults,
             outage,
             restores: Vec::new(),
-            has_ends: false,
+            ends_processes: false,
         })
 }
 
-/// Restores among few faults: a host has `restore_settle` to write its rows again. No effect comes late, since a
-/// restored table gives versions out again, and a condition that was sent before may hold by chance.
+/// Restores with few faults, since a host has only `restore_settle_time` to write its rows back. No
+/// effect is delayed: a restored table reuses versions, so the precondition of an earlier commit
+/// may hold by chance.
 fn restored_interleaving() -> impl Strategy<Value = Interleaving> {
     let restore = (0_u64..6000, 1_u64..4000)
-        .prop_map(|(copied_ms, after_ms)| Restore { copied_ms, after_ms });
+        .prop_map(|(snapshot_ms, after_ms)| Restore { snapshot_ms, after_ms });
     let restores = proptest::collection::vec(restore, 1..3);
     (interleaving(), restores).prop_map(|(mut interleaving, restores)| {
         interleaving.faults.truncate(4);
@@ -119,14 +121,14 @@
     })
 }
 
-/// Restores among all faults, and hosts that end between them.
-fn restored_interleaving_with_ends() -> impl Strategy<Value = Interleaving> {
+/// Restores with all faults, and processes that end in between.
+fn restored_interleaving_with_process_ends() -> impl Strategy<Value = Interleaving> {
     let restore = (0_u64..6000, 1_u64..4000)
-        .prop_map(|(copied_ms, after_ms)| Restore { copied_ms, after_ms });
+        .prop_map(|(snapshot_ms, after_ms)| Restore { snapshot_ms, after_ms });
     let restores = proptest::collection::vec(restore, 1..4);
     (interleaving(), restores).prop_map(|(interleaving, restores)| Interleaving {
         restores,
-        has_ends: true,
+        ends_processes: true,
         ..interleaving
     })
 }
@@ -135,7 +137,7 @@
     CallRequest::new(CallKey::new("stations", "r-1"), "POST", "/readings", b"41")
 }
 
-/// The backend server: counts runs and answers with the count.
+/// A backend server that counts runs and responds with the count.
 #[derive(Clone, Debug, Default)]
 struct Backend {
     runs: Arc<Mutex<u8>>,
@@ -153,14 +155,14 @@
     }
 }
 
-/// A host, and what ends its process.
+/// A host, and the token that ends its process.
 #[derive(Clone)]
 struct Host {
     ledger: CallLedger,
     end: CancellationToken,
 }
 
-async fn carry_out(host: Host, backend: Backend, attempt: Attempt) -> bool {
+async fn run_attempt(host: Host, backend: Backend, attempt: Attempt) -> bool {
     let Host { ledger, end } = host;
     tokio::time::sleep(Duration::from_millis(attempt.at_ms)).await;
     if end.is_cancelled() {
@@ -168,11 +170,11 @@
     }
     let ticket = match ledger.begin(request()).await {
         BeginOutcome::Run(ticket) => ticket,
-        BeginOutcome::Recorded(answer) => {
-            assert_eq!(answer.body_bytes(), vec![1], "another answer than the run gave");
+        BeginOutcome::Recorded(response) => {
+            assert_eq!(response.body_bytes(), vec![1], "not the response of the run");
             return false;
         }
-        BeginOutcome::Mismatch => panic!("the calls are the same"),
+        BeginOutcome::Mismatch => panic!("the fingerprints are equal"),
         BeginOutcome::Unknown { .. } | BeginOutcome::NotRun => return false,
     };
     match attempt.after {
@@ -191,19 +193,19 @@
             ledger.finish(ticket, backend.run()).await;
         }
     }
-    // The key was used up, by a run or by a death.
+    // The key is used: the call ran or its host crashed.
     true
 }
 
-fn start_hosts(table: &MemoryTable, has_ends: bool) -> Vec<Host> {
+fn start_hosts(table: &MemoryTable, ends_processes: bool) -> Vec<Host> {
     let (clock, objects) = (WallClock::tokio(UnixMillis(1)), MemoryObjects::new());
     let start = |number| {
         let owner = format!("entry-{number}.1").into();
         let (cancel, settings) = (CancellationToken::new(), LedgerSettings::default());
         let (clock, table) = (clock.clone(), table.store());
-        // Only a process that really ends is ended with its ledger.
-        let end = if has_ends { cancel.clone() } else { CancellationToken::new() };
-        let ledger = if has_ends {
+        // Cancels the ledger only if the case ends processes.
+        let end = if ends_processes { cancel.clone() } else { CancellationToken::new() };
+        let ledger = if ends_processes {
             CallLedger::with_journal(table, objects.store(), clock, settings, owner, cancel)
         } else {
             CallLedger::new(table, clock, settings, owner, cancel)
@@ -213,10 +215,10 @@
     (0..4).map(start).collect()
 }
 
-async fn play(interleaving: Interleaving) {
+async fn run_interleaving(interleaving: Interleaving) {
     let table = MemoryTable::new();
     table.fail_commits(interleaving.faults);
-    let hosts = start_hosts(&table, interleaving.has_ends);
+    let hosts = start_hosts(&table, interleaving.ends_processes);
     if let Some(outage) = interleaving.outage {
         let table = table.clone();
         tokio::spawn(async move {
@@ -230,36 +232,36 @@
     for restore in interleaving.restores {
         let table = table.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(Duration::from_millis(restore.copied_ms)).await;
-            let copy = table.snapshot();
+            tokio::time::sleep(Duration::from_millis(restore.snapshot_ms)).await;
+            let snapshot = table.snapshot();
             tokio::time::sleep(Duration::from_millis(restore.after_ms)).await;
-            table.restore(&copy);
+            table.restore(&snapshot);
         });
     }
     let backend = Backend::default();
     let mut attempts = tokio::task::JoinSet::new();
     for attempt in interleaving.attempts {
-        attempts.spawn(carry_out(hosts[attempt.host].clone(), backend.clone(), attempt));
+        attempts.spawn(run_attempt(hosts[attempt.host].clone(), backend.clone(), attempt));
     }
     let used: Vec<bool> = attempts.join_all().await;
     assert!(backend.runs() <= 1, "the call ran {} times", backend.runs());
     table.clear_faults();
     tokio::time::sleep(Duration::from_mins(2)).await;
-    // A host that has sent nothing and does not end.
-    let asked = if interleaving.has_ends { &hosts[3].ledger } else { &hosts[0].ledger };
-    let mut last = asked.begin(request()).await;
+    // A host whose process does not end; with `ends_processes` it has sent nothing.
+    let last_host = if interleaving.ends_processes { &hosts[3].ledger } else { &hosts[0].ledger };
+    let mut last = last_host.begin(request()).await;
     if is_restored && matches!(last, BeginOutcome::NotRun) {
-        // This host had not heard of the restore.
+        // The host had not seen the restore yet.
         tokio::time::sleep(Duration::from_secs(20)).await;
-        last = asked.begin(request()).await;
+        last = last_host.begin(request()).await;
     }
     let free = !used.contains(&true);
     match last {
-        BeginOutcome::Run(_) => assert!(free, "a key that was used may run again"),
+        BeginOutcome::Run(_) => assert!(free, "a used key may run again"),
         BeginOutcome::Recorded(_) => assert_eq!(backend.runs(), 1),
-        // A copy may show the intent of an attempt that was closed since.
-        BeginOutcome::Unknown { .. } => assert!(!free || is_restored, "a free key is stuck"),
-        BeginOutcome::NotRun | BeginOutcome::Mismatch => panic!("the store is well: {last:?}"),
+        // The snapshot may contain the intent of an attempt that was closed later.
+        BeginOutcome::Unknown { .. } => assert!(!free || is_restored, "a free key is blocked"),
+        BeginOutcome::NotRun | BeginOutcome::Mismatch => panic!("the store is available: {last:?}"),
     }
 }
 
@@ -268,53 +270,54 @@
 
     #[test]
     fn a_call_runs_at_most_once_and_a_free_key_stays_free(interleaving in interleaving()) {
-        run_paused(play(interleaving));
+        run_paused(run_interleaving(interleaving));
     }
 
     #[test]
-    fn a_call_runs_at_most_once_though_the_table_is_restored(
+    fn a_call_runs_at_most_once_across_restores(
         interleaving in restored_interleaving()
     ) {
-        run_paused(play(interleaving));
+        run_paused(run_interleaving(interleaving));
     }
 
-    /// A call ran again: its host had ended, or a condition sent before a restore held by chance after it.
+    /// Guards against a second run after the call's host has ended, or after a precondition sent
+    /// before a restore holds by chance.
     #[test]
-    fn a_call_runs_at_most_once_though_hosts_end_around_restores(
-        interleaving in restored_interleaving_with_ends()
+    fn a_call_runs_at_most_once_when_hosts_end_around_restores(
+        interleaving in restored_interleaving_with_process_ends()
     ) {
-        run_paused(play(interleaving));
+        run_paused(run_interleaving(interleaving));
     }
 }
 
-/// An intent came late over the `not_run` of another attempt, after its own attempt had looked at that row and counted
-/// itself as closed. The key answered unknown for a day, though nothing ran.
+/// A delayed intent replaced the `not_run` row of another attempt after its own attempt had read
+/// that row and counted itself as closed. Retries then got `unknown` for a day, though nothing ran.
 #[test]
-fn a_free_key_was_stuck_by_an_intent_that_came_late() {
+fn a_delayed_intent_does_not_block_a_free_key() {
     let attempt = |at_ms| Attempt { host: 0, at_ms, after: AfterBegin::Finish };
     let late = StoreFault::Late(Duration::from_millis(1));
     let faults =
         [StoreFault::None, StoreFault::LoseRequest, StoreFault::None, StoreFault::None, late];
-    run_paused(play(Interleaving {
+    run_paused(run_interleaving(Interleaving {
         attempts: vec![attempt(3760), attempt(577)],
         faults: faults.into(),
         outage: Some(Outage { from_ms: 478, for_ms: 4883, fault: late }),
         restores: Vec::new(),
-        has_ends: false,
+        ends_processes: false,
     }));
 }
 
-/// A commit that freed the key of an abandoned attempt came after a restore, when the row of a call that ran had been
-/// given the version that it asked for. The key was free again.
+/// A delayed commit that freed an abandoned key took effect after a restore, when the row of a call
+/// that ran had been assigned the version which the commit expected. The used key became free.
 #[test]
-fn a_commit_of_before_a_restore_freed_the_key_of_a_call_that_ran() {
+fn a_commit_sent_before_a_restore_does_not_free_a_used_key() {
     let attempt = |at_ms, after| Attempt { host: 2, at_ms, after };
     let late = StoreFault::Late(Duration::from_millis(2710));
-    run_paused(play(Interleaving {
+    run_paused(run_interleaving(Interleaving {
         attempts: vec![attempt(1371, AfterBegin::Abandon), attempt(1472, AfterBegin::Finish)],
         faults: vec![StoreFault::LoseRequest, StoreFault::LoseResponse, late],
         outage: None,
-        restores: vec![Restore { copied_ms: 458, after_ms: 1074 }],
-        has_ends: true,
+        restores: vec![Restore { snapshot_ms: 458, after_ms: 1074 }],
+        ends_processes: true,
     }));
 }
--- a/crates/dillspool_ledger/tests/restored_failures.rs
+++ b/crates/dillspool_ledger/tests/restored_failures.rs
@@ -1,4 +1,4 @@
-//! Failures around a restore of the table: no call runs twice, and a free key can be used again.
+//! Failures around a restore of the table: no call runs twice, and a free key stays usable.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use log::{LevelFilter, Log, Metadata, Record};
 use tokio_util::sync::CancellationToken;
 
-const AWAY: StoreFault = StoreFault::LoseRequest;
-const FOREIGN: &str = "foreign.0";
+const TABLE_OUTAGE: StoreFault = StoreFault::LoseRequest;
+const OTHER_TOKEN: &str = "foreign.0";
 
-/// Keeps the warnings.
+/// Captures log lines.
 struct LineCapture(Mutex<Vec<String>>);
 
 static CAPTURE: LineCapture = LineCapture(Mutex::new(Vec::new()));
@@ -37,10 +37,10 @@
     fn flush(&self) {}
 }
 
-/// Lines since the last time that name the row of `r-1` as lost.
-fn lost_lines() -> usize {
+/// Counts the lines since the last call that report the row of `r-1` as lost.
+fn take_lost_row_warnings() -> usize {
     let lines = std::mem::take(&mut *CAPTURE.0.lock().unwrap_or_else(PoisonError::into_inner));
-    let row = format!("event=call_row_lost row={} ", request("r-1").key.row());
+    let row = format!("event=call_row_lost row={} ", request("r-1").key.row_key());
     lines.iter().filter(|line| line.starts_with(&row)).count()
 }
 
@@ -48,7 +48,7 @@
     CallRequest::new(CallKey::new("stations", key), "POST", "/readings", b"body")
 }
 
-/// The platform's two stores.
+/// The platform's stores.
 #[derive(Default)]
 struct Stores {
     table: MemoryTable,
@@ -75,7 +75,7 @@
     )
 }
 
-fn answer(bytes: usize) -> RecordedResponse {
+fn response(bytes: usize) -> RecordedResponse {
     RecordedResponse::new(201, "application/json", &vec![b'1'; bytes])
 }
 
@@ -83,166 +83,175 @@
 enum Step {
     /// The owner begins the call, which runs.
     Begin,
-    /// The owner records the answer.
+    /// The owner records the response.
     Finish,
-    /// The resending host begins the call and frees its key.
+    /// The retrying host begins the call and frees its key.
     Abandon,
-    SaveCopy,
+    SaveSnapshot,
     Restore,
-    /// The table fails each call, or answers again.
+    /// Makes every call to the table fail, or ends the outage.
     Outage(StoreFault),
     /// The next two commits fail.
     Faults(StoreFault),
     /// The owner's process is killed.
     Kill,
-    /// The resend goes through a host that starts now.
+    /// The retry goes through a host that starts now.
     Start,
-    /// Another attempt has the row.
-    Take(CallState),
+    /// Another attempt writes its row.
+    Displace(CallState),
     Wait(u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Got {
+enum Observed {
     Run,
     NotRun,
     Unknown,
     Recorded,
 }
 
-fn got(outcome: &BeginOutcome) -> Got {
+fn observed(outcome: &BeginOutcome) -> Observed {
     match outcome {
-        BeginOutcome::Run(_) => Got::Run,
-        BeginOutcome::NotRun => Got::NotRun,
-        BeginOutcome::Unknown { .. } => Got::Unknown,
-        BeginOutcome::Recorded(_) => Got::Recorded,
-        BeginOutcome::Mismatch => panic!("the calls are the same"),
+        BeginOutcome::Run(_) => Observed::Run,
+        BeginOutcome::NotRun => Observed::NotRun,
+        BeginOutcome::Unknown { .. } => Observed::Unknown,
+        BeginOutcome::Recorded(_) => Observed::Recorded,
+        BeginOutcome::Mismatch => panic!("the fingerprints are equal"),
     }
 }
 
 struct FailureCase {
     name: &'static str,
     steps: &'static [Step],
-    /// What a resend through another host gets right after the steps, and 20 seconds later.
-    resends: [Got; 2],
+    /// Outcomes of a retry on another host right after the steps, and 20 seconds later.
+    retries: [Observed; 2],
 }
 
-use Step::{Abandon, Begin, Faults, Finish, Kill, Outage, Restore, SaveCopy, Start, Take, Wait};
+use Step::{
+    Abandon, Begin, Displace, Faults, Finish, Kill, Outage, Restore, SaveSnapshot, Start, Wait,
+};
 
 const CASES: [FailureCase; 18] = [
     FailureCase {
-        name: "resent at once, across the restore",
-        steps: &[SaveCopy, Begin, Restore],
-        resends: [Got::NotRun, Got::Unknown],
+        name: "retried at once, across the restore",
+        steps: &[SaveSnapshot, Begin, Restore],
+        retries: [Observed::NotRun, Observed::Unknown],
     },
     FailureCase {
-        name: "resent at once after its answer",
-        steps: &[SaveCopy, Begin, Finish, Restore],
-        resends: [Got::NotRun, Got::Recorded],
+        name: "retried at once after its response",
+        steps: &[SaveSnapshot, Begin, Finish, Restore],
+        retries: [Observed::NotRun, Observed::Recorded],
     },
     FailureCase {
-        name: "answered after the restore",
-        steps: &[SaveCopy, Begin, Restore, Finish, Wait(2000)],
-        resends: [Got::Recorded, Got::Recorded],
+        name: "response recorded after the restore",
+        steps: &[SaveSnapshot, Begin, Restore, Finish, Wait(2000)],
+        retries: [Observed::Recorded, Observed::Recorded],
     },
     FailureCase {
-        name: "only the answer is lost",
-        steps: &[Begin, SaveCopy, Finish, Restore, Wait(2000)],
-        resends: [Got::Recorded, Got::Recorded],
+        name: "only the response is lost",
+        steps: &[Begin, SaveSnapshot, Finish, Restore, Wait(2000)],
+        retries: [Observed::Recorded, Observed::Recorded],
     },
     FailureCase {
         name: "two restores in a row",
-        steps: &[SaveCopy, Begin, Restore, Wait(300), Restore, Wait(2000)],
-        resends: [Got::Unknown, Got::Unknown],
+        steps: &[SaveSnapshot, Begin, Restore, Wait(300), Restore, Wait(2000)],
+        retries: [Observed::Unknown, Observed::Unknown],
     },
     FailureCase {
         name: "a second restore, after the row was written again",
-        steps: &[SaveCopy, Begin, Finish, Restore, Wait(1300), Restore],
-        resends: [Got::NotRun, Got::Recorded],
+        steps: &[SaveSnapshot, Begin, Finish, Restore, Wait(1300), Restore],
+        retries: [Observed::NotRun, Observed::Recorded],
     },
     FailureCase {
-        name: "the table is away meanwhile",
-        steps: &[SaveCopy, Begin, Outage(AWAY), Restore, Wait(19_950), Outage(StoreFault::None)],
-        resends: [Got::NotRun, Got::Unknown],
+        name: "table outage during the restore",
+        steps: &[
+            SaveSnapshot,
+            Begin,
+            Outage(TABLE_OUTAGE),
+            Restore,
+            Wait(19_950),
+            Outage(StoreFault::None),
+        ],
+        retries: [Observed::NotRun, Observed::Unknown],
     },
     FailureCase {
-        name: "the table stays away: no call begins",
-        steps: &[SaveCopy, Begin, Outage(StoreFault::Refuse), Restore, Wait(20_000)],
-        resends: [Got::NotRun, Got::NotRun],
+        name: "lasting table outage: no call begins",
+        steps: &[SaveSnapshot, Begin, Outage(StoreFault::Refuse), Restore, Wait(20_000)],
+        retries: [Observed::NotRun, Observed::NotRun],
     },
     FailureCase {
-        name: "writing again is refused twice",
-        steps: &[SaveCopy, Begin, Restore, Faults(StoreFault::Refuse), Wait(2400)],
-        resends: [Got::Unknown, Got::Unknown],
+        name: "writing the row back is rejected twice",
+        steps: &[SaveSnapshot, Begin, Restore, Faults(StoreFault::Refuse), Wait(2400)],
+        retries: [Observed::Unknown, Observed::Unknown],
     },
     FailureCase {
-        name: "writing again is lost twice",
-        steps: &[SaveCopy, Begin, Restore, Faults(StoreFault::LoseRequest), Wait(2400)],
-        resends: [Got::Unknown, Got::Unknown],
+        name: "writing the row back is lost twice",
+        steps: &[SaveSnapshot, Begin, Restore, Faults(StoreFault::LoseRequest), Wait(2400)],
+        retries: [Observed::Unknown, Observed::Unknown],
     },
     FailureCase {
         name: "a host that starts after the restore",
-        steps: &[SaveCopy, Begin, Restore, Start],
-        resends: [Got::NotRun, Got::Unknown],
+        steps: &[SaveSnapshot, Begin, Restore, Start],
+        retries: [Observed::NotRun, Observed::Unknown],
     },
     FailureCase {
         name: "a host that starts after the restore, a free key",
-        steps: &[SaveCopy, Restore, Start, Wait(2000)],
-        resends: [Got::NotRun, Got::Run],
+        steps: &[SaveSnapshot, Restore, Start, Wait(2000)],
+        retries: [Observed::NotRun, Observed::Run],
     },
     FailureCase {
-        name: "a free key, resent across the restore",
-        steps: &[SaveCopy, Restore],
-        resends: [Got::NotRun, Got::Run],
+        name: "a free key, retried across the restore",
+        steps: &[SaveSnapshot, Restore],
+        retries: [Observed::NotRun, Observed::Run],
     },
     FailureCase {
-        name: "not_run in the copy",
-        steps: &[Abandon, Wait(2000), SaveCopy, Begin, Restore],
-        resends: [Got::NotRun, Got::Unknown],
+        name: "not_run in the snapshot",
+        steps: &[Abandon, Wait(2000), SaveSnapshot, Begin, Restore],
+        retries: [Observed::NotRun, Observed::Unknown],
     },
     FailureCase {
-        name: "not_run in the copy, a host that starts",
-        steps: &[Abandon, Wait(2000), SaveCopy, Begin, Finish, Restore, Start],
-        resends: [Got::NotRun, Got::Recorded],
+        name: "not_run in the snapshot, a host that starts",
+        steps: &[Abandon, Wait(2000), SaveSnapshot, Begin, Finish, Restore, Start],
+        retries: [Observed::NotRun, Observed::Recorded],
     },
     FailureCase {
-        name: "another attempt has begun in its place",
-        steps: &[SaveCopy, Begin, Restore, Take(CallState::Intent), Wait(5000)],
-        resends: [Got::Unknown, Got::Unknown],
+        name: "another attempt's intent replaced the row",
+        steps: &[SaveSnapshot, Begin, Restore, Displace(CallState::Intent), Wait(5000)],
+        retries: [Observed::Unknown, Observed::Unknown],
     },
     FailureCase {
-        name: "another attempt was answered in its place",
-        steps: &[SaveCopy, Begin, Finish, Restore, Take(CallState::Answered), Wait(5000)],
-        resends: [Got::Recorded, Got::Recorded],
+        name: "another attempt's response replaced the row",
+        steps: &[SaveSnapshot, Begin, Finish, Restore, Displace(CallState::Answered), Wait(5000)],
+        retries: [Observed::Recorded, Observed::Recorded],
     },
     FailureCase {
-        name: "the owner is killed before it can write again",
-        steps: &[SaveCopy, Begin, Kill, Restore],
-        resends: [Got::NotRun, Got::Unknown],
+        name: "the owner is killed before it can write the row back",
+        steps: &[SaveSnapshot, Begin, Kill, Restore],
+        retries: [Observed::NotRun, Observed::Unknown],
     },
 ];
 
-fn foreign(state: CallState) -> CallRecord {
+fn other_record(state: CallState) -> CallRecord {
     CallRecord {
         state,
-        token: FOREIGN.into(),
+        token: OTHER_TOKEN.into(),
         fingerprint: request("r-1").fingerprint,
         at: UnixMillis(1_700_000_000_000),
-        answer: (state == CallState::Answered).then(|| answer(9)),
+        response: (state == CallState::Answered).then(|| response(9)),
         reserved_until: None,
     }
 }
 
-fn take(table: &MemoryTable, state: CallState) {
-    let key = Name::clone(request("r-1").key.row());
-    let value = serde_json::to_string(&foreign(state)).ok();
+fn displace(table: &MemoryTable, state: CallState) {
+    let key = Name::clone(request("r-1").key.row_key());
+    let value = serde_json::to_string(&other_record(state)).ok();
     let writes = vec![RowWrite { key, expect: RowPrecondition::Absent, value }];
-    table.commit(CommitRequest { writes, read_at: None }).expect("the table answers");
+    table.commit(CommitRequest { writes, read_at: None }).expect("the table responds");
 }
 
 fn row(table: &MemoryTable, key: &str) -> Option<CallRecord> {
-    let request = ReadRequest { keys: vec![Name::clone(request(key).key.row())] };
-    let reply = table.read(&request).expect("the table answers");
+    let request = ReadRequest { keys: vec![Name::clone(request(key).key.row_key())] };
+    let reply = table.read(&request).expect("the table responds");
     CallRecord::parse(&reply.rows[0].as_ref()?.value)
 }
 
@@ -254,48 +263,50 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_ran_twice_after_a_restore_and_another_failure() {
+async fn no_call_runs_twice_after_a_restore_and_another_failure() {
     log::set_logger(&CAPTURE).expect("no other test of this file sets it");
     log::set_max_level(LevelFilter::Warn);
-    for FailureCase { name, steps, resends } in &CASES {
+    for FailureCase { name, steps, retries } in &CASES {
         let stores = Stores::default();
         let table = &stores.table;
         let (alive, owners) = (CancellationToken::new(), CancellationToken::new());
         let owner = ledger(&stores, "owner", &owners);
         let mut other = ledger(&stores, "other", &alive);
-        let (mut copy, mut ticket) = (table.snapshot(), None);
+        let (mut snapshot, mut ticket) = (table.snapshot(), None);
         for step in *steps {
             match *step {
                 Begin => ticket = Some(must_run(&owner, "r-1").await),
-                Finish => owner.finish(ticket.take().expect("it began"), answer(2)).await,
+                Finish => {
+                    owner.finish(ticket.take().expect("the call has begun"), response(2)).await;
+                }
                 Abandon => other.abandon(must_run(&other, "r-1").await),
-                SaveCopy => copy = table.snapshot(),
-                Restore => table.restore(&copy),
+                SaveSnapshot => snapshot = table.snapshot(),
+                Restore => table.restore(&snapshot),
                 Outage(fault) => table.set_outage(fault),
                 Faults(fault) => table.fail_commits([fault; 2]),
                 Kill => owners.cancel(),
                 Start => other = ledger(&stores, "started", &alive),
-                Take(state) => take(table, state),
+                Displace(state) => displace(table, state),
                 Wait(millis) => tokio::time::sleep(Duration::from_millis(millis)).await,
             }
         }
-        let first = got(&other.begin(request("r-1")).await);
+        let first = observed(&other.begin(request("r-1")).await);
         tokio::time::sleep(Duration::from_secs(20)).await;
-        let later = got(&other.begin(request("r-1")).await);
-        assert_eq!([first, later], *resends, "{name}");
-        let taken = steps.iter().find_map(|step| match step {
-            Take(state) => Some(foreign(*state)),
+        let later = observed(&other.begin(request("r-1")).await);
+        assert_eq!([first, later], *retries, "{name}");
+        let displacing = steps.iter().find_map(|step| match step {
+            Displace(state) => Some(other_record(*state)),
             _other => None,
         });
-        assert_eq!(lost_lines(), usize::from(taken.is_some()), "{name}");
-        if taken.is_some() {
-            assert_eq!(row(table, "r-1"), taken, "{name}");
+        assert_eq!(take_lost_row_warnings(), usize::from(displacing.is_some()), "{name}");
+        if displacing.is_some() {
+            assert_eq!(row(table, "r-1"), displacing, "{name}");
         }
     }
 }
 
-/// A host whose commits that free a key are lost for four seconds.
-fn slow_closer(stores: &Stores) -> CallLedger {
+/// A host whose commits that free a key are lost without effect for four seconds.
+fn slow_closing_ledger(stores: &Stores) -> CallLedger {
     let store = stores.table.store();
     let mut slow = store.clone();
     let from = tokio::time::Instant::now();
@@ -305,7 +316,7 @@
             record.is_some_and(|record| record.state == CallState::NotRun)
         };
         if from.elapsed() < Duration::from_secs(4) && request.writes.iter().any(frees) {
-            let reason = "the answer was lost".to_owned();
+            let reason = "the response was lost".to_owned();
             return Box::pin(async { Err(PlatformError::Unknown { reason }) });
         }
         (store.commit)(request)
@@ -313,71 +324,72 @@
     ledger_at(slow, &stores.objects, "slow", &CancellationToken::new())
 }
 
-/// An intent that was written across the restore hid that the row was lost, and was taken back when all hosts began
-/// calls again.
+/// An intent written across the restore hid that the row was lost. When it was closed and all hosts
+/// began calls again, another call got the key.
 #[tokio::test(start_paused = true)]
-async fn a_place_that_was_taken_across_a_restore_went_to_another_call() {
+async fn a_row_displaced_across_a_restore_does_not_go_to_another_call() {
     let stores = Stores::default();
     let table = &stores.table;
     let alive = CancellationToken::new();
     let (owner, third) = (ledger(&stores, "owner", &alive), ledger(&stores, "third", &alive));
-    let slow = slow_closer(&stores);
+    let slow = slow_closing_ledger(&stores);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let copy = table.snapshot();
+    let snapshot = table.snapshot();
     let _ticket = must_run(&owner, "s-1").await;
-    table.restore(&copy);
-    assert_eq!(got(&slow.begin(request("s-1")).await), Got::NotRun);
-    assert_eq!(got(&third.begin(request("s-2")).await), Got::NotRun);
+    table.restore(&snapshot);
+    assert_eq!(observed(&slow.begin(request("s-1")).await), Observed::NotRun);
+    assert_eq!(observed(&third.begin(request("s-2")).await), Observed::NotRun);
     for _ in 0..600 {
         tokio::time::sleep(Duration::from_millis(20)).await;
         for host in [&slow, &third] {
-            assert_ne!(got(&host.begin(request("s-1")).await), Got::Run);
+            assert_ne!(observed(&host.begin(request("s-1")).await), Observed::Run);
         }
     }
     assert_eq!(row(table, "s-1").expect("there is a row").token, "owner.0".into());
 }
 
-async fn forget_journal(objects: &MemoryObjects) {
-    for key in objects.store().list_all(&"".into()).await.expect("the store answers") {
-        objects.delete(&key).expect("the store answers");
+async fn delete_journal(objects: &MemoryObjects) {
+    for key in objects.store().list_all(&"".into()).await.expect("the store responds") {
+        objects.delete(&key).expect("the store responds");
     }
 }
 
-/// More rows and larger answers than a host keeps: answers are dropped before rows, the oldest first.
+/// Caches more rows and larger responses than the limits allow: responses are dropped before rows,
+/// the oldest first.
 #[tokio::test(start_paused = true)]
-async fn kept_rows_grew_without_bound() {
+async fn cached_rows_stay_within_their_limits() {
     const ROWS: usize = 16_384;
-    const MORE: usize = 100;
+    const RESPONSES: usize = 100;
     let stores = Stores::default();
     let table = &stores.table;
-    let copy = table.snapshot();
+    let snapshot = table.snapshot();
     let owner = ledger(&stores, "owner", &CancellationToken::new());
     let mut begun = 0;
-    for group in [6000, 6000, ROWS + MORE - 12_000] {
+    for group in [6000, 6000, ROWS + RESPONSES - 12_000] {
         let mut begins = tokio::task::JoinSet::new();
         for number in begun..begun + group {
             let owner = owner.clone();
             begins.spawn(async move {
                 let ticket = must_run(&owner, &format!("r-{number}")).await;
                 if number >= ROWS {
-                    owner.finish(ticket, answer(64 * 1024)).await;
+                    owner.finish(ticket, response(64 * 1024)).await;
                 }
             });
         }
         begins.join_all().await;
         begun += group;
     }
-    // Without the journal, only what the host keeps in memory can be written again.
-    forget_journal(&stores.objects).await;
-    table.restore(&copy);
+    // Without the journal, only cached rows can be written back.
+    delete_journal(&stores.objects).await;
+    table.restore(&snapshot);
     tokio::time::sleep(Duration::from_secs(10)).await;
     let scan = ScanRequest { prefix: "call/".into(), after: "".into(), limit: usize::MAX };
-    let rows = table.scan(&scan).expect("the table answers").rows;
+    let rows = table.scan(&scan).expect("the table responds").rows;
     assert_eq!(rows.len(), ROWS);
     let records: Vec<_> = rows.iter().filter_map(|it| CallRecord::parse(&it.row.value)).collect();
     let count = |state| records.iter().filter(|record| record.state == state).count();
-    assert_eq!(count(CallState::Intent), ROWS - MORE);
-    assert_eq!(count(CallState::Answered) + count(CallState::Expired), MORE);
-    let bytes: usize = records.iter().filter_map(|it| Some(it.answer.as_ref()?.body.len())).sum();
+    assert_eq!(count(CallState::Intent), ROWS - RESPONSES);
+    assert_eq!(count(CallState::Answered) + count(CallState::Expired), RESPONSES);
+    let bytes: usize = records.iter().filter_map(|it| Some(it.response.as_ref()?.body.len())).sum();
     assert!((1..8 * 1024 * 1024).contains(&bytes), "{bytes} bytes of answers");
 }
--- a/crates/dillspool_ledger/tests/restored_ledger.rs
+++ b/crates/dillspool_ledger/tests/restored_ledger.rs
@@ -1,4 +1,4 @@
-//! The table comes back from a copy that lacks the rows of calls that ran.
+//! A restored table lacks the rows of calls that ran.
 
 use std::time::Duration;
 
@@ -25,38 +25,38 @@
 
 struct LostCase {
     name: &'static str,
-    /// Whether its answer was recorded before the row was lost.
-    answered: bool,
+    /// Whether the response was recorded before the row was lost.
+    has_response: bool,
     /// Whether the table was restored at all.
     restored: bool,
 }
 
 const CASES: [LostCase; 4] = [
-    LostCase { name: "under way", answered: false, restored: true },
-    LostCase { name: "answered", answered: true, restored: true },
-    LostCase { name: "under way, nothing lost", answered: false, restored: false },
-    LostCase { name: "answered, nothing lost", answered: true, restored: false },
+    LostCase { name: "in progress", has_response: false, restored: true },
+    LostCase { name: "response recorded", has_response: true, restored: true },
+    LostCase { name: "in progress, nothing lost", has_response: false, restored: false },
+    LostCase { name: "response recorded, nothing lost", has_response: true, restored: false },
 ];
 
-/// Cases in which a call that ran may be sent again through a host.
-async fn run_twice(resend_at: &str) -> Vec<&'static str> {
+/// Returns the cases in which a call that ran may be sent again through a host.
+async fn run_twice(retry_at: &str) -> Vec<&'static str> {
     let mut twice = Vec::new();
-    for LostCase { name, answered, restored } in CASES {
+    for LostCase { name, has_response, restored } in CASES {
         let table = MemoryTable::new();
         let (one, other) = (ledger(&table, "one"), ledger(&table, "other"));
-        let copy = table.snapshot();
+        let snapshot = table.snapshot();
         let BeginOutcome::Run(ticket) = one.begin(request()).await else {
             panic!("{name}: the first sending does not run");
         };
-        if answered {
-            let answer = RecordedResponse::new(201, "application/json", b"{}");
-            one.finish(ticket, answer).await;
+        if has_response {
+            let response = RecordedResponse::new(201, "application/json", b"{}");
+            one.finish(ticket, response).await;
         }
         if restored {
-            table.restore(&copy);
+            table.restore(&snapshot);
         }
         tokio::time::sleep(Duration::from_secs(3)).await;
-        let host = if resend_at == "one" { &one } else { &other };
+        let host = if retry_at == "one" { &one } else { &other };
         if matches!(host.begin(request()).await, BeginOutcome::Run(_)) {
             twice.push(name);
         }
@@ -65,11 +65,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_whose_row_a_restored_table_lost_ran_again_at_its_host() {
+async fn a_call_whose_row_was_lost_does_not_run_again_on_its_host() {
     assert_eq!(run_twice("one").await, [""; 0]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_whose_row_a_restored_table_lost_ran_again_at_another_host() {
+async fn a_call_whose_row_was_lost_does_not_run_again_on_another_host() {
     assert_eq!(run_twice("other").await, [""; 0]);
 }
