--- a/crates/dillspool_forward/src/generate/send.rs
+++ b/crates/dillspool_forward/src/generate/send.rs
@@ -7,7 +7,7 @@
 use dillspool_admission::EngineFault;
 use dillspool_io::MomentPassed;
 use dillspool_routing::BackendEntry;
-use dillspool_scheduler::DeskNote;
+use dillspool_scheduler::PlacementEvent;
 use hyper::{HeaderMap, Response, StatusCode};
 
 use super::{AcceptedRequest, ModelRequest, OpenOutcome, OpenStream, PreparedAttempt};
@@ -129,7 +129,7 @@
         }
         let (status, headers) = (response.status, response.headers.clone());
         if response.is_verified_success() {
-            ticket.record(&DeskNote::Started);
+            ticket.record(&PlacementEvent::Started);
             if self.is_before_first_event() {
                 self.stages.opened = self.request.age();
             }
--- a/crates/dillspool_forward/src/handle.rs
+++ b/crates/dillspool_forward/src/handle.rs
@@ -62,7 +62,7 @@
         Ok(response) => response,
         Err((refusal, mut trace)) => {
             if let Some(spent) = spent.filter(|_spent| refusal.cause.did_not_run()) {
-                spent.give_back();
+                spent.refund();
             }
             trace.refused(&refusal);
             refusal.response()
--- a/crates/dillspool_forward/src/placement.rs
+++ b/crates/dillspool_forward/src/placement.rs
@@ -11,7 +11,7 @@
     StreamPlacement, WorkClass,
 };
 use dillspool_routing::{BackendEntry, BackendId, RoutedRequest};
-use dillspool_scheduler::{DeskNote, PlacementTicket};
+use dillspool_scheduler::{PlacementEvent, PlacementTicket};
 use dillspool_schema::Name;
 
 use crate::backend_tracker::LoadGuard;
@@ -91,26 +91,26 @@
 
 impl StreamTicket {
     /// Reports an event of the request to the scheduler.
-    pub(crate) fn record(&self, note: &DeskNote) {
+    pub(crate) fn record(&self, note: &PlacementEvent) {
         if let Some(schedule) = &self.schedule {
-            schedule.note(note);
+            schedule.record_event(note);
         }
     }
 
     /// Reports a fault of an engine to the scheduler.
     pub(crate) fn record_fault(&self, engine: &BackendEntry, fault: EngineFault) {
-        self.record(&DeskNote::Fault { engine: engine.instance(), fault });
+        self.record(&PlacementEvent::Fault { engine: engine.instance(), fault });
     }
 
     /// Asks for another prefill engine.
     pub(crate) async fn choose_prefill(&self, request: &PlacementRequest) -> Option<Name> {
-        self.schedule.as_ref()?.ask_prefill(request).await
+        self.schedule.as_ref()?.request_prefill(request).await
     }
 
     /// Reports to the scheduler that the response is complete.
     pub(crate) fn record_complete(&mut self, event_gap: Option<Duration>) {
         if let Some(schedule) = &mut self.schedule {
-            schedule.end(StreamEnd { is_complete: true, event_gap });
+            schedule.record_ended(StreamEnd { is_complete: true, event_gap });
         }
     }
 }
@@ -171,11 +171,11 @@
     request: &Arc<RoutedRequest>,
     mut query: PlacementRequest,
 ) -> Result<Placement, Refusal> {
-    let ticket = context.schedule.open(&request.service);
+    let ticket = context.schedule.open_ticket(&request.service);
     let class = query.class;
     let mut blocked = 0;
     loop {
-        let decision = ticket.ask(&query).await;
+        let decision = ticket.request_placement(&query).await;
         let placement = match decision {
             Some(PlacementDecision::Place(placement)) => placement,
             Some(PlacementDecision::Reject { cause, retry_after }) => {
@@ -306,6 +306,6 @@
         entry.id,
         placement.reserve_tokens,
     );
-    ticket.note(&DeskNote::Fault { engine: entry.instance(), fault });
+    ticket.record_event(&PlacementEvent::Fault { engine: entry.instance(), fault });
     Err(error)
 }
--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -169,7 +169,7 @@
     let mut record = AttemptRecord::default();
     let mut probe = None;
     // Dropped after an abandoned attempt, so its slot is freed once the connection is closed.
-    let mut ticket = context.call_client.open(&request.service);
+    let mut ticket = context.call_client.open_ticket(&request.service);
     while may_retry(context, request, &mut probe).await
         && let Some((entry, directory, permit)) =
             next_backend(context, request, &mut record, &mut ticket).await
@@ -186,7 +186,7 @@
             }
             outcome => outcome,
         };
-        ticket.end(outcome.call_outcome(), started.elapsed());
+        ticket.complete(outcome.call_outcome(), started.elapsed());
         match outcome {
             AttemptOutcome::Complete(response) if !response.status.is_server_error() => {
                 context.backend_tracker.record_success(&entry.instance(), started.elapsed());
--- a/crates/dillspool_forward/src/prefill.rs
+++ b/crates/dillspool_forward/src/prefill.rs
@@ -6,7 +6,7 @@
 use dillspool_admission::{EngineFault, WorkClass};
 use dillspool_io::MomentPassed;
 use dillspool_routing::{BackendEntry, BackendId, RoutedRequest};
-use dillspool_scheduler::DeskNote;
+use dillspool_scheduler::PlacementEvent;
 use tokio::time::Instant;
 
 use crate::backend_probe::{may_retry, spawn_failure_probe};
@@ -65,7 +65,7 @@
     let mut guard = PrefillGuard::empty(context);
     guard.prefilled = try_prefill_engines(context, request, placement, priority).await;
     if guard.prefilled.is_none() && placement.prefill.is_some() {
-        placement.ticket.record(&DeskNote::ReadsItself);
+        placement.ticket.record(&PlacementEvent::PrefilledLocally);
     }
     guard
 }
@@ -101,7 +101,7 @@
         let error = match request_prefill(context, request, &entry, priority).await {
             Ok(prefilled) => {
                 permit.release();
-                placement.ticket.record(&DeskNote::Prefilled { took: started.elapsed() });
+                placement.ticket.record(&PlacementEvent::Prefilled { took: started.elapsed() });
                 return Some(prefilled);
             }
             Err(error) => error,
--- a/crates/dillspool_forward/src/response_body.rs
+++ b/crates/dillspool_forward/src/response_body.rs
@@ -270,7 +270,7 @@
                 self.request.clock.since(self.response.sent_at).saturating_sub(self.caller_stalled);
             self.context.backend_tracker.record_success(&self.response.entry.instance(), took);
             if let Some(mut call) = self.response.call.take() {
-                call.end(CallOutcome::Answered, took);
+                call.complete(CallOutcome::Answered, took);
             }
         }
         if status.is_success() {
@@ -287,7 +287,7 @@
         let _probe = spawn_failure_probe(&self.context, &self.request, entry);
         self.context.backend_tracker.record_no_response(&entry.instance(), cause);
         if let Some(mut call) = self.response.call.take() {
-            call.end(CallOutcome::Lost, self.request.clock.since(self.response.sent_at));
+            call.complete(CallOutcome::Lost, self.request.clock.since(self.response.sent_at));
         }
         self.trace.response_broken(cause);
     }
--- a/crates/dillspool_forward/src/scheduled.rs
+++ b/crates/dillspool_forward/src/scheduled.rs
@@ -81,9 +81,9 @@
     let mut blocked = 0;
     for _decision in 0..MAX_OVERRIDES {
         let call = call_request(context, request, tried, &gone);
-        let decision = ticket.ask(&call).await;
+        let decision = ticket.request_decision(&call).await;
         if let Some(decision) = &decision
-            && let Some(waited) = ticket.queued_for()
+            && let Some(waited) = ticket.queue_time()
         {
             log_call_queued(request, waited, decision);
         }
@@ -110,7 +110,7 @@
             Ok((entry, permit)) => return ScheduleOutcome::Send(entry, permit),
             Err(cause) => {
                 log_call_overruled(request, &backend.id, cause.name());
-                ticket.end(CallOutcome::Abandoned, Duration::ZERO);
+                ticket.complete(CallOutcome::Abandoned, Duration::ZERO);
                 match cause {
                     OverrideCause::Gone => gone.push(backend.id),
                     OverrideCause::Blocked => blocked += 1,
--- a/crates/dillspool_forward/src/throttle.rs
+++ b/crates/dillspool_forward/src/throttle.rs
@@ -15,7 +15,7 @@
 use dillspool_limits::{SpendDecision, SpendRequest};
 use dillspool_moment::Moment;
 use dillspool_routing::{BackendEntry, BackendId, BackendInstance, RoutedRequest};
-use dillspool_scheduler::SpentAmount;
+use dillspool_scheduler::SpendGrant;
 use dillspool_throttle::SendDecision;
 use rand::Rng;
 
@@ -48,14 +48,14 @@
 #[derive(Debug)]
 pub(crate) struct SendPermit {
     /// `None` if the backend server has no limit.
-    spent: Option<SpentAmount>,
+    spent: Option<SpendGrant>,
 }
 
 impl SendPermit {
     /// Returns the spent amount, since nothing was sent.
     pub(crate) fn refund(self) {
         if let Some(spent) = self.spent {
-            spent.give_back();
+            spent.refund();
         }
     }
 }
@@ -93,7 +93,7 @@
     let decision = request.clock.timeout_at(request.deadline, spending).await.ok().flatten();
     let block_time = match decision {
         Some(SpendDecision::Allowed) => {
-            return Some(SendPermit { spent: Some(context.backend_limits.spent(&spend)) });
+            return Some(SendPermit { spent: Some(context.backend_limits.grant(&spend)) });
         }
         Some(SpendDecision::Refused { come_back }) => come_back.max(MIN_BLOCK_TIME),
         None => UNKNOWN_BLOCK_TIME,
--- a/crates/dillspool_forward/src/workspace_limit.rs
+++ b/crates/dillspool_forward/src/workspace_limit.rs
@@ -8,7 +8,7 @@
 
 use dillspool_limits::{LimitRate, RateVersion, SpendDecision, SpendRequest};
 use dillspool_routing::RoutedRequest;
-use dillspool_scheduler::SpentAmount;
+use dillspool_scheduler::SpendGrant;
 use dillspool_schema::Name;
 
 use crate::context::ForwardContext;
@@ -30,7 +30,7 @@
 pub(crate) async fn spend_workspace_limit(
     context: &ForwardContext,
     request: &RoutedRequest,
-) -> Result<Option<SpentAmount>, Refusal> {
+) -> Result<Option<SpendGrant>, Refusal> {
     let Some(workspace) = &request.workspace else { return Ok(None) };
     let Some(limit) = &workspace.limit else { return Ok(None) };
     let spend = SpendRequest {
@@ -44,7 +44,7 @@
     };
     let max_wait = request.route.objective.mul_f64(HOLDER_WAIT_FRACTION).min(request.remaining());
     match context.limits.spend(&spend, max_wait).await {
-        Some(SpendDecision::Allowed) => Ok(Some(context.limits.spent(&spend))),
+        Some(SpendDecision::Allowed) => Ok(Some(context.limits.grant(&spend))),
         Some(SpendDecision::Refused { come_back }) => {
             log::info!(
                 "event=over_limit id={} workspace={} amount={} per_s={} burst={} config={} come_back_ms={}",
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -22,8 +22,8 @@
     ServiceEntry, ServiceShare,
 };
 use dillspool_scheduler::{
-    BusHandlers, CallClient, CallDesk, CallTerms, FleetBus, LimitClient, LimitDesk, LimitTerms,
-    PoolDesk, ScheduleClient,
+    BusHandlers, CallClient, CallScheduler, CallSchedulerSettings, FleetBus, LimitClient,
+    PlacementScheduler, RateLimiter, RateLimiterSettings, ScheduleClient,
 };
 use dillspool_suspects::{
     FingerprintInput, FingerprintKey, RequestFingerprint, SuspectPolicy, SuspectTracker,
@@ -286,7 +286,7 @@
 
     /// A client that schedules locally from a directory, without a remote scheduler.
     fn schedule(directory: &watch::Receiver<Arc<DirectoryView>>) -> ScheduleClient {
-        let desk = PoolDesk::new(
+        let desk = PlacementScheduler::new(
             AdmissionPolicy::default(),
             1,
             DemandMeter::default(),
@@ -309,7 +309,7 @@
     ) -> (ForwardContext, watch::Sender<Arc<DirectoryView>>) {
         let (sender, directory) = watch::channel(Arc::new(view));
         let schedule = Self::schedule(&directory);
-        let calls = CallDesk::new(CallTerms::default(), 1, HostClock::steady());
+        let calls = CallScheduler::new(CallSchedulerSettings::default(), 1, HostClock::steady());
         let budget =
             BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 1_000_000.0 };
         let context = ForwardContext {
@@ -318,12 +318,15 @@
             directory,
             schedule,
             call_client: CallClient::new(calls),
-            limits: LimitClient::new(LimitDesk::new(
-                LimitTerms { slack: 0.0, shares: 2 },
+            limits: LimitClient::new(RateLimiter::new(
+                RateLimiterSettings { slack: 0.0, shares: 2 },
                 HostClock::steady(),
             )),
             throttle: ThrottleTracker::new(HostClock::steady()),
-            backend_limits: LimitClient::new(LimitDesk::of_backend_servers(2, HostClock::steady())),
+            backend_limits: LimitClient::new(RateLimiter::for_backend_servers(
+                2,
+                HostClock::steady(),
+            )),
             backend_tracker: BackendTracker::default(),
             budgets: RetryBudgets::new(budget, HostClock::steady()),
             probes: BackendProbes::default(),
--- a/crates/dillspool_forward/tests/scheduled_calls.rs
+++ b/crates/dillspool_forward/tests/scheduled_calls.rs
@@ -17,7 +17,7 @@
     BackendEntry, BackendInstance, BackendStart, BackendState, ClientLimits, DirectoryView,
     RequestKind, RouteTable, RoutingConfig, ServiceEntry,
 };
-use dillspool_scheduler::{CallClient, CallDesk, CallTerms};
+use dillspool_scheduler::{CallClient, CallScheduler, CallSchedulerSettings};
 use dillspool_throttle::{BackoffNotice, RateNotice};
 use hyper::header::RETRY_AFTER;
 use tokio::sync::watch;
@@ -49,7 +49,7 @@
 /// A host that schedules its own calls, and the directory of its scheduler.
 struct SchedulingHost {
     context: ForwardContext,
-    desk: CallDesk,
+    desk: CallScheduler,
     desk_view: watch::Sender<Arc<DirectoryView>>,
     directory: watch::Sender<Arc<DirectoryView>>,
     _config: watch::Sender<Option<Arc<RoutingConfig>>>,
@@ -68,8 +68,8 @@
         clock: HostClock,
     ) -> Self {
         let (mut context, directory) = site.context(known.clone());
-        let terms = CallTerms { slots_per_host, ..CallTerms::default() };
-        let desk = CallDesk::new(terms, 1, clock);
+        let terms = CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() };
+        let desk = CallScheduler::new(terms, 1, clock);
         let (config_sender, config) = watch::channel(Some(Arc::new(config())));
         let (desk_view, views) = watch::channel(Arc::new(known));
         tokio::spawn(desk.clone().run(config, views, || Some(3), CancellationToken::new()));
@@ -80,14 +80,14 @@
 
     /// Limit of calls in flight.
     fn limit(&self) -> usize {
-        let snapshots = self.desk.read();
+        let snapshots = self.desk.snapshots();
         let servers = snapshots.iter().flat_map(|(_service, snapshot)| &snapshot.servers);
         servers.map(|server| server.limit as usize).sum()
     }
 
     /// Calls that are queued or in flight.
     fn held_calls(&self) -> usize {
-        let snapshots = self.desk.read();
+        let snapshots = self.desk.snapshots();
         let count = snapshots.iter().map(|(_service, snapshot)| {
             let in_flight: u32 = snapshot.servers.iter().map(|server| server.in_flight).sum();
             snapshot.waiting + in_flight as usize
@@ -161,7 +161,7 @@
             let record = site.record.lock().unwrap();
             assert_eq!(record.arrivals.len(), case.arrivals, "{name}");
             assert_eq!(host.held_calls(), 0, "{name}: a slot stays taken");
-            assert_eq!(host.desk.read().is_empty(), !is_scheduled, "{name}: an unused queue");
+            assert_eq!(host.desk.snapshots().is_empty(), !is_scheduled, "{name}: an unused queue");
         }
     }
 }
@@ -187,7 +187,7 @@
             let routed = request(NonIdempotent, 1, false);
             let _answer = handle_request(host.context.clone(), routed).await;
         }
-        let (_service, snapshot) = host.desk.read().pop().expect("a queue");
+        let (_service, snapshot) = host.desk.snapshots().pop().expect("a queue");
         assert_eq!(snapshot.servers[0].is_circuit_open, expected, "{step:?} {calls} times");
     }
 }
--- a/crates/dillspool_forward/tests/throttle.rs
+++ b/crates/dillspool_forward/tests/throttle.rs
@@ -13,8 +13,8 @@
 use dillspool_io::{HostClock, LinkMode, MemoryNet};
 use dillspool_routing::{BackendEntry, BackendInstance, DirectoryView, EngineStage, RequestKind};
 use dillspool_scheduler::{
-    BusHandlers, CallDesk, CallTerms, FleetBus, LimitClient, LimitDesk, PoolDesk, ScheduleDesks,
-    SchedulePeers, serve_schedule,
+    BusHandlers, CallScheduler, CallSchedulerSettings, FleetBus, LimitClient, PlacementScheduler,
+    RateLimiter, SchedulePeers, ScheduleServices, serve_schedule,
 };
 use dillspool_throttle::{BackoffNotice, RateNotice, RequestRate};
 use tokio::time::Instant;
@@ -196,23 +196,24 @@
 /// Links host 1 to host 2, the holder of the backend servers' limits.
 async fn link_to_holder(net: &MemoryNet, limits: &LimitClient, cancel: &CancellationToken) {
     let clock = HostClock::steady();
-    let desks = ScheduleDesks {
-        pools: PoolDesk::new(
+    let desks = ScheduleServices {
+        pools: PlacementScheduler::new(
             AdmissionPolicy::default(),
             1,
             DemandMeter::default(),
             HostClock::steady(),
         ),
-        calls: CallDesk::new(CallTerms::default(), 1, HostClock::steady()),
-        limits: LimitDesk::of_backend_servers(2, HostClock::steady()),
-        backend_limits: LimitDesk::of_backend_servers(2, HostClock::steady()),
+        calls: CallScheduler::new(CallSchedulerSettings::default(), 1, HostClock::steady()),
+        limits: RateLimiter::for_backend_servers(2, HostClock::steady()),
+        backend_limits: RateLimiter::for_backend_servers(2, HostClock::steady()),
         bus: FleetBus::new(BusHandlers::none(), clock),
     };
     let listener = net.stack(peer(2).ip()).listen(peer(2)).await.expect("a free address");
     tokio::spawn(serve_schedule(listener, desks, cancel.clone()));
-    let peers = |_share: &str| SchedulePeers { own: Some(peer(1)), ranked: vec![peer(2), peer(1)] };
+    let peers =
+        |_share: &str| SchedulePeers { own_address: Some(peer(1)), ranked: vec![peer(2), peer(1)] };
     let (limits, stack) = (limits.clone(), net.stack(peer(1).ip()));
-    tokio::spawn(limits.run_wanted(stack, "host-1".into(), peers, || Some(2), cancel.clone()));
+    tokio::spawn(limits.run_on_demand(stack, "host-1".into(), peers, || Some(2), cancel.clone()));
 }
 
 /// A holder that does not respond is waited for, but not beyond the request's deadline.
@@ -226,7 +227,7 @@
         link_to_holder(&net, &context.backend_limits, &cancel).await;
         announce_limits(&context, &names, 1.0);
         for id in names {
-            context.backend_limits.want(id);
+            context.backend_limits.ensure_link(id);
         }
         tokio::time::sleep(Duration::from_secs(20)).await;
         net.set_link(peer(1).ip(), peer(2).ip(), LinkMode::Frozen);
--- a/crates/dillspool_router/src/call_metrics.rs
+++ b/crates/dillspool_router/src/call_metrics.rs
@@ -4,7 +4,7 @@
 
 use dillspool_calls::RejectCause;
 use dillspool_metrics::write_labels;
-use dillspool_scheduler::CallDesk;
+use dillspool_scheduler::CallScheduler;
 use dillspool_schema::Name;
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
 use prometheus_client::metrics::counter::Counter;
@@ -39,7 +39,7 @@
 /// Figures of a host's call queues.
 #[derive(Clone, Debug)]
 pub(crate) struct CallMetrics {
-    desk: CallDesk,
+    desk: CallScheduler,
     waiting: Family<ServiceLabels, Gauge>,
     in_flight: Family<ServiceLabels, Gauge>,
     limit: Family<ServiceLabels, Gauge>,
@@ -48,7 +48,7 @@
 
 impl CallMetrics {
     /// Figures of a desk.
-    pub(crate) fn new(desk: CallDesk) -> Self {
+    pub(crate) fn new(desk: CallScheduler) -> Self {
         Self {
             desk,
             waiting: Family::default(),
@@ -76,7 +76,7 @@
         self.waiting.clear();
         self.in_flight.clear();
         self.limit.clear();
-        for (service, reading) in self.desk.read() {
+        for (service, reading) in self.desk.snapshots() {
             let labels = ServiceLabels { service: Name::clone(&service) };
             let servers = reading.servers.iter();
             let (in_flight, limit) = servers.fold((0_i64, 0_i64), |(in_flight, limit), server| {
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -16,7 +16,8 @@
 use dillspool_roles::{PoolTargets, ReconcilerSettings, reconcile_stages};
 use dillspool_routing::RoutingConfig;
 use dillspool_scheduler::{
-    CallDesk, FleetNews, LimitClient, LimitDesk, PoolDesk, ScheduleClient, ScheduleDesks,
+    CallScheduler, FleetUpdate, LimitClient, PlacementScheduler, RateLimiter, ScheduleClient,
+    ScheduleServices,
 };
 use dillspool_schema::Name;
 use dillspool_suspects::{SuspectPolicy, SuspectTracker};
@@ -119,12 +120,13 @@
         let metrics = ForwardMetrics::default();
         let suspects = SuspectTracker::new(SuspectPolicy::default(), clock.clone());
         suspects.set_lifted(config.lifted.clone());
-        let limits = LimitDesk::new(config.limits, clock.clone());
-        let backend_limits = LimitDesk::of_backend_servers(config.limits.shares, clock.clone());
+        let limits = RateLimiter::new(config.limits, clock.clone());
+        let backend_limits = RateLimiter::for_backend_servers(config.limits.shares, clock.clone());
         let seed = hash_of(&config.host);
-        let desk = PoolDesk::new(config.policy.admission, seed, demand.clone(), clock.clone());
-        let calls = CallDesk::new(config.calls, seed, clock.clone());
-        let desks = ScheduleDesks {
+        let desk =
+            PlacementScheduler::new(config.policy.admission, seed, demand.clone(), clock.clone());
+        let calls = CallScheduler::new(config.calls, seed, clock.clone());
+        let desks = ScheduleServices {
             pools: desk,
             calls: calls.clone(),
             limits: limits.clone(),
@@ -314,8 +316,8 @@
             unreadable: beliefs.unreadable.clone(),
             desk: self.suspects.clone(),
             wall: WallClock::system(),
-            tell: Arc::new(move |news| telling.tell(&FleetNews::Suspect(news.clone()))),
-            schedules: Arc::new(move || schedule.schedules_any()),
+            tell: Arc::new(move |news| telling.publish(&FleetUpdate::Suspect(news.clone()))),
+            schedules: Arc::new(move || schedule.is_any_scheduler()),
         };
         tokio::spawn(keeper.run(self.background.clone()));
     }
--- a/crates/dillspool_router/src/fleet_duties.rs
+++ b/crates/dillspool_router/src/fleet_duties.rs
@@ -9,8 +9,8 @@
 use dillspool_roles::DelayFn;
 use dillspool_routing::RoutingConfig;
 use dillspool_scheduler::{
-    BusHandlers, CallClient, CallDesk, FleetBus, LimitClient, LimitDesk, NoticeHandlers,
-    ScheduleClient, ScheduleDesks, SuspectHandlers, serve_schedule,
+    BusHandlers, CallClient, CallScheduler, FleetBus, LimitClient, NoticeHandlers, RateLimiter,
+    ScheduleClient, ScheduleServices, SuspectHandlers, serve_schedule,
 };
 use dillspool_schema::Name;
 use dillspool_suspects::SuspectTracker;
@@ -60,7 +60,7 @@
     cancel: CancellationToken,
 ) {
     loop {
-        let hosts = schedule.hosts().or_else(|| peers.count_hosts());
+        let hosts = schedule.host_count().or_else(|| peers.count_hosts());
         if let Some(hosts) = hosts {
             budgets.set_host_count(hosts);
             count.set(hosts);
@@ -82,20 +82,20 @@
     let (learning, telling) = (suspects.clone(), suspects.clone());
     let (knowing, repeating) = (suspects.clone(), suspects.clone());
     let suspects = SuspectHandlers {
-        learn: Arc::new(move |news| learning.apply_update(news)),
-        worth_telling: Arc::new(move |news| telling.updates_to_forward(news)),
-        known: Arc::new(move |most| knowing.newest_updates(most)),
-        repeated: Arc::new(move |most| repeating.newest_repeated(most)),
+        apply_update: Arc::new(move |news| learning.apply_update(news)),
+        updates_to_forward: Arc::new(move |news| telling.updates_to_forward(news)),
+        newest_updates: Arc::new(move |most| knowing.newest_updates(most)),
+        newest_repeated: Arc::new(move |most| repeating.newest_repeated(most)),
     };
     let (learning, knowing) = (site.throttle.clone(), site.throttle.clone());
     let throttle = NoticeHandlers {
-        learn: Arc::new(move |news| learning.apply_update(news)),
-        known: Arc::new(move |most| knowing.newest_updates(most)),
+        apply_update: Arc::new(move |news| learning.apply_update(news)),
+        newest_updates: Arc::new(move |most| knowing.newest_updates(most)),
     };
     let (learning, knowing) = (site.leaving.clone(), site.leaving.clone());
     let leaving = NoticeHandlers {
-        learn: Arc::new(move |news| learning.apply_update(news)),
-        known: Arc::new(move |most| knowing.newest_updates(most)),
+        apply_update: Arc::new(move |news| learning.apply_update(news)),
+        newest_updates: Arc::new(move |most| knowing.newest_updates(most)),
     };
     FleetBus::new(BusHandlers { suspects, throttle, leaving }, clock.clone())
 }
@@ -107,7 +107,7 @@
     stack: &NetStack,
     beliefs: &Beliefs,
     listener: NetListener,
-    desks: ScheduleDesks,
+    desks: ScheduleServices,
     cancel: &CancellationToken,
 ) -> ScheduleClient {
     let (desk, bus) = (desks.pools.clone(), desks.bus.clone());
@@ -131,7 +131,7 @@
     config: &RouterConfig,
     stack: &NetStack,
     beliefs: &Beliefs,
-    desk: LimitDesk,
+    desk: RateLimiter,
     cancel: &CancellationToken,
 ) -> LimitClient {
     let client = LimitClient::new(desk);
@@ -148,16 +148,16 @@
     config: &RouterConfig,
     stack: &NetStack,
     beliefs: &Beliefs,
-    desk: LimitDesk,
+    desk: RateLimiter,
     schedule: ScheduleClient,
     cancel: &CancellationToken,
 ) -> LimitClient {
     let client = LimitClient::new(desk);
     let (listed, counted) = (beliefs.peers.clone(), beliefs.peers.clone());
     let peers = move |share: &str| listed.schedule_peers(share);
-    let count = move || schedule.hosts().or_else(|| counted.count_hosts());
+    let count = move || schedule.host_count().or_else(|| counted.count_hosts());
     let host = Name::clone(&config.host);
-    tokio::spawn(client.clone().run_wanted(stack.clone(), host, peers, count, cancel.clone()));
+    tokio::spawn(client.clone().run_on_demand(stack.clone(), host, peers, count, cancel.clone()));
     client
 }
 
@@ -167,7 +167,7 @@
     config: &RouterConfig,
     stack: &NetStack,
     beliefs: &Beliefs,
-    desk: CallDesk,
+    desk: CallScheduler,
     hosts: HostCount,
     cancel: &CancellationToken,
 ) -> CallClient {
@@ -197,7 +197,7 @@
     Arc::new(move || {
         let known = config.borrow();
         let mut services = known.iter().flat_map(|known| known.services.keys());
-        let is_first = services.any(|service| schedule.schedules(service));
+        let is_first = services.any(|service| schedule.is_scheduler_for(service));
         if is_first { Duration::ZERO } else { OTHERS_ORDER_DELAY + spread }
     })
 }
--- a/crates/dillspool_router/src/notice_keeper.rs
+++ b/crates/dillspool_router/src/notice_keeper.rs
@@ -7,7 +7,7 @@
 use dillspool_leaving::LeavingTracker;
 use dillspool_limits::SpendRequest;
 use dillspool_routing::DirectoryView;
-use dillspool_scheduler::{FleetNews, LimitClient, ScheduleClient};
+use dillspool_scheduler::{FleetUpdate, LimitClient, ScheduleClient};
 use dillspool_throttle::ThrottleTracker;
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -45,16 +45,16 @@
 
     fn tell_leaving(&self) {
         for news in self.leaving.take_updates() {
-            self.schedule.tell(&FleetNews::Leaving(news));
+            self.schedule.publish(&FleetUpdate::Leaving(news));
         }
     }
 
     fn tell_limits(&self) {
         for news in self.throttle.take_updates() {
-            self.schedule.tell(&FleetNews::Throttle(news));
+            self.schedule.publish(&FleetUpdate::Throttle(news));
         }
         for known in self.throttle.newest_updates(usize::MAX) {
-            self.limits.want(&known.backend.label());
+            self.limits.ensure_link(&known.backend.label());
         }
         for before in self.throttle.take_unreported() {
             tokio::spawn(charge(self.limits.clone(), before));
--- a/crates/dillspool_router/src/peer_list.rs
+++ b/crates/dillspool_router/src/peer_list.rs
@@ -90,7 +90,7 @@
         };
         let hosts: Vec<_> =
             self.with_rows(|rows| relied_on(rows).into_iter().filter_map(candidate).collect());
-        SchedulePeers { own: self.own.schedule, ranked: rank_candidates(service, &hosts) }
+        SchedulePeers { own_address: self.own.schedule, ranked: rank_candidates(service, &hosts) }
     }
 
     /// Whose questions to the store this host's beliefs come from.
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -7,7 +7,7 @@
 use dillspool_forward::BudgetSettings;
 use dillspool_io::HeldTerms;
 use dillspool_roles::ShareRule;
-use dillspool_scheduler::{CallTerms, LimitTerms};
+use dillspool_scheduler::{CallSchedulerSettings, RateLimiterSettings};
 use dillspool_schema::Name;
 use dillspool_schema::router::{CallSettings, LimitSettings, RouterSettings, SuspectSettings};
 use dillspool_suspects::{FingerprintKey, RequestFingerprint};
@@ -99,7 +99,7 @@
     /// Budget of repeated sends.
     pub budget: BudgetSettings,
     /// How the limits of workspaces are counted.
-    pub limits: LimitTerms,
+    pub limits: RateLimiterSettings,
     /// Limits on bytes held for slow peers; `None` where they are not limited.
     pub held: Option<HeldTerms>,
     /// Key of the prints that stand for requests.
@@ -117,7 +117,7 @@
     /// How requests for engines are decided on.
     pub policy: PolicyConfig,
     /// Which services' calls one host decides on.
-    pub calls: CallTerms,
+    pub calls: CallSchedulerSettings,
     /// Log level.
     pub log_level: log::LevelFilter,
 }
@@ -189,21 +189,21 @@
 }
 
 /// The terms of limits; without them a holder grants no more than the limits say.
-fn limit_terms(settings: Option<&LimitSettings>) -> Result<LimitTerms, SettingsError> {
+fn limit_terms(settings: Option<&LimitSettings>) -> Result<RateLimiterSettings, SettingsError> {
     let slack = settings.and_then(|settings| settings.slack).unwrap_or_default();
     let shares = settings.map_or(LIMIT_SHARES, |settings| settings.shares);
     if shares == 0 || shares > MOST_LIMIT_SHARES {
         let remedy = "give a number of shares between 1 and 64, the same on all hosts";
         return FieldSnafu { field: "limits.shares", value: shares.to_string(), remedy }.fail();
     }
-    Ok(LimitTerms { slack: not_negative("limits.slack", slack)?, shares: shares as usize })
+    Ok(RateLimiterSettings { slack: not_negative("limits.slack", slack)?, shares: shares as usize })
 }
 
 /// The terms of calls; without them each host decides on its own.
-fn call_terms(settings: Option<&CallSettings>) -> Result<CallTerms, SettingsError> {
+fn call_terms(settings: Option<&CallSettings>) -> Result<CallSchedulerSettings, SettingsError> {
     let slots = settings.and_then(|settings| settings.slots_per_host).unwrap_or_default();
     let slots_per_host = not_negative("calls.slots_per_host", slots)?;
-    Ok(CallTerms { slots_per_host, ..CallTerms::default() })
+    Ok(CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() })
 }
 
 /// The key of prints; without one all fleets have the same.
--- a/crates/dillspool_router/src/throttle_metrics.rs
+++ b/crates/dillspool_router/src/throttle_metrics.rs
@@ -59,7 +59,7 @@
     /// Takes over what is known now.
     pub(crate) fn refresh(&self) {
         let (limited, sends) = self.desk.counts();
-        let questions: usize = self.clients.iter().map(LimitClient::open_questions).sum();
+        let questions: usize = self.clients.iter().map(LimitClient::pending_requests).sum();
         let set = |gauge: &Gauge, count| gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
         set(&self.limited, limited);
         set(&self.resting, self.desk.backing_off());
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -22,7 +22,7 @@
     BackendEntry, BackendStart, BackendState, ClientLimits, RequestKind, RequestMetadata,
     RouteEntry, RouteTable, RoutingConfig, ServiceShare, WorkspaceEntry, WorkspaceTable,
 };
-use dillspool_scheduler::{CallTerms, LimitTerms};
+use dillspool_scheduler::{CallSchedulerSettings, RateLimiterSettings};
 use dillspool_suspects::FingerprintKey;
 use dillspool_throttle::ThrottleTracker;
 use hyper::{HeaderMap, StatusCode};
@@ -51,7 +51,7 @@
         seeds: vec![],
         link_mbps: 0.0,
         budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
-        limits: LimitTerms { slack: 0.0, shares: 2 },
+        limits: RateLimiterSettings { slack: 0.0, shares: 2 },
         held: None,
         print_key: FingerprintKey::default(),
         lifted: vec![],
@@ -60,7 +60,7 @@
         orders_apart: Duration::from_secs(3),
         share_rule: ShareRule::Fixed(0.2),
         policy: PolicyConfig::default(),
-        calls: CallTerms::default(),
+        calls: CallSchedulerSettings::default(),
         log_level: log::LevelFilter::Info,
     }
 }
--- a/crates/dillspool_routerd/tests/fleet/mod.rs
+++ b/crates/dillspool_routerd/tests/fleet/mod.rs
@@ -14,7 +14,9 @@
 use dillspool_roles::ShareRule;
 use dillspool_router::{PolicyConfig, RouterConfig, RouterDaemon};
 use dillspool_routerd::prepared_platform;
-use dillspool_scheduler::{CallTerms, LimitTerms, SchedulerCandidate, rank_candidates};
+use dillspool_scheduler::{
+    CallSchedulerSettings, RateLimiterSettings, SchedulerCandidate, rank_candidates,
+};
 use dillspool_site_standin::{
     PlainCapacity, REQUEST_ID, RunLog, StandinBackend, StandinKind, StandinRoute, StandinStore,
     TIME_BUDGET, TOKEN_COUNTS, config_text,
@@ -53,7 +55,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetTerms {
     /// Which services' calls one host decides on.
-    pub calls: CallTerms,
+    pub calls: CallSchedulerSettings,
     /// What plain backend servers take at a time; all requests where there is none.
     pub plain: Option<PlainCapacity>,
 }
@@ -414,7 +416,7 @@
         seeds: Vec::new(),
         link_mbps: 100.0,
         budget: BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 56.0 },
-        limits: LimitTerms { slack: 0.0, shares: 2 },
+        limits: RateLimiterSettings { slack: 0.0, shares: 2 },
         held: None,
         print_key: FingerprintKey::default(),
         lifted: vec![],
@@ -423,7 +425,7 @@
         orders_apart: Duration::from_secs(3),
         share_rule: ShareRule::Fixed(0.5),
         policy: PolicyConfig::default(),
-        calls: CallTerms::default(),
+        calls: CallSchedulerSettings::default(),
         log_level: log::LevelFilter::Info,
     }
 }
--- a/crates/dillspool_routerd/tests/scarce_servers.rs
+++ b/crates/dillspool_routerd/tests/scarce_servers.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use dillspool_io::LinkMode;
-use dillspool_scheduler::CallTerms;
+use dillspool_scheduler::CallSchedulerSettings;
 use dillspool_site_standin::{PlainCapacity, StandinKind, StoreMode};
 use fleet::{CallerReply, ComeBack, FleetTerms, TestFleet};
 
@@ -83,7 +83,7 @@
 }
 
 async fn play(slots_per_host: f64, trouble: Trouble) -> LeavingRun {
-    let calls = CallTerms { slots_per_host, ..CallTerms::default() };
+    let calls = CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() };
     let terms = FleetTerms { calls, plain: Some(CAPACITY) };
     let fleet = TestFleet::start_with(HOSTS, ComeBack::OtherId, &terms).await;
     let fleet = &fleet;
--- a/crates/dillspool_scheduler/src/call_client.rs
+++ b/crates/dillspool_scheduler/src/call_client.rs
@@ -14,7 +14,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
-use crate::call_desk::CallDesk;
+use crate::call_desk::CallScheduler;
 use crate::call_wire::later;
 use crate::keeper::{LinkKeeper, PeersFn, SchedulePeers};
 use crate::link::{CallReply, FRESH_FOR, LinkDuty, SchedulerLink};
@@ -29,7 +29,7 @@
 type CountFn = dyn Fn() -> Option<usize> + Send + Sync;
 
 struct ClientState {
-    desk: CallDesk,
+    desk: CallScheduler,
     links: Mutex<HashMap<Name, SchedulerLink>>,
     next_ticket: AtomicU64,
     /// Hosts of the fleet; `None` while hosts do not ask each other.
@@ -50,7 +50,7 @@
 
 impl CallClient {
     /// A client that decides by its own desk until [`CallClient::run`] finds deciding hosts.
-    pub fn new(desk: CallDesk) -> Self {
+    pub fn new(desk: CallScheduler) -> Self {
         let state = ClientState {
             desk,
             links: Mutex::default(),
@@ -124,7 +124,7 @@
     }
 
     /// Opens a ticket for a call.
-    pub fn open(&self, service: &Name) -> CallTicket {
+    pub fn open_ticket(&self, service: &Name) -> CallTicket {
         let link = self.state.desk.is_scheduled(service).then(|| self.link(service));
         CallTicket {
             client: self.clone(),
@@ -168,7 +168,7 @@
 
     /// Asks where the call goes, and waits as long as it has to; never [`CallDecision::Wait`]. `None` where each
     /// host decides by itself, or the service is not known.
-    pub async fn ask(&mut self, request: &CallRequest) -> Option<CallDecision> {
+    pub async fn request_decision(&mut self, request: &CallRequest) -> Option<CallDecision> {
         let link = self.link.clone()?;
         let clock = self.client.state.desk.clock().clone();
         let asked = clock.now();
@@ -214,7 +214,7 @@
         let (desk, service) = (self.client.state.desk.clone(), Name::clone(&self.service));
         desk.set_own_share(&service, self.client.own_share(link));
         for call in link.count_calls() {
-            let id = CallDesk::id_on_link(0, call.ticket);
+            let id = CallScheduler::id_on_link(0, call.ticket);
             desk.adopt(id, &service, call.request, call.backend, call.ran);
         }
         let ticket = self.begin();
@@ -223,7 +223,12 @@
             // The call may be gone.
             let _taken = sender.send(decision);
         };
-        match desk.ask(CallDesk::id_on_link(0, ticket), &service, request.clone(), decide)? {
+        match desk.submit(
+            CallScheduler::id_on_link(0, ticket),
+            &service,
+            request.clone(),
+            decide,
+        )? {
             CallDecision::Wait => {
                 self.queued = true;
                 receiver.await.ok()
@@ -234,7 +239,7 @@
 
     /// The number of a new question; the one before is over.
     fn begin(&mut self) -> u64 {
-        self.end(CallOutcome::Abandoned, Duration::ZERO);
+        self.complete(CallOutcome::Abandoned, Duration::ZERO);
         let ticket = self.client.state.next_ticket.fetch_add(1, Ordering::Relaxed) + 1;
         self.current = Some(ticket);
         ticket
@@ -246,20 +251,20 @@
     }
 
     /// Time from the last question to its decision, if the call waited in a queue.
-    pub fn queued_for(&self) -> Option<Duration> {
+    pub fn queue_time(&self) -> Option<Duration> {
         self.queued.then_some(self.waited)
     }
 
     /// Tells how the call ended, `took` after it was sent.
-    pub fn end(&mut self, end: CallOutcome, took: Duration) {
+    pub fn complete(&mut self, end: CallOutcome, took: Duration) {
         let (Some(ticket), Some(link)) = (self.current.take(), &self.link) else { return };
         link.end_call(ticket, end, took);
-        self.client.state.desk.end(CallDesk::id_on_link(0, ticket), end, took);
+        self.client.state.desk.complete(CallScheduler::id_on_link(0, ticket), end, took);
     }
 }
 
 impl Drop for CallTicket {
     fn drop(&mut self) {
-        self.end(CallOutcome::Abandoned, Duration::ZERO);
+        self.complete(CallOutcome::Abandoned, Duration::ZERO);
     }
 }
--- a/crates/dillspool_scheduler/src/call_desk.rs
+++ b/crates/dillspool_scheduler/src/call_desk.rs
@@ -28,7 +28,7 @@
 const LEAST_PAUSE: Duration = Duration::from_millis(1);
 /// Which services' calls one host decides on, and how; the same on all hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct CallTerms {
+pub struct CallSchedulerSettings {
     /// One host decides where the slots of the ready backend servers are fewer than this times the hosts; 0 for
     /// none.
     pub slots_per_host: f64,
@@ -38,7 +38,7 @@
 
 /// Decides on calls for this host, and for others when it decides for all.
 #[derive(Clone)]
-pub struct CallDesk {
+pub struct CallScheduler {
     state: Arc<Mutex<DeskState>>,
     /// Services whose calls one host decides on.
     scheduled: Arc<watch::Sender<BTreeSet<Name>>>,
@@ -47,15 +47,15 @@
     clock: HostClock,
 }
 
-impl fmt::Debug for CallDesk {
+impl fmt::Debug for CallScheduler {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("CallDesk")
     }
 }
 
-impl CallDesk {
+impl CallScheduler {
     /// A desk that knows no service; `seed` differs between hosts.
-    pub fn new(terms: CallTerms, seed: u64, clock: HostClock) -> Self {
+    pub fn new(terms: CallSchedulerSettings, seed: u64, clock: HostClock) -> Self {
         let state = DeskState {
             terms,
             seed,
@@ -199,7 +199,7 @@
     }
 
     /// Whether a service is known, so that its calls can be decided here.
-    pub fn knows(&self, service: &str) -> bool {
+    pub fn has_service(&self, service: &str) -> bool {
         self.with(|state| state.views.get(service).is_some_and(|view| !view.is_part))
     }
 
@@ -236,7 +236,7 @@
 
     /// Decides on a call; one that waits is decided later by a call of `waiter`. `None` when the service is not
     /// known.
-    pub(crate) fn ask(
+    pub(crate) fn submit(
         &self,
         id: CallId,
         service: &Name,
@@ -275,7 +275,7 @@
     }
 
     /// Notes how a call ended; one that waits is taken off.
-    pub(crate) fn end(&self, id: CallId, end: CallOutcome, took: Duration) {
+    pub(crate) fn complete(&self, id: CallId, end: CallOutcome, took: Duration) {
         let Some(service) = self.with(|state| Some(Name::clone(&state.calls.get(&id)?.service)))
         else {
             return;
@@ -286,7 +286,7 @@
     }
 
     /// What is believed now of each service whose calls were decided here.
-    pub fn read(&self) -> Vec<(Name, QueueSnapshot)> {
+    pub fn snapshots(&self) -> Vec<(Name, QueueSnapshot)> {
         self.with(|state| {
             let now = state.clock.now();
             let read =
@@ -298,7 +298,7 @@
 
 /// A host whose calls are decided here.
 pub(crate) struct ServedGuard {
-    desk: CallDesk,
+    desk: CallScheduler,
     service: Name,
     number: u64,
 }
--- a/crates/dillspool_scheduler/src/call_desk/state.rs
+++ b/crates/dillspool_scheduler/src/call_desk/state.rs
@@ -8,7 +8,7 @@
 use dillspool_routing::{BackendEntry, DirectoryView, RoutingConfig};
 use dillspool_schema::Name;
 
-use super::CallTerms;
+use super::CallSchedulerSettings;
 
 /// Slots, as a factor of those below which one host decides, from which on each host decides again: a server that
 /// leaves and comes back does not switch a service back and forth.
@@ -48,7 +48,7 @@
 }
 
 pub(super) struct DeskState {
-    pub(super) terms: CallTerms,
+    pub(super) terms: CallSchedulerSettings,
     pub(super) seed: u64,
     pub(super) clock: HostClock,
     /// The plain services.
--- a/crates/dillspool_scheduler/src/call_serve.rs
+++ b/crates/dillspool_scheduler/src/call_serve.rs
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-use crate::call_desk::CallDesk;
+use crate::call_desk::CallScheduler;
 use crate::call_wire;
 use crate::serve::{
     HostReader, HostWriter, LIMIT_HOST_SILENCE, QUEUED_MESSAGES, beat, queue_message, read_message,
@@ -18,12 +18,12 @@
 pub(crate) async fn serve_calls(
     writer: HostWriter,
     mut reader: HostReader,
-    desk: CallDesk,
+    desk: CallScheduler,
     hello: ScheduleHello,
     number: u64,
 ) {
     let service = hello.service;
-    if !desk.knows(&service) {
+    if !desk.has_service(&service) {
         log::info!(
             "event=schedule_refused cause=\"the calls of {service} are not known here yet\""
         );
@@ -43,7 +43,7 @@
         full: full.clone(),
     };
     let ended = tokio::select! {
-        () = full.cancelled() => Err(ScheduleError::Ended { reason: "a full queue".to_owned() }),
+        () = full.cancelled() => Err(ScheduleError::LinkClosed { reason: "a full queue".to_owned() }),
         ended = host.read(&mut reader) => ended,
         ended = write_queue(writer, queue, beat) => ended,
     };
@@ -53,7 +53,7 @@
 
 /// A host that is served, until its link ends.
 struct ServedCalls {
-    desk: CallDesk,
+    desk: CallScheduler,
     number: u64,
     service: Name,
     sender: mpsc::Sender<ScheduleMessage>,
@@ -63,7 +63,7 @@
 
 impl ServedCalls {
     fn id(&self, ticket: u64) -> CallId {
-        CallDesk::id_on_link(self.number, ticket)
+        CallScheduler::id_on_link(self.number, ticket)
     }
 
     async fn read(&self, reader: &mut HostReader) -> Result<(), ScheduleError> {
@@ -77,7 +77,7 @@
                 }
                 ScheduleMessage::CallEnded(ended) => {
                     let (end, took) = call_wire::end_from_wire(&ended);
-                    self.desk.end(self.id(ended.ticket), end, took);
+                    self.desk.complete(self.id(ended.ticket), end, took);
                 }
                 ScheduleMessage::Beat(_beat) => {}
                 ScheduleMessage::Hello(_)
@@ -109,8 +109,8 @@
             }
         };
         let request = call_wire::request_from_wire(ask.request);
-        let decision = self.desk.ask(self.id(ticket), &self.service, request, decide_later);
-        let unknown = || ScheduleError::Ended { reason: "the service is gone".to_owned() };
+        let decision = self.desk.submit(self.id(ticket), &self.service, request, decide_later);
+        let unknown = || ScheduleError::LinkClosed { reason: "the service is gone".to_owned() };
         let message = call_wire::decision_to_wire(ticket, decision.ok_or_else(unknown)?);
         queue_message(&self.sender, message)
     }
--- a/crates/dillspool_scheduler/src/client.rs
+++ b/crates/dillspool_scheduler/src/client.rs
@@ -13,15 +13,15 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use crate::desk::{DeskNote, PoolDesk};
-use crate::fleet_bus::{FleetBus, FleetNews};
+use crate::desk::{PlacementEvent, PlacementScheduler};
+use crate::fleet_bus::{FleetBus, FleetUpdate};
 use crate::keeper::{LinkKeeper, PeersFn, SchedulePeers};
 use crate::link::{LinkDuty, SchedulerLink};
 
 /// Asks where requests run, and tells what became of them.
 #[derive(Clone)]
 pub struct ScheduleClient {
-    desk: PoolDesk,
+    desk: PlacementScheduler,
     bus: FleetBus,
     links: Arc<Mutex<HashMap<Name, SchedulerLink>>>,
     next_ticket: Arc<AtomicU64>,
@@ -35,7 +35,7 @@
 
 impl ScheduleClient {
     /// A client that decides by its own desk until [`ScheduleClient::run`] finds schedulers.
-    pub fn new(desk: PoolDesk, bus: FleetBus) -> Self {
+    pub fn new(desk: PlacementScheduler, bus: FleetBus) -> Self {
         Self { desk, bus, links: Arc::default(), next_ticket: Arc::default() }
     }
 
@@ -84,18 +84,18 @@
     }
 
     /// Whether this host schedules a pool, as far as it knows.
-    pub fn schedules(&self, service: &str) -> bool {
+    pub fn is_scheduler_for(&self, service: &str) -> bool {
         self.link(service).is_some_and(|link| link.schedules())
     }
 
     /// Whether this host schedules any pool, as far as it knows.
-    pub fn schedules_any(&self) -> bool {
+    pub fn is_any_scheduler(&self) -> bool {
         self.with_links(|links| links.values().any(SchedulerLink::schedules))
     }
 
     /// Hosts that share the pools, by the word of their schedulers or, where this host schedules, by
     /// its own count; `None` while there is no scheduler.
-    pub fn hosts(&self) -> Option<usize> {
+    pub fn host_count(&self) -> Option<usize> {
         let links = self.with_links(|links| links.clone());
         let count = |(service, link): (&Name, &SchedulerLink)| {
             if link.schedules() { Some(self.desk.hosts(service)) } else { link.hosts() }
@@ -104,7 +104,7 @@
     }
 
     /// Tells the schedulers, or where this host schedules the hosts that it serves, some news.
-    pub fn tell(&self, news: &FleetNews) {
+    pub fn publish(&self, news: &FleetUpdate) {
         let links = self.with_links(|links| links.clone());
         let (own, others): (Vec<_>, Vec<_>) =
             links.into_values().partition(SchedulerLink::schedules);
@@ -117,7 +117,7 @@
     }
 
     /// Opens a ticket for a request.
-    pub fn open(&self, service: &Name) -> PlacementTicket {
+    pub fn open_ticket(&self, service: &Name) -> PlacementTicket {
         let id = TicketId(self.next_ticket.fetch_add(1, Ordering::Relaxed) + 1);
         PlacementTicket {
             desk: self.desk.clone(),
@@ -132,7 +132,7 @@
 /// A request that needs engines, from its first question to its end; dropping it takes it off
 /// everywhere.
 pub struct PlacementTicket {
-    desk: PoolDesk,
+    desk: PlacementScheduler,
     link: Option<SchedulerLink>,
     service: Name,
     id: TicketId,
@@ -148,7 +148,7 @@
 impl PlacementTicket {
     /// Asks where the request runs, and waits as long as the decision says; `None` when its pool is
     /// not known.
-    pub async fn ask(&self, request: &PlacementRequest) -> Option<PlacementDecision> {
+    pub async fn request_placement(&self, request: &PlacementRequest) -> Option<PlacementDecision> {
         if let Some(link) = &self.link
             && let Some(decision) = link.ask(self.id.0, request).await
         {
@@ -174,41 +174,41 @@
             // The request may be gone.
             let _taken = sender.send(decision);
         };
-        match self.desk.ask(self.id, &self.service, request.clone(), decide)? {
+        match self.desk.submit(self.id, &self.service, request.clone(), decide)? {
             PlacementDecision::Wait => receiver.await.ok(),
             decision => Some(decision),
         }
     }
 
     /// Asks for another prefill engine; `None` when the decode engine should read the prompt.
-    pub async fn ask_prefill(&self, request: &PlacementRequest) -> Option<Name> {
+    pub async fn request_prefill(&self, request: &PlacementRequest) -> Option<Name> {
         if let Some(link) = &self.link
             && let Some(prefill) = link.ask_prefill(self.id.0, request).await
         {
             return prefill;
         }
-        self.desk.ask_prefill(self.id, request)
+        self.desk.choose_prefill(self.id, request)
     }
 
     /// Tells what became of the request.
-    pub fn note(&self, note: &DeskNote) {
+    pub fn record_event(&self, note: &PlacementEvent) {
         if let Some(link) = &self.link {
             link.note(self.id.0, note);
         }
-        self.desk.note(self.id, note.clone());
+        self.desk.record_event(self.id, note.clone());
     }
 
     /// Tells that the request is over, and how.
-    pub fn end(&mut self, end: StreamEnd) {
+    pub fn record_ended(&mut self, end: StreamEnd) {
         if !self.is_over {
             self.is_over = true;
-            self.note(&DeskNote::Ended(end));
+            self.record_event(&PlacementEvent::Ended(end));
         }
     }
 }
 
 impl Drop for PlacementTicket {
     fn drop(&mut self) {
-        self.end(StreamEnd { is_complete: false, event_gap: None });
+        self.record_ended(StreamEnd { is_complete: false, event_gap: None });
     }
 }
--- a/crates/dillspool_scheduler/src/desk.rs
+++ b/crates/dillspool_scheduler/src/desk.rs
@@ -23,14 +23,14 @@
 
 /// What became of a request at its engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DeskNote {
+pub enum PlacementEvent {
     /// Its prompt was read.
     Prefilled {
         /// Time from the call to its answer.
         took: Duration,
     },
     /// Its decode engine reads the prompt itself, other than decided.
-    ReadsItself,
+    PrefilledLocally,
     /// Its decode engine took it.
     Started,
     /// An engine did other than expected; the request leaves it.
@@ -168,19 +168,19 @@
 
 /// Decides for this host, and for others when it schedules their pool.
 #[derive(Clone)]
-pub struct PoolDesk {
+pub struct PlacementScheduler {
     state: Arc<Mutex<DeskState>>,
     /// Wakes those who wait when something has changed.
     changed: Arc<Notify>,
 }
 
-impl fmt::Debug for PoolDesk {
+impl fmt::Debug for PlacementScheduler {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("PoolDesk")
     }
 }
 
-impl PoolDesk {
+impl PlacementScheduler {
     /// A desk that knows no pool; `seed` differs between hosts.
     pub fn new(policy: AdmissionPolicy, seed: u64, demand: DemandMeter, clock: HostClock) -> Self {
         let state = DeskState {
@@ -245,7 +245,7 @@
     }
 
     /// Whether a pool is known, so that its requests can be decided here.
-    pub fn knows(&self, service: &str) -> bool {
+    pub fn has_pool(&self, service: &str) -> bool {
         self.with(|state| state.planners.contains_key(service))
     }
 
@@ -261,7 +261,7 @@
     }
 
     /// What is believed of a pool now.
-    pub fn read(&self, service: &str) -> Option<PoolSnapshot> {
+    pub fn snapshot(&self, service: &str) -> Option<PoolSnapshot> {
         self.with(|state| {
             let now = state.now();
             state.planners.get(service).map(|planner| planner.snapshot(now))
@@ -270,7 +270,7 @@
 
     /// Decides on a request; one that waits is decided later by a call of `waiter`. `None` when
     /// the pool is not known.
-    pub fn ask(
+    pub fn submit(
         &self,
         ticket: TicketId,
         service: &Name,
@@ -289,7 +289,7 @@
     }
 
     /// Chooses another prefill engine for a request that has its decode engine.
-    pub fn ask_prefill(&self, ticket: TicketId, request: &PlacementRequest) -> Option<Name> {
+    pub fn choose_prefill(&self, ticket: TicketId, request: &PlacementRequest) -> Option<Name> {
         self.with(|state| {
             let now = state.now();
             state.planner_of(ticket)?.choose_prefill(ticket, request, now)
@@ -318,27 +318,27 @@
     }
 
     /// Notes what became of a request.
-    pub fn note(&self, ticket: TicketId, note: DeskNote) {
+    pub fn record_event(&self, ticket: TicketId, note: PlacementEvent) {
         let waited = self.with(|state| {
             let now = state.now();
             match note {
-                DeskNote::Prefilled { took } => state.note_prefilled(ticket, took),
-                DeskNote::ReadsItself => {
+                PlacementEvent::Prefilled { took } => state.note_prefilled(ticket, took),
+                PlacementEvent::PrefilledLocally => {
                     if let Some(planner) = state.planner_of(ticket) {
                         planner.record_local_prefill(ticket, now);
                     }
                 }
-                DeskNote::Started => {
+                PlacementEvent::Started => {
                     if let Some(planner) = state.planner_of(ticket) {
                         planner.record_started(ticket, now);
                     }
                 }
-                DeskNote::Fault { engine, fault } => {
+                PlacementEvent::Fault { engine, fault } => {
                     if let Some(planner) = state.planner_of(ticket) {
                         planner.record_fault(ticket, &engine, fault, now);
                     }
                 }
-                DeskNote::Ended(end) => {
+                PlacementEvent::Ended(end) => {
                     if let Some(planner) = state.planner_of(ticket) {
                         planner.record_ended(ticket, end, now);
                     }
@@ -356,7 +356,7 @@
 
 /// A host that is served.
 pub(crate) struct ServedGuard {
-    desk: PoolDesk,
+    desk: PlacementScheduler,
     service: Name,
 }
 
--- a/crates/dillspool_scheduler/src/fleet_bus.rs
+++ b/crates/dillspool_scheduler/src/fleet_bus.rs
@@ -41,13 +41,13 @@
 #[derive(Clone)]
 pub struct SuspectHandlers {
     /// Takes news; whether they were not known.
-    pub learn: Arc<LearnFn<SuspectUpdate>>,
+    pub apply_update: Arc<LearnFn<SuspectUpdate>>,
     /// What others need to know once these news are known.
-    pub worth_telling: Arc<TellingFn>,
+    pub updates_to_forward: Arc<TellingFn>,
     /// The newest of what is known, so many.
-    pub known: Arc<KnownFn<SuspectUpdate>>,
+    pub newest_updates: Arc<KnownFn<SuspectUpdate>>,
     /// The same of requests under which more than one backend server has ended.
-    pub repeated: Arc<KnownFn<SuspectUpdate>>,
+    pub newest_repeated: Arc<KnownFn<SuspectUpdate>>,
 }
 
 impl fmt::Debug for SuspectHandlers {
@@ -60,15 +60,15 @@
 #[derive(Clone)]
 pub struct NoticeHandlers<T> {
     /// Takes news; whether they were not known.
-    pub learn: Arc<LearnFn<T>>,
+    pub apply_update: Arc<LearnFn<T>>,
     /// The newest of what is known, so many.
-    pub known: Arc<KnownFn<T>>,
+    pub newest_updates: Arc<KnownFn<T>>,
 }
 
 impl<T> NoticeHandlers<T> {
     /// Of a host that knows nothing and takes nothing.
     pub fn none() -> Self {
-        Self { learn: Arc::new(|_news| false), known: Arc::new(|_most| Vec::new()) }
+        Self { apply_update: Arc::new(|_news| false), newest_updates: Arc::new(|_most| Vec::new()) }
     }
 }
 
@@ -93,10 +93,10 @@
     /// Of a host that knows nothing and takes nothing.
     pub fn none() -> Self {
         let suspects = SuspectHandlers {
-            learn: Arc::new(|_news| false),
-            worth_telling: Arc::new(|_news| Vec::new()),
-            known: Arc::new(|_most| Vec::new()),
-            repeated: Arc::new(|_most| Vec::new()),
+            apply_update: Arc::new(|_news| false),
+            updates_to_forward: Arc::new(|_news| Vec::new()),
+            newest_updates: Arc::new(|_most| Vec::new()),
+            newest_repeated: Arc::new(|_most| Vec::new()),
         };
         Self { suspects, throttle: NoticeHandlers::none(), leaving: NoticeHandlers::none() }
     }
@@ -104,7 +104,7 @@
 
 /// What hosts tell each other.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FleetNews {
+pub enum FleetUpdate {
     /// A backend server ended under a request, or a copy of it came to a good end.
     Suspect(SuspectUpdate),
     /// A backend server says how much it takes.
@@ -125,7 +125,7 @@
 }
 
 /// News, and the host that told them, if it was another one.
-type SourcedNews = (Option<Name>, FleetNews);
+type SourcedNews = (Option<Name>, FleetUpdate);
 
 impl fmt::Debug for FleetBus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -155,26 +155,26 @@
 
     /// What a host that links to a scheduler tells it first.
     pub(crate) fn first_news(&self) -> Vec<ScheduleMessage> {
-        self.first_of((self.handlers.suspects.known)(FIRST_NEWS))
+        self.first_of((self.handlers.suspects.newest_updates)(FIRST_NEWS))
     }
 
     /// What a scheduler tells a host that links to it first: one that started anew while the store is away learns
     /// of suspects here alone.
     pub(crate) fn first_told(&self) -> Vec<ScheduleMessage> {
-        self.first_of((self.handlers.suspects.repeated)(FIRST_NEWS))
+        self.first_of((self.handlers.suspects.newest_repeated)(FIRST_NEWS))
     }
 
     fn first_of(&self, suspects: Vec<SuspectUpdate>) -> Vec<ScheduleMessage> {
-        let limits = (self.handlers.throttle.known)(FIRST_NEWS);
-        let leaving = (self.handlers.leaving.known)(FIRST_NEWS);
-        let suspects = suspects.into_iter().map(FleetNews::Suspect);
-        let limits = limits.into_iter().map(FleetNews::Throttle);
-        let news = suspects.chain(limits).chain(leaving.into_iter().map(FleetNews::Leaving));
+        let limits = (self.handlers.throttle.newest_updates)(FIRST_NEWS);
+        let leaving = (self.handlers.leaving.newest_updates)(FIRST_NEWS);
+        let suspects = suspects.into_iter().map(FleetUpdate::Suspect);
+        let limits = limits.into_iter().map(FleetUpdate::Throttle);
+        let news = suspects.chain(limits).chain(leaving.into_iter().map(FleetUpdate::Leaving));
         news.map(|news| self.encode(&news)).collect()
     }
 
     /// Takes a message; what cannot be read is told and passed over.
-    pub(crate) fn hear_suspect(&self, message: ScheduleSuspect) -> Option<FleetNews> {
+    pub(crate) fn hear_suspect(&self, message: ScheduleSuspect) -> Option<FleetUpdate> {
         let news = match self.decode_suspect(message) {
             Ok(news) => news,
             Err(cause) => {
@@ -182,11 +182,11 @@
                 return None;
             }
         };
-        (self.handlers.suspects.learn)(&news).then_some(FleetNews::Suspect(news))
+        (self.handlers.suspects.apply_update)(&news).then_some(FleetUpdate::Suspect(news))
     }
 
     /// Takes a message; what cannot be read is told and passed over.
-    pub(crate) fn hear_throttle(&self, message: &ScheduleThrottle) -> Option<FleetNews> {
+    pub(crate) fn hear_throttle(&self, message: &ScheduleThrottle) -> Option<FleetUpdate> {
         let news = match self.decode_throttle(message) {
             Ok(news) => news,
             Err(cause) => {
@@ -194,11 +194,11 @@
                 return None;
             }
         };
-        (self.handlers.throttle.learn)(&news).then_some(FleetNews::Throttle(news))
+        (self.handlers.throttle.apply_update)(&news).then_some(FleetUpdate::Throttle(news))
     }
 
     /// Takes a message; what cannot be read is told and passed over.
-    pub(crate) fn hear_leaving(&self, message: &ScheduleLeaving) -> Option<FleetNews> {
+    pub(crate) fn hear_leaving(&self, message: &ScheduleLeaving) -> Option<FleetUpdate> {
         let news = match self.decode_leaving(message) {
             Ok(news) => news,
             Err(cause) => {
@@ -206,17 +206,17 @@
                 return None;
             }
         };
-        (self.handlers.leaving.learn)(&news).then_some(FleetNews::Leaving(news))
+        (self.handlers.leaving.apply_update)(&news).then_some(FleetUpdate::Leaving(news))
     }
 
     /// Passes news on to all hosts that are served here, but for the one that they came from.
-    pub(crate) fn spread(&self, source: Option<&Name>, news: &FleetNews) {
+    pub(crate) fn spread(&self, source: Option<&Name>, news: &FleetUpdate) {
         let told = match news {
-            FleetNews::Suspect(news) => {
-                let told = (self.handlers.suspects.worth_telling)(news);
-                told.into_iter().map(FleetNews::Suspect).collect()
+            FleetUpdate::Suspect(news) => {
+                let told = (self.handlers.suspects.updates_to_forward)(news);
+                told.into_iter().map(FleetUpdate::Suspect).collect()
             }
-            FleetNews::Throttle(_) | FleetNews::Leaving(_) => vec![news.clone()],
+            FleetUpdate::Throttle(_) | FleetUpdate::Leaving(_) => vec![news.clone()],
         };
         for news in told {
             // Nobody may be served here.
@@ -224,10 +224,10 @@
         }
     }
 
-    pub(crate) fn encode(&self, news: &FleetNews) -> ScheduleMessage {
+    pub(crate) fn encode(&self, news: &FleetUpdate) -> ScheduleMessage {
         let age_ms = |at| millis(self.clock.since(at));
         match news {
-            FleetNews::Suspect(news) => {
+            FleetUpdate::Suspect(news) => {
                 let (print, backend, at) = match news {
                     SuspectUpdate::Crashed(end) => {
                         (end.fingerprint, Some(Name::clone(&end.backend)), end.at)
@@ -237,13 +237,13 @@
                 let (print, age_ms) = (print.to_string().into(), age_ms(at));
                 ScheduleMessage::Suspect(ScheduleSuspect { print, backend, age_ms })
             }
-            FleetNews::Throttle(news) => ScheduleMessage::Throttle(ScheduleThrottle {
+            FleetUpdate::Throttle(news) => ScheduleMessage::Throttle(ScheduleThrottle {
                 backend: Name::clone(&news.backend.id),
                 start: news.backend.start.map(|start| start.0),
                 per_s: news.rate.map(RequestRate::per_s),
                 age_ms: age_ms(news.at),
             }),
-            FleetNews::Leaving(news) => ScheduleMessage::Leaving(ScheduleLeaving {
+            FleetUpdate::Leaving(news) => ScheduleMessage::Leaving(ScheduleLeaving {
                 backend: Name::clone(&news.backend.id),
                 start: news.backend.start.map(|start| start.0),
                 age_ms: age_ms(news.at),
--- a/crates/dillspool_scheduler/src/keeper.rs
+++ b/crates/dillspool_scheduler/src/keeper.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SchedulePeers {
     /// Where this host takes questions itself.
-    pub own: Option<SocketAddr>,
+    pub own_address: Option<SocketAddr>,
     /// Where hosts ask, the best first; this host is among them once it is known.
     pub ranked: Vec<SocketAddr>,
 }
@@ -72,7 +72,7 @@
     /// Whether this host is one of those that could schedule.
     fn is_listed(&self) -> bool {
         let peers = (self.peers)(&self.duty.service);
-        peers.own.is_some_and(|own| peers.ranked.contains(&own))
+        peers.own_address.is_some_and(|own| peers.ranked.contains(&own))
     }
 
     /// The best scheduler that serves, up to one that is known; `None` when that is this host. The link
@@ -84,7 +84,7 @@
     ) -> Option<(SocketAddr, OpenedLink)> {
         let peers = (self.peers)(&self.duty.service);
         for address in peers.ranked {
-            if Some(address) == peers.own || Some(address) == up_to {
+            if Some(address) == peers.own_address || Some(address) == up_to {
                 return None;
             }
             let limit = if Some(address) == lost { REOPEN_LIMIT } else { OPEN_LIMIT };
@@ -103,7 +103,7 @@
         loop {
             tokio::time::sleep(BETTER_EVERY).await;
             let peers = (self.peers)(&self.duty.service);
-            let own_first = peers.ranked.iter().position(|it| Some(*it) == peers.own);
+            let own_first = peers.ranked.iter().position(|it| Some(*it) == peers.own_address);
             let linked = peers.ranked.iter().position(|it| *it == address);
             if own_first < linked && own_first.is_some() {
                 // This host has learnt that it comes before the scheduler that it asks.
--- a/crates/dillspool_scheduler/src/limit_client.rs
+++ b/crates/dillspool_scheduler/src/limit_client.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::keeper::{LinkKeeper, PeersFn, SchedulePeers};
-use crate::limit_desk::{JoinedGuard, LimitDesk, LimitShare, share_name};
+use crate::limit_desk::{JoinedGuard, LimitShare, RateLimiter, share_name};
 use crate::link::{LinkDuty, SchedulerLink};
 
 /// Pause before a holder is looked for again while there is none: its successor is linked within
@@ -37,7 +37,7 @@
 }
 
 impl ShareState {
-    fn new(share: LimitShare, desk: &LimitDesk) -> Self {
+    fn new(share: LimitShare, desk: &RateLimiter) -> Self {
         let parts = Arc::new(Mutex::new(desk.own_parts()));
         let (noted, told) = (Arc::clone(&parts), desk.clone());
         let link = SchedulerLink::new(move |hosts| {
@@ -54,7 +54,7 @@
     }
 
     /// Notes whether this host counts the limits itself.
-    fn set_holds(&self, holds: bool, desk: &LimitDesk) {
+    fn set_holds(&self, holds: bool, desk: &RateLimiter) {
         let mut own = self.own.lock().unwrap_or_else(PoisonError::into_inner);
         if !holds {
             *own = None;
@@ -71,15 +71,15 @@
 
 /// An amount that was granted. It counts as used unless it is given back.
 #[derive(Debug)]
-pub struct SpentAmount {
+pub struct SpendGrant {
     client: LimitClient,
     subject: Name,
     amount: f64,
 }
 
-impl SpentAmount {
+impl SpendGrant {
     /// Gives the amount back, for a request that did not run.
-    pub fn give_back(self) {
+    pub fn refund(self) {
         self.client.give_back(&self.subject, self.amount);
     }
 }
@@ -87,7 +87,7 @@
 /// Asks the holders of limits.
 #[derive(Clone)]
 pub struct LimitClient {
-    desk: LimitDesk,
+    desk: RateLimiter,
     shares: Arc<Vec<ShareState>>,
     next_ticket: Arc<AtomicU64>,
     /// The other hosts; `None` while hosts do not ask each other.
@@ -111,7 +111,7 @@
 
 impl LimitClient {
     /// A client that counts alone until it is run.
-    pub fn new(desk: LimitDesk) -> Self {
+    pub fn new(desk: RateLimiter) -> Self {
         let shares = desk.shares().map(|share| ShareState::new(share, &desk)).collect();
         Self { desk, shares: Arc::new(shares), next_ticket: Arc::default(), fleet: Arc::default() }
     }
@@ -136,13 +136,13 @@
         };
         tokio::select! {
             () = await_limits => {}
-            () = self.run_wanted(stack, host, peers, || None, cancel) => {}
+            () = self.run_on_demand(stack, host, peers, || None, cancel) => {}
         }
     }
 
     /// Links this host to the holder of each share until `cancel`, once a limit of it is wanted. `count` tells
     /// how many hosts share the limits.
-    pub async fn run_wanted(
+    pub async fn run_on_demand(
         self,
         stack: NetStack,
         host: Name,
@@ -179,7 +179,7 @@
     }
 
     /// Links this host to the holder of a subject's limit from now on.
-    pub fn want(&self, subject: &str) {
+    pub fn ensure_link(&self, subject: &str) {
         self.state_of(subject).wanted.notify_one();
     }
 
@@ -236,13 +236,13 @@
     }
 
     /// What gives the amount of a granted request back, should the request not run.
-    pub fn spent(&self, request: &SpendRequest) -> SpentAmount {
+    pub fn grant(&self, request: &SpendRequest) -> SpendGrant {
         let (subject, amount) = (Name::clone(&request.subject), request.amount);
-        SpentAmount { client: self.clone(), subject, amount }
+        SpendGrant { client: self.clone(), subject, amount }
     }
 
     /// Questions to holders that wait for an answer.
-    pub fn open_questions(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.shares.iter().map(|state| state.link.open_questions()).sum()
     }
 
--- a/crates/dillspool_scheduler/src/limit_desk.rs
+++ b/crates/dillspool_scheduler/src/limit_desk.rs
@@ -30,7 +30,7 @@
 
 /// How limits of workspaces are counted, alike on all hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitTerms {
+pub struct RateLimiterSettings {
     /// What all hosts together may pass a limit by in a window, in its unit.
     pub slack: f64,
     /// Shares into which limits are divided; each has a holder of its own.
@@ -53,27 +53,27 @@
 
 /// Counts limits for this host, and for others where it holds them.
 #[derive(Clone)]
-pub struct LimitDesk {
+pub struct RateLimiter {
     scope: LimitScope,
     holders: Arc<Vec<Mutex<LimitHolder>>>,
     clock: HostClock,
 }
 
-impl fmt::Debug for LimitDesk {
+impl fmt::Debug for RateLimiter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("LimitDesk")
     }
 }
 
-impl LimitDesk {
+impl RateLimiter {
     /// A desk of the limits of workspaces that has counted nothing yet.
-    pub fn new(terms: LimitTerms, clock: HostClock) -> Self {
+    pub fn new(terms: RateLimiterSettings, clock: HostClock) -> Self {
         let holder = |now| LimitHolder::new(terms.slack, now);
         Self::of_scope(LimitScope::Workspaces, terms.shares, holder, clock)
     }
 
     /// The same of the limits that backend servers name.
-    pub fn of_backend_servers(shares: usize, clock: HostClock) -> Self {
+    pub fn for_backend_servers(shares: usize, clock: HostClock) -> Self {
         let holder = LimitHolder::for_backend_servers;
         Self::of_scope(LimitScope::BackendServers, shares, holder, clock)
     }
@@ -170,14 +170,14 @@
     }
 
     /// How a limit stands here; `None` if nobody asked here for it.
-    pub fn read(&self, subject: &str) -> Option<LimitStatus> {
+    pub fn status(&self, subject: &str) -> Option<LimitStatus> {
         self.with(self.share_of(subject), |holder, _now| holder.status(subject))
     }
 }
 
 /// A host that asks here.
 pub(crate) struct JoinedGuard {
-    desk: LimitDesk,
+    desk: RateLimiter,
     share: LimitShare,
 }
 
--- a/crates/dillspool_scheduler/src/link.rs
+++ b/crates/dillspool_scheduler/src/link.rs
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 
 use self::calls::HeldCall;
-use crate::desk::DeskNote;
+use crate::desk::PlacementEvent;
 use crate::fleet_bus::FleetBus;
 use crate::wire::{self, PROTOCOL_VERSION};
 
@@ -326,24 +326,24 @@
     }
 
     /// Tells the scheduler what became of a request.
-    pub(crate) fn note(&self, ticket: u64, note: &DeskNote) {
+    pub(crate) fn note(&self, ticket: u64, note: &PlacementEvent) {
         self.with(|state| {
             match note {
-                DeskNote::Started => {
+                PlacementEvent::Started => {
                     if let Some(held) = state.held.get_mut(&ticket) {
                         held.started = Some(Instant::now());
                     }
                 }
-                DeskNote::Ended(_) => {
+                PlacementEvent::Ended(_) => {
                     state.held.remove(&ticket);
                 }
                 // Another scheduler must not take the prompt for one that still waits.
-                DeskNote::Prefilled { .. } | DeskNote::ReadsItself => {
+                PlacementEvent::Prefilled { .. } | PlacementEvent::PrefilledLocally => {
                     if let Some(held) = state.held.get_mut(&ticket) {
                         held.placement.prefill_engine = None;
                     }
                 }
-                DeskNote::Fault { .. } => {}
+                PlacementEvent::Fault { .. } => {}
             }
             if let Some(sender) = &state.sender {
                 let _sent = sender.try_send(wire::note_to_wire(ticket, note.clone()));
--- a/crates/dillspool_scheduler/src/link/serving.rs
+++ b/crates/dillspool_scheduler/src/link/serving.rs
@@ -164,7 +164,7 @@
 }
 
 fn ended(reason: &str) -> ScheduleError {
-    ScheduleError::Ended { reason: reason.to_owned() }
+    ScheduleError::LinkClosed { reason: reason.to_owned() }
 }
 
 type IncomingPart = Option<Result<Message, tokio_tungstenite::tungstenite::Error>>;
--- a/crates/dillspool_scheduler/src/serve.rs
+++ b/crates/dillspool_scheduler/src/serve.rs
@@ -19,11 +19,11 @@
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config};
 use tokio_util::sync::CancellationToken;
 
-use crate::call_desk::CallDesk;
+use crate::call_desk::CallScheduler;
 use crate::call_serve::serve_calls;
-use crate::desk::{DeskNote, PoolDesk};
+use crate::desk::{PlacementEvent, PlacementScheduler};
 use crate::fleet_bus::{FleetBus, ServedLink};
-use crate::limit_desk::{LimitDesk, LimitShare};
+use crate::limit_desk::{LimitShare, RateLimiter};
 use crate::link::BEAT_EVERY;
 use crate::wire::{self, PROTOCOL_VERSION, ScheduleError};
 
@@ -46,22 +46,22 @@
 
 /// What a host decides and passes on for others.
 #[derive(Clone, Debug)]
-pub struct ScheduleDesks {
+pub struct ScheduleServices {
     /// Places the requests of pools.
-    pub pools: PoolDesk,
+    pub pools: PlacementScheduler,
     /// Counts the limits of workspaces.
-    pub limits: LimitDesk,
+    pub limits: RateLimiter,
     /// Counts what backend servers say they take.
-    pub backend_limits: LimitDesk,
+    pub backend_limits: RateLimiter,
     /// Decides on the calls of plain services.
-    pub calls: CallDesk,
+    pub calls: CallScheduler,
     /// Passes news on.
     pub bus: FleetBus,
 }
 
-impl ScheduleDesks {
+impl ScheduleServices {
     /// The share of a name, and the desk that counts it.
-    fn limit_share(&self, name: &str) -> Option<(LimitDesk, LimitShare)> {
+    fn limit_share(&self, name: &str) -> Option<(RateLimiter, LimitShare)> {
         let mut desks = [&self.limits, &self.backend_limits].into_iter();
         desks.find_map(|desk| Some((desk.clone(), desk.share_named(name)?)))
     }
@@ -70,7 +70,7 @@
 /// Answers every host that connects until `cancel`.
 pub async fn serve_schedule(
     mut listener: NetListener,
-    desks: ScheduleDesks,
+    desks: ScheduleServices,
     cancel: CancellationToken,
 ) {
     // The tickets of this host itself have the number 0.
@@ -92,7 +92,7 @@
     }
 }
 
-async fn serve_host(stream: NetStream, desks: ScheduleDesks, number: u64) {
+async fn serve_host(stream: NetStream, desks: ScheduleServices, number: u64) {
     let opening = accept_async_with_config(stream, Some(wire::socket_config()));
     let Ok(Ok(socket)) = tokio::time::timeout(OPEN_LIMIT, opening).await else { return };
     let (writer, mut reader) = socket.split();
@@ -113,13 +113,13 @@
 async fn serve_pool(
     writer: HostWriter,
     mut reader: HostReader,
-    desks: ScheduleDesks,
+    desks: ScheduleServices,
     hello: ScheduleHello,
     number: u64,
 ) {
-    let ScheduleDesks { pools: desk, bus, limits: _, backend_limits: _, calls: _ } = desks;
+    let ScheduleServices { pools: desk, bus, limits: _, backend_limits: _, calls: _ } = desks;
     let service = hello.service;
-    if !desk.knows(&service) {
+    if !desk.has_pool(&service) {
         log::info!("event=schedule_refused cause=\"the pool {service} is not known here yet\"");
         return;
     }
@@ -167,7 +167,7 @@
 async fn serve_limits(
     writer: HostWriter,
     mut reader: HostReader,
-    desks: &ScheduleDesks,
+    desks: &ScheduleServices,
     hello: ScheduleHello,
 ) {
     let told = Some(hello.hosts as usize).filter(|hosts| *hosts > 0);
@@ -191,7 +191,7 @@
 async fn read_spends(
     reader: &mut HostReader,
     sender: &mpsc::Sender<ScheduleMessage>,
-    limits: &LimitDesk,
+    limits: &RateLimiter,
     share: LimitShare,
 ) -> Result<(), ScheduleError> {
     loop {
@@ -231,8 +231,9 @@
     sender: &mpsc::Sender<ScheduleMessage>,
     message: ScheduleMessage,
 ) -> Result<(), ScheduleError> {
-    let full =
-        |error: mpsc::error::TrySendError<_>| ScheduleError::Ended { reason: error.to_string() };
+    let full = |error: mpsc::error::TrySendError<_>| ScheduleError::LinkClosed {
+        reason: error.to_string(),
+    };
     sender.try_send(message).map_err(full)
 }
 
@@ -240,7 +241,7 @@
     reader: &mut HostReader,
     silence: Duration,
 ) -> Result<ScheduleMessage, ScheduleError> {
-    let ended = |reason: &str| ScheduleError::Ended { reason: reason.to_owned() };
+    let ended = |reason: &str| ScheduleError::LinkClosed { reason: reason.to_owned() };
     loop {
         match tokio::time::timeout(silence, reader.next()).await {
             Ok(Some(Ok(Message::Binary(bytes)))) => return wire::decode(&bytes),
@@ -287,7 +288,7 @@
         };
         let sending = writer.send(wire::encode(&message)?);
         let sent = tokio::time::timeout(SEND_LIMIT, sending).await;
-        let ended = |reason: String| ScheduleError::Ended { reason };
+        let ended = |reason: String| ScheduleError::LinkClosed { reason };
         sent.map_err(|_elapsed| ended("the host does not read".to_owned()))?
             .map_err(|error| ended(error.to_string()))?;
     }
@@ -295,7 +296,7 @@
 
 /// A host that is served, until its link ends.
 struct ServedHost {
-    desk: PoolDesk,
+    desk: PlacementScheduler,
     bus: FleetBus,
     name: Name,
     number: u64,
@@ -315,7 +316,7 @@
             match read_message(reader, HOST_SILENCE).await? {
                 ScheduleMessage::Ask(ask) if ask.reader_only => {
                     let request = wire::request_from_wire(ask.request);
-                    let prefill = self.desk.ask_prefill(self.ticket(ask.ticket), &request);
+                    let prefill = self.desk.choose_prefill(self.ticket(ask.ticket), &request);
                     let reply = ScheduleReader { ticket: ask.ticket, prefill };
                     self.send(ScheduleMessage::Reader(reply))?;
                 }
@@ -336,10 +337,10 @@
                 ScheduleMessage::Note(note) => {
                     let ticket = note.ticket;
                     let note = wire::note_from_wire(note);
-                    if matches!(note, DeskNote::Ended(_)) {
+                    if matches!(note, PlacementEvent::Ended(_)) {
                         self.tickets.remove(&ticket);
                     }
-                    self.desk.note(self.ticket(ticket), note);
+                    self.desk.record_event(self.ticket(ticket), note);
                 }
                 ScheduleMessage::Suspect(message) => {
                     if let Some(news) = self.bus.hear_suspect(message) {
@@ -381,8 +382,8 @@
             // A host that has left needs no decision; its requests are taken off.
             let _sent = sender.try_send(wire::decision_to_wire(own, decision));
         };
-        let decision = self.desk.ask(self.ticket(own), &self.service, request, decide_later);
-        let unknown = || ScheduleError::Ended { reason: "the pool is gone".to_owned() };
+        let decision = self.desk.submit(self.ticket(own), &self.service, request, decide_later);
+        let unknown = || ScheduleError::LinkClosed { reason: "the pool is gone".to_owned() };
         self.send(wire::decision_to_wire(own, decision.ok_or_else(unknown)?))
     }
 
@@ -397,7 +398,7 @@
         // and tells it what it holds.
         for own in &self.tickets {
             let end = StreamEnd { is_complete: false, event_gap: None };
-            self.desk.note(self.ticket(*own), DeskNote::Ended(end));
+            self.desk.record_event(self.ticket(*own), PlacementEvent::Ended(end));
         }
     }
 }
--- a/crates/dillspool_scheduler/src/wire.rs
+++ b/crates/dillspool_scheduler/src/wire.rs
@@ -20,7 +20,7 @@
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
-use crate::desk::DeskNote;
+use crate::desk::PlacementEvent;
 
 /// Version of the protocol; hosts of other versions are not served and decide by themselves.
 pub(crate) const PROTOCOL_VERSION: u32 = 6;
@@ -32,7 +32,7 @@
 pub enum ScheduleError {
     /// The other side is gone, or does not answer.
     #[snafu(display("the link ended: {reason}; another scheduler is asked"))]
-    Ended {
+    LinkClosed {
         /// What ended it.
         reason: String,
     },
@@ -169,7 +169,7 @@
     PlacementDecision::Reject { cause, retry_after: come_back }
 }
 
-pub(crate) fn note_to_wire(ticket: u64, note: DeskNote) -> ScheduleMessage {
+pub(crate) fn note_to_wire(ticket: u64, note: PlacementEvent) -> ScheduleMessage {
     let mut message = ScheduleNote {
         ticket,
         event: ScheduleEvent::Ended,
@@ -178,13 +178,13 @@
         took_ms: None,
     };
     match note {
-        DeskNote::Prefilled { took } => {
+        PlacementEvent::Prefilled { took } => {
             message.event = ScheduleEvent::Prefilled;
             message.took_ms = Some(millis(took));
         }
-        DeskNote::ReadsItself => message.event = ScheduleEvent::ReadsItself,
-        DeskNote::Started => message.event = ScheduleEvent::Started,
-        DeskNote::Fault { engine, fault } => {
+        PlacementEvent::PrefilledLocally => message.event = ScheduleEvent::ReadsItself,
+        PlacementEvent::Started => message.event = ScheduleEvent::Started,
+        PlacementEvent::Fault { engine, fault } => {
             message.engine = Some(engine.id);
             message.engine_start = engine.start.map(|start| start.0);
             message.event = match fault {
@@ -196,7 +196,7 @@
                 EngineFault::Failed => ScheduleEvent::Failed,
             };
         }
-        DeskNote::Ended(end) => {
+        PlacementEvent::Ended(end) => {
             message.took_ms = end.event_gap.map(millis);
             if end.is_complete {
                 message.event = ScheduleEvent::EndedWhole;
@@ -206,21 +206,23 @@
     ScheduleMessage::Note(message)
 }
 
-pub(crate) fn note_from_wire(message: ScheduleNote) -> DeskNote {
+pub(crate) fn note_from_wire(message: ScheduleNote) -> PlacementEvent {
     let took = message.took_ms.map(Duration::from_millis);
     let engine = BackendInstance {
         id: message.engine.unwrap_or_default(),
         start: message.engine_start.map(BackendStart),
     };
-    let fault = |fault| DeskNote::Fault { engine, fault };
+    let fault = |fault| PlacementEvent::Fault { engine, fault };
     match message.event {
-        ScheduleEvent::Prefilled => DeskNote::Prefilled { took: took.unwrap_or_default() },
-        ScheduleEvent::ReadsItself => DeskNote::ReadsItself,
-        ScheduleEvent::Started => DeskNote::Started,
+        ScheduleEvent::Prefilled => PlacementEvent::Prefilled { took: took.unwrap_or_default() },
+        ScheduleEvent::ReadsItself => PlacementEvent::PrefilledLocally,
+        ScheduleEvent::Started => PlacementEvent::Started,
         ScheduleEvent::EndedWhole => {
-            DeskNote::Ended(StreamEnd { is_complete: true, event_gap: took })
+            PlacementEvent::Ended(StreamEnd { is_complete: true, event_gap: took })
+        }
+        ScheduleEvent::Ended => {
+            PlacementEvent::Ended(StreamEnd { is_complete: false, event_gap: None })
         }
-        ScheduleEvent::Ended => DeskNote::Ended(StreamEnd { is_complete: false, event_gap: None }),
         ScheduleEvent::NoMemory => fault(EngineFault::NoMemory),
         ScheduleEvent::PrefillRefused => fault(EngineFault::PrefillRefused),
         ScheduleEvent::ReservedRefused => fault(EngineFault::ReservedRequestRefused),
--- a/crates/dillspool_scheduler/tests/call_fleet/mod.rs
+++ b/crates/dillspool_scheduler/tests/call_fleet/mod.rs
@@ -15,8 +15,8 @@
     RoutingConfig, ServiceEntry,
 };
 use dillspool_scheduler::{
-    BusHandlers, CallClient, CallDesk, CallTerms, CallTicket, FleetBus, LimitDesk, PoolDesk,
-    ScheduleDesks, SchedulePeers, serve_schedule,
+    BusHandlers, CallClient, CallScheduler, CallSchedulerSettings, CallTicket, FleetBus,
+    PlacementScheduler, RateLimiter, SchedulePeers, ScheduleServices, serve_schedule,
 };
 use futures_util::future::join_all;
 use tokio::sync::watch;
@@ -79,7 +79,7 @@
 
 /// A host with its own desk, which serves others and asks the first in the order that answers.
 pub struct TestHost {
-    pub desk: CallDesk,
+    pub desk: CallScheduler,
     pub client: CallClient,
     pub cancel: CancellationToken,
     pub jumps: ClockJumps,
@@ -92,8 +92,8 @@
         let stack = net.stack(address(host).ip());
         let cancel = CancellationToken::new();
         let jumps = ClockJumps::default();
-        let terms = CallTerms { slots_per_host, ..CallTerms::default() };
-        let desk = CallDesk::new(terms, u64::from(host), jumps.clock());
+        let terms = CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() };
+        let desk = CallScheduler::new(terms, u64::from(host), jumps.clock());
         let (config_sender, known) = watch::channel(Some(Arc::new(config())));
         let (view_sender, directory) = watch::channel(Arc::new(view([entry("a"), entry("b")])));
         tokio::spawn(desk.clone().run(known, directory, || Some(3), cancel.clone()));
@@ -102,15 +102,16 @@
         let client = CallClient::new(desk.clone());
         let ranked: Vec<_> = order.iter().map(|host| address(*host)).collect();
         let own = Some(address(host));
-        let peers = move |_service: &str| SchedulePeers { own, ranked: ranked.clone() };
+        let peers =
+            move |_service: &str| SchedulePeers { own_address: own, ranked: ranked.clone() };
         let name = format!("host-{host}").into();
         tokio::spawn(client.clone().run(stack, name, peers, || Some(3), cancel.clone()));
         Self { desk, client, cancel, jumps, view: view_sender, _config: config_sender }
     }
 
     pub async fn ask(&self) -> (CallTicket, Option<CallDecision>) {
-        let mut ticket = self.client.open(&SERVICE.into());
-        let decision = ticket.ask(&request()).await;
+        let mut ticket = self.client.open_ticket(&SERVICE.into());
+        let decision = ticket.request_decision(&request()).await;
         (ticket, decision)
     }
 
@@ -125,23 +126,27 @@
 
     /// Calls in flight by this host's decisions, and as many as may be.
     pub fn in_flight(&self) -> (u32, u32) {
-        let readings = self.desk.read();
+        let readings = self.desk.snapshots();
         let servers = readings.iter().flat_map(|(_service, reading)| &reading.servers);
         servers.fold((0, 0), |sums, server| (sums.0 + server.in_flight, sums.1 + server.limit))
     }
 
     pub fn waiting(&self) -> usize {
-        self.desk.read().iter().map(|(_service, reading)| reading.waiting).sum()
+        self.desk.snapshots().iter().map(|(_service, reading)| reading.waiting).sum()
     }
 }
 
-pub fn desks(calls: &CallDesk) -> ScheduleDesks {
-    let pools =
-        PoolDesk::new(AdmissionPolicy::default(), 1, DemandMeter::default(), HostClock::steady());
-    ScheduleDesks {
+pub fn desks(calls: &CallScheduler) -> ScheduleServices {
+    let pools = PlacementScheduler::new(
+        AdmissionPolicy::default(),
+        1,
+        DemandMeter::default(),
+        HostClock::steady(),
+    );
+    ScheduleServices {
         pools,
-        limits: LimitDesk::of_backend_servers(1, HostClock::steady()),
-        backend_limits: LimitDesk::of_backend_servers(1, HostClock::steady()),
+        limits: RateLimiter::for_backend_servers(1, HostClock::steady()),
+        backend_limits: RateLimiter::for_backend_servers(1, HostClock::steady()),
         calls: calls.clone(),
         bus: FleetBus::new(BusHandlers::none(), HostClock::steady()),
     }
--- a/crates/dillspool_scheduler/tests/call_links.rs
+++ b/crates/dillspool_scheduler/tests/call_links.rs
@@ -183,7 +183,7 @@
         format!("sent {is_sent}, {in_flight} of {limit} in flight: the old decision keeps a place")
     });
     // The old decision came to a call that had waited; the new one found the place free.
-    faults.extend(fault_if(ticket.queued_for().is_some(), || "no new question".to_owned()));
+    faults.extend(fault_if(ticket.queue_time().is_some(), || "no new question".to_owned()));
     faults
 }
 
@@ -266,11 +266,11 @@
     run_paused(async {
         let fleet = TestFleet::start().await;
         let _held = fleet.hosts[1].take(fleet.limit(), DECIDED_WITHIN).await;
-        let mut ticket = fleet.hosts[2].client.open(&SERVICE.into());
+        let mut ticket = fleet.hosts[2].client.open_ticket(&SERVICE.into());
         let short = Duration::from_millis(300);
         let asked = Instant::now();
         let hurried = CallRequest { objective_left: short / 2, time_left: short, ..request() };
-        let decision = ticket.ask(&hurried).await;
+        let decision = ticket.request_decision(&hurried).await;
         assert!(matches!(decision, Some(CallDecision::Reject { .. })), "{decision:?}");
         assert!(asked.elapsed() <= short, "{:?}", asked.elapsed());
     });
@@ -294,7 +294,7 @@
                 let (mut ticket, decision) = host.ask().await;
                 assert!(matches!(decision, Some(CallDecision::Send { .. })), "{end:?}");
                 assert_eq!(fleet.hosts[0].in_flight().0, 1, "{end:?}");
-                ticket.end(end, Duration::from_millis(30));
+                ticket.complete(end, Duration::from_millis(30));
                 pass(5).await;
                 assert_eq!(fleet.hosts[0].in_flight().0, 0, "{end:?}");
             }
@@ -365,6 +365,6 @@
         let (ticket, decision) = host.ask().await;
         assert!(!ticket.is_scheduled());
         assert_eq!(decision, None);
-        assert!(deciding.desk.read().is_empty(), "no queue is made");
+        assert!(deciding.desk.snapshots().is_empty(), "no queue is made");
     });
 }
--- a/crates/dillspool_scheduler/tests/fleet_news.rs
+++ b/crates/dillspool_scheduler/tests/fleet_news.rs
@@ -14,8 +14,9 @@
     EngineStage, RouteTable, RoutingConfig, ServiceEntry,
 };
 use dillspool_scheduler::{
-    BusHandlers, CallDesk, CallTerms, FleetBus, LimitDesk, LimitTerms, NoticeHandlers, PoolDesk,
-    ScheduleDesks, SuspectHandlers, serve_schedule,
+    BusHandlers, CallScheduler, CallSchedulerSettings, FleetBus, NoticeHandlers,
+    PlacementScheduler, RateLimiter, RateLimiterSettings, ScheduleServices, SuspectHandlers,
+    serve_schedule,
 };
 use dillspool_schema::schedule::{
     ScheduleBeat, ScheduleDuty, ScheduleHello, ScheduleLeaving, ScheduleMessage, ScheduleSuspect,
@@ -36,9 +37,13 @@
 }
 
 /// A desk that knows one pool of one engine.
-fn desk() -> PoolDesk {
-    let desk =
-        PoolDesk::new(AdmissionPolicy::default(), 1, DemandMeter::default(), HostClock::steady());
+fn desk() -> PlacementScheduler {
+    let desk = PlacementScheduler::new(
+        AdmissionPolicy::default(),
+        1,
+        DemandMeter::default(),
+        HostClock::steady(),
+    );
     let service = ServiceEntry {
         name: "pool".into(),
         health_path: "/health".into(),
@@ -161,23 +166,24 @@
         let learnt: Arc<Mutex<Vec<SuspectUpdate>>> = Arc::default();
         let learning = Arc::clone(&learnt);
         let handlers = SuspectHandlers {
-            learn: Arc::new(move |news| {
+            apply_update: Arc::new(move |news| {
                 learning.lock().unwrap().push(news.clone());
                 true
             }),
-            worth_telling: Arc::new(|news| vec![news.clone()]),
-            known: Arc::new(|_most| Vec::new()),
-            repeated: Arc::new(|_most| Vec::new()),
+            updates_to_forward: Arc::new(|news| vec![news.clone()]),
+            newest_updates: Arc::new(|_most| Vec::new()),
+            newest_repeated: Arc::new(|_most| Vec::new()),
         };
         let listener = net.stack(address().ip()).listen(address()).await.expect("a free address");
-        let limits = LimitDesk::new(LimitTerms { slack: 0.0, shares: 1 }, HostClock::steady());
-        let backend_limits = LimitDesk::of_backend_servers(1, HostClock::steady());
+        let limits =
+            RateLimiter::new(RateLimiterSettings { slack: 0.0, shares: 1 }, HostClock::steady());
+        let backend_limits = RateLimiter::for_backend_servers(1, HostClock::steady());
         let handlers = BusHandlers { suspects: handlers, ..BusHandlers::none() };
         let bus = FleetBus::new(handlers, HostClock::steady());
         let cancel = CancellationToken::new();
         tokio::spawn(serve_schedule(
             listener,
-            ScheduleDesks { pools: desk(), limits, backend_limits, calls: no_calls(), bus },
+            ScheduleServices { pools: desk(), limits, backend_limits, calls: no_calls(), bus },
             cancel.clone(),
         ));
         let (mut one, mut two) = (link(&net, "10.0.0.2").await, link(&net, "10.0.0.3").await);
@@ -205,20 +211,23 @@
 }
 
 /// Desks of a host that knows what this desk does.
-fn desks_knowing(throttle: &ThrottleTracker) -> ScheduleDesks {
+fn desks_knowing(throttle: &ThrottleTracker) -> ScheduleServices {
     let (learning, knowing) = (throttle.clone(), throttle.clone());
     let throttle = NoticeHandlers {
-        learn: Arc::new(move |news: &ThrottleUpdate| learning.apply_update(news)),
-        known: Arc::new(move |most| knowing.newest_updates(most)),
+        apply_update: Arc::new(move |news: &ThrottleUpdate| learning.apply_update(news)),
+        newest_updates: Arc::new(move |most| knowing.newest_updates(most)),
     };
     desks_of(BusHandlers { throttle, ..BusHandlers::none() })
 }
 
-fn desks_of(handlers: BusHandlers) -> ScheduleDesks {
-    ScheduleDesks {
+fn desks_of(handlers: BusHandlers) -> ScheduleServices {
+    ScheduleServices {
         pools: desk(),
-        limits: LimitDesk::new(LimitTerms { slack: 0.0, shares: 1 }, HostClock::steady()),
-        backend_limits: LimitDesk::of_backend_servers(1, HostClock::steady()),
+        limits: RateLimiter::new(
+            RateLimiterSettings { slack: 0.0, shares: 1 },
+            HostClock::steady(),
+        ),
+        backend_limits: RateLimiter::for_backend_servers(1, HostClock::steady()),
         calls: no_calls(),
         bus: FleetBus::new(handlers, HostClock::steady()),
     }
@@ -298,8 +307,8 @@
         let cancel = CancellationToken::new();
         let (learning, knowing) = (desk.clone(), desk.clone());
         let leaving = NoticeHandlers {
-            learn: Arc::new(move |news: &LeavingUpdate| learning.apply_update(news)),
-            known: Arc::new(move |most| knowing.newest_updates(most)),
+            apply_update: Arc::new(move |news: &LeavingUpdate| learning.apply_update(news)),
+            newest_updates: Arc::new(move |most| knowing.newest_updates(most)),
         };
         let handlers = BusHandlers { leaving, ..BusHandlers::none() };
         let desks = desks_of(handlers);
@@ -360,6 +369,6 @@
     cancel.cancel();
 }
 
-fn no_calls() -> CallDesk {
-    CallDesk::new(CallTerms::default(), 1, HostClock::steady())
+fn no_calls() -> CallScheduler {
+    CallScheduler::new(CallSchedulerSettings::default(), 1, HostClock::steady())
 }
--- a/crates/dillspool_scheduler/tests/limit_links.rs
+++ b/crates/dillspool_scheduler/tests/limit_links.rs
@@ -14,8 +14,8 @@
     WorkspaceTable,
 };
 use dillspool_scheduler::{
-    BusHandlers, CallDesk, CallTerms, FleetBus, LimitClient, LimitDesk, LimitTerms, PoolDesk,
-    ScheduleDesks, SchedulePeers, serve_schedule,
+    BusHandlers, CallScheduler, CallSchedulerSettings, FleetBus, LimitClient, PlacementScheduler,
+    RateLimiter, RateLimiterSettings, SchedulePeers, ScheduleServices, serve_schedule,
 };
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -62,8 +62,9 @@
     async fn start_listing(net: &MemoryNet, host: u8, order: &Arc<Mutex<Vec<u8>>>) -> Self {
         let stack = net.stack(address(host).ip());
         let cancel = CancellationToken::new();
-        let desk = LimitDesk::new(LimitTerms { slack: 0.0, shares: 2 }, HostClock::steady());
-        let pools = PoolDesk::new(
+        let desk =
+            RateLimiter::new(RateLimiterSettings { slack: 0.0, shares: 2 }, HostClock::steady());
+        let pools = PlacementScheduler::new(
             AdmissionPolicy::default(),
             1,
             DemandMeter::default(),
@@ -72,7 +73,7 @@
         let listener = stack.listen(address(host)).await.expect("a free address");
         tokio::spawn(serve_schedule(
             listener,
-            ScheduleDesks {
+            ScheduleServices {
                 pools,
                 limits: desk.clone(),
                 backend_limits: no_limits(),
@@ -85,7 +86,7 @@
         let (own, order) = (Some(address(host)), Arc::clone(order));
         let peers = move |_share: &str| {
             let ranked = order.lock().unwrap().iter().map(|host| address(*host)).collect();
-            SchedulePeers { own, ranked }
+            SchedulePeers { own_address: own, ranked }
         };
         let name = format!("host-{host}").into();
         let (config_sender, known) = watch::channel(Some(Arc::new(config())));
@@ -185,7 +186,7 @@
         // What was left, half of the last one on credit.
         assert_eq!(granted, 30);
         for host in &hosts {
-            host.client.spent(&lowered).give_back();
+            host.client.grant(&lowered).refund();
             pass(2).await;
             assert_eq!(hosts[1].granted(4).await, 1);
         }
@@ -206,7 +207,7 @@
             assert!(tokio::time::timeout(Duration::ZERO, asking).await.is_err(), "an answer");
         }
         pass(5).await;
-        assert_eq!(hosts[2].client.open_questions(), 0, "questions that nobody waits for");
+        assert_eq!(hosts[2].client.pending_requests(), 0, "questions that nobody waits for");
         // What was left, half of the last one on credit.
         assert_eq!(hosts[1].granted(40).await, 30);
     });
@@ -360,14 +361,14 @@
     });
 }
 
-fn no_limits() -> LimitDesk {
-    LimitDesk::of_backend_servers(1, HostClock::steady())
+fn no_limits() -> RateLimiter {
+    RateLimiter::for_backend_servers(1, HostClock::steady())
 }
 
 fn no_news() -> FleetBus {
     FleetBus::new(BusHandlers::none(), HostClock::steady())
 }
 
-fn no_calls() -> CallDesk {
-    CallDesk::new(CallTerms::default(), 1, HostClock::steady())
+fn no_calls() -> CallScheduler {
+    CallScheduler::new(CallSchedulerSettings::default(), 1, HostClock::steady())
 }
--- a/crates/dillspool_scheduler/tests/links.rs
+++ b/crates/dillspool_scheduler/tests/links.rs
@@ -16,9 +16,9 @@
     EnginePool, EngineStage, RouteTable, RoutingConfig, ServiceEntry,
 };
 use dillspool_scheduler::{
-    BusHandlers, CallDesk, CallTerms, DeskNote, FleetBus, LimitDesk, LimitTerms, PlacementTicket,
-    PoolDesk, ScheduleClient, ScheduleDesks, SchedulePeers, SchedulerCandidate, rank_candidates,
-    serve_schedule,
+    BusHandlers, CallScheduler, CallSchedulerSettings, FleetBus, PlacementEvent,
+    PlacementScheduler, PlacementTicket, RateLimiter, RateLimiterSettings, ScheduleClient,
+    SchedulePeers, ScheduleServices, SchedulerCandidate, rank_candidates, serve_schedule,
 };
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -110,7 +110,7 @@
     async fn start(net: &MemoryNet, host: u8, order: &[u8]) -> Self {
         let stack = net.stack(address(host).ip());
         let cancel = CancellationToken::new();
-        let desk = PoolDesk::new(
+        let desk = PlacementScheduler::new(
             AdmissionPolicy::default(),
             u64::from(host),
             DemandMeter::default(),
@@ -120,10 +120,11 @@
         let (view_sender, directory) = watch::channel(Arc::new(view()));
         tokio::spawn(desk.clone().run(known.clone(), directory, cancel.clone()));
         let listener = stack.listen(address(host)).await.expect("a free address");
-        let limits = LimitDesk::new(LimitTerms { slack: 0.0, shares: 1 }, HostClock::steady());
+        let limits =
+            RateLimiter::new(RateLimiterSettings { slack: 0.0, shares: 1 }, HostClock::steady());
         tokio::spawn(serve_schedule(
             listener,
-            ScheduleDesks {
+            ScheduleServices {
                 pools: desk.clone(),
                 limits,
                 backend_limits: no_limits(),
@@ -135,15 +136,16 @@
         let client = ScheduleClient::new(desk, no_news());
         let ranked: Vec<_> = order.iter().map(|host| address(*host)).collect();
         let own = Some(address(host));
-        let peers = move |_service: &str| SchedulePeers { own, ranked: ranked.clone() };
+        let peers =
+            move |_service: &str| SchedulePeers { own_address: own, ranked: ranked.clone() };
         let name = format!("host-{host}").into();
         tokio::spawn(client.clone().run(stack, name, peers, known, cancel.clone()));
         Self { client, cancel, _config: config_sender, view: view_sender }
     }
 
     async fn ask(&self) -> (PlacementTicket, Option<PlacementDecision>) {
-        let ticket = self.client.open(&SERVICE.into());
-        let decision = ticket.ask(&request()).await;
+        let ticket = self.client.open_ticket(&SERVICE.into());
+        let decision = ticket.request_placement(&request()).await;
         (ticket, decision)
     }
 }
@@ -209,7 +211,10 @@
             let (ticket, decision) = hosts[1].ask().await;
             let id = engine(decision.as_ref()).expect("an engine").into();
             let failed = BackendInstance { id, start: told };
-            ticket.note(&DeskNote::Fault { engine: failed, fault: EngineFault::Unreachable });
+            ticket.record_event(&PlacementEvent::Fault {
+                engine: failed,
+                fault: EngineFault::Unreachable,
+            });
             tokio::time::sleep(Duration::from_millis(20)).await;
             let mut placed = Vec::new();
             for host in [&hosts[2], &hosts[1]] {
@@ -243,8 +248,8 @@
             let hosts = three_hosts(&net).await;
             let (held, one) = hosts[2].ask().await;
             assert!(engine(one.as_ref()).is_some(), "{}", case.name);
-            held.note(&DeskNote::Prefilled { took: Duration::from_millis(30) });
-            held.note(&DeskNote::Started);
+            held.record_event(&PlacementEvent::Prefilled { took: Duration::from_millis(30) });
+            held.record_event(&PlacementEvent::Started);
             match case.mode {
                 None => hosts[0].cancel.cancel(),
                 Some(mode) => {
@@ -337,14 +342,14 @@
     }
 }
 
-fn no_limits() -> LimitDesk {
-    LimitDesk::of_backend_servers(1, HostClock::steady())
+fn no_limits() -> RateLimiter {
+    RateLimiter::for_backend_servers(1, HostClock::steady())
 }
 
 fn no_news() -> FleetBus {
     FleetBus::new(BusHandlers::none(), HostClock::steady())
 }
 
-fn no_calls() -> CallDesk {
-    CallDesk::new(CallTerms::default(), 1, HostClock::steady())
+fn no_calls() -> CallScheduler {
+    CallScheduler::new(CallSchedulerSettings::default(), 1, HostClock::steady())
 }
