--- a/crates/dillspool_platform/src/error.rs
+++ b/crates/dillspool_platform/src/error.rs
@@ -1,23 +1,23 @@
-//! How a call to the platform fails.
+//! Errors of calls to the platform services.
 
 use dillspool_io::HttpError;
 use snafu::Snafu;
 
-/// A failed call, by what is known of its effect.
+/// A failed call, by what is known about its effect.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum PlatformError {
     /// The call had no effect and will have none.
-    #[snafu(display("the platform's service refused the call: {reason}; try again later"))]
+    #[snafu(display("the platform service rejected the request: {reason}; retry later"))]
     NotDone {
-        /// What the service or the connection said.
+        /// Error of the service or the connection.
         reason: String,
     },
-    /// The call may have taken effect, or may yet.
+    /// The call may have taken effect, or may still.
     #[snafu(display(
-        "the platform's service gave no answer: {reason}; read back what was written"
+        "the platform service did not respond: {reason}; read the data back to learn the outcome"
     ))]
     Unknown {
-        /// What broke the answer off.
+        /// Error that interrupted the response.
         reason: String,
     },
 }
@@ -26,7 +26,7 @@
     fn from(error: HttpError) -> Self {
         let reason = error.to_string();
         match error {
-            // The service answers an error status only for calls that it did not carry out.
+            // The service responds with an error status only to calls that it did not apply.
             HttpError::NotSent { .. } | HttpError::Status { .. } => Self::NotDone { reason },
             HttpError::Lost { .. } => Self::Unknown { reason },
         }
--- a/crates/dillspool_platform/src/hosts.rs
+++ b/crates/dillspool_platform/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving hosts and backend servers; it lags.
+//! The platform's list of live and leaving hosts and backend servers, which may be stale.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,65 +10,66 @@
 use serde::{Deserialize, Serialize};
 
 use crate::PlatformError;
-use crate::table::post;
+use crate::table::post_json;
 
-/// What an entry of the list is.
+/// Kind of a host list entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostKind {
-    /// An entry host of the system.
+    /// An entry host of this system.
     Host,
     /// A backend server.
     Backend,
 }
 
-/// What the platform knows of an entry.
+/// State of an entry, as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It runs.
+    /// It is running.
     Live,
-    /// It is being taken away.
+    /// It is being removed.
     Leaving,
 }
 
-/// One host or backend server of the list.
+/// A host or backend server in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct HostEntry {
     /// Name, as in the settings or the configuration.
     pub name: Name,
-    /// Host or backend server.
+    /// Kind of the entry.
     pub kind: HostKind,
-    /// Live or leaving.
+    /// State of the entry.
     pub state: HostState,
-    /// Failure domain.
+    /// Failure domain of the entry.
     pub failure_domain: Name,
     /// Address for peers; unused for backend servers.
     pub address: Name,
 }
 
-/// Asks for the list unless it is the one that is known.
+/// Requests the list unless the known version is current.
 ///
-/// At the two-year size the whole list is some 370 KB, and it changes a few times an hour.
+/// At the two-year size of the fleet, the whole list takes about 370 KB, and it changes a few times
+/// an hour.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct HostListQuery {
-    /// Version that the asker has; 0 for none.
+    /// Version that the caller knows; 0 for none.
     pub known: u64,
 }
 
-/// The list as read.
+/// Response to a [`HostListQuery`].
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct HostListReply {
     /// Version of the list.
     pub version: u64,
-    /// All entries, `None` if the known version is the newest.
+    /// All entries; `None` if the known version is current.
     pub entries: Option<Vec<HostEntry>>,
 }
 
 type ListFn =
     dyn Fn(HostListQuery) -> BoxFuture<Result<HostListReply, PlatformError>> + Send + Sync;
 
-/// The host list.
+/// Client of the host list service.
 #[derive(Clone)]
 pub struct HostList {
     /// Reads the list.
@@ -82,8 +83,8 @@
 }
 
 impl HostList {
-    /// The list at an address, reached over HTTP; each call ends within `limit`.
-    pub fn http(client: &HttpClient, address: SocketAddr, limit: Duration) -> Self {
-        Self { list: post(client, address, "/hosts/list", limit) }
+    /// Creates a client of the service at an address, over HTTP; each call ends within `timeout`.
+    pub fn http(client: &HttpClient, address: SocketAddr, timeout: Duration) -> Self {
+        Self { list: post_json(client, address, "/hosts/list", timeout) }
     }
 }
--- a/crates/dillspool_platform/src/lib.rs
+++ b/crates/dillspool_platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's services: table, object store and host list.
+//! Clients of the platform services: table, object store and host list.
 //!
 //! Each service is a plain struct of closures, so that the users' real service can be put behind
-//! it. Every call ends in one of three ways: done, not done, or unknown, because an answer can be
-//! lost after the write took effect. See `docs/design/platform.md`.
+//! it. Every call is applied, not applied, or of unknown outcome, because a response can be lost
+//! after the write took effect. See `docs/design/platform.md`.
 
 mod error;
 mod hosts;
--- a/crates/dillspool_platform/src/memory.rs
+++ b/crates/dillspool_platform/src/memory.rs
@@ -1,6 +1,6 @@
-//! The services in memory, behind the stand-ins and in tests.
+//! In-memory implementations of the services, for the stand-ins and for tests.
 //!
-//! They count what is asked of them and fail on order: down, slow, or with the answer lost after
+//! They count calls and can inject faults: an outage, a delayed effect, or a response lost after
 //! the write took effect.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -18,36 +18,36 @@
     ScanRequest, ScannedRow, TableRow, TableStore,
 };
 
-/// Keys in one page of a list of objects.
-const LIST_PAGE: usize = 1000;
+/// Maximum number of keys in one page of an object listing.
+const LIST_PAGE_KEYS: usize = 1000;
 
-/// What goes wrong with one call, or with all until it is mended.
+/// Fault that is injected into one call, or into all calls until it is cleared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// The call is refused without effect.
+    /// The call is rejected without effect.
     Refuse,
-    /// The call takes effect but its answer is lost.
+    /// The call takes effect, but its response is lost.
     LoseResponse,
-    /// The call is lost without effect, and looks like a lost answer.
+    /// The request is lost without effect; the caller cannot tell it from a lost response.
     LoseRequest,
-    /// The call seems lost, and takes effect after this time.
+    /// The call gets no response, and takes effect after this time.
     Late(Duration),
 }
 
-/// What was asked of a service so far.
+/// Number of calls to a service so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreUsage {
-    /// Calls that read.
+    /// Read calls.
     pub reads: u64,
-    /// Calls that write.
+    /// Write calls.
     pub writes: u64,
     /// Rows written.
     pub rows: u64,
 }
 
-/// The rows of a table as they were at a moment.
+/// The rows of a table at one time.
 #[derive(Clone, Debug)]
 pub struct TableSnapshot {
     rows: BTreeMap<Name, TableRow>,
@@ -57,91 +57,91 @@
 #[derive(Debug, Default)]
 struct TableState {
     rows: BTreeMap<Name, TableRow>,
-    /// How often it came back from a copy.
+    /// Number of restores so far.
     era: u64,
     newest_number: u64,
     outage: Option<StoreFault>,
-    next_commits: VecDeque<StoreFault>,
+    commit_faults: VecDeque<StoreFault>,
     usage: StoreUsage,
 }
 
-/// A table in memory.
+/// An in-memory table.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryTable {
     state: Arc<Mutex<TableState>>,
 }
 
-fn lost() -> PlatformError {
-    PlatformError::Unknown { reason: "the answer was lost".to_owned() }
+fn no_response() -> PlatformError {
+    PlatformError::Unknown { reason: "the response was lost".to_owned() }
 }
 
-fn refused() -> PlatformError {
+fn unavailable() -> PlatformError {
     PlatformError::NotDone { reason: "the service is down".to_owned() }
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl MemoryTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Lets every call fail this way until [`StoreFault::None`] is set.
+    /// Makes every call fail this way until [`StoreFault::None`] is set.
     pub fn set_outage(&self, fault: StoreFault) {
-        locked(&self.state).outage = (fault != StoreFault::None).then_some(fault);
+        lock(&self.state).outage = (fault != StoreFault::None).then_some(fault);
     }
 
-    /// Lets the next commits fail, one fault for each in turn.
+    /// Makes the next commits fail, with one fault each, in order.
     pub fn fail_commits(&self, faults: impl IntoIterator<Item = StoreFault>) {
-        locked(&self.state).next_commits.extend(faults);
+        lock(&self.state).commit_faults.extend(faults);
     }
 
-    /// Ends all faults, also those that were due.
+    /// Clears all faults, including those of future commits.
     pub fn clear_faults(&self) {
-        let mut state = locked(&self.state);
+        let mut state = lock(&self.state);
         state.outage = None;
-        state.next_commits.clear();
+        state.commit_faults.clear();
     }
 
-    /// Its rows as they are now.
+    /// Takes a snapshot of the rows.
     pub fn snapshot(&self) -> TableSnapshot {
-        let state = locked(&self.state);
+        let state = lock(&self.state);
         TableSnapshot { rows: state.rows.clone(), newest_number: state.newest_number }
     }
 
-    /// Becomes what it was: what was written since the copy is gone, and its versions are given out again.
-    pub fn restore(&self, copy: &TableSnapshot) {
-        let mut state = locked(&self.state);
+    /// Restores a snapshot: later writes are lost, and their versions are assigned again.
+    pub fn restore(&self, snapshot: &TableSnapshot) {
+        let mut state = lock(&self.state);
         state.era += 1;
-        state.rows.clone_from(&copy.rows);
-        state.newest_number = copy.newest_number;
-        // A row that stayed has its number, in the era that there is now.
+        state.rows.clone_from(&snapshot.rows);
+        state.newest_number = snapshot.newest_number;
+        // A remaining row keeps its version number, in the new era.
         let era = StoreEra::new(state.era);
         for row in state.rows.values_mut() {
             row.version = StoreVersion::new(era, row.version.number());
         }
     }
 
-    /// What was asked so far.
+    /// Number of calls so far.
     pub fn usage(&self) -> StoreUsage {
-        locked(&self.state).usage
+        lock(&self.state).usage
     }
 
     /// Reads rows.
     pub fn read(&self, request: &ReadRequest) -> Result<ReadReply, PlatformError> {
-        let mut state = locked(&self.state);
+        let mut state = lock(&self.state);
         state.usage.reads += 1;
         state.check_outage()?;
         let rows = request.keys.iter().map(|key| state.rows.get(key).cloned()).collect();
         Ok(ReadReply { rows, version: state.version() })
     }
 
-    /// Reads a range of rows.
+    /// Scans a range of rows.
     pub fn scan(&self, request: &ScanRequest) -> Result<ScanReply, PlatformError> {
-        let mut state = locked(&self.state);
+        let mut state = lock(&self.state);
         state.usage.reads += 1;
         state.check_outage()?;
         let start = Name::clone(&request.prefix).max(Name::clone(&request.after));
@@ -156,45 +156,45 @@
         Ok(ScanReply { rows })
     }
 
-    /// Commits rows, with the fault that is due.
+    /// Commits rows, or injects the next fault.
     pub fn commit(&self, request: CommitRequest) -> Result<CommitReply, PlatformError> {
-        let mut state = locked(&self.state);
+        let mut state = lock(&self.state);
         state.usage.writes += 1;
-        let fault = state.outage.or_else(|| state.next_commits.pop_front());
+        let fault = state.outage.or_else(|| state.commit_faults.pop_front());
         match fault.unwrap_or(StoreFault::None) {
             StoreFault::None => state.commit(request),
-            StoreFault::Refuse => Err(refused()),
-            StoreFault::LoseRequest => Err(lost()),
+            StoreFault::Refuse => Err(unavailable()),
+            StoreFault::LoseRequest => Err(no_response()),
             StoreFault::LoseResponse => {
                 state.apply(request.writes);
-                Err(lost())
+                Err(no_response())
             }
             StoreFault::Late(delay) => {
                 let table = self.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(delay).await;
-                    locked(&table.state).apply(request.writes);
+                    lock(&table.state).apply(request.writes);
                 });
-                Err(lost())
+                Err(no_response())
             }
         }
     }
 
-    /// This table as a service.
+    /// Returns a client of this table.
     pub fn store(&self) -> TableStore {
-        let (reading, scanning, committing) = (self.clone(), self.clone(), self.clone());
+        let (reader, scanner, committer) = (self.clone(), self.clone(), self.clone());
         TableStore {
             read: Arc::new(move |request| {
-                let reply = reading.read(&request);
-                Box::pin(async move { yielding(reply).await })
+                let reply = reader.read(&request);
+                Box::pin(async move { yield_then(reply).await })
             }),
             scan: Arc::new(move |request| {
-                let reply = scanning.scan(&request);
-                Box::pin(async move { yielding(reply).await })
+                let reply = scanner.scan(&request);
+                Box::pin(async move { yield_then(reply).await })
             }),
             commit: Arc::new(move |request| {
-                let table = committing.clone();
-                // The effect comes after a yield, so that calls of several tasks interleave.
+                let table = committer.clone();
+                // The commit is applied after a yield, so that calls of several tasks interleave.
                 Box::pin(async move {
                     tokio::task::yield_now().await;
                     table.commit(request)
@@ -204,7 +204,7 @@
     }
 }
 
-async fn yielding<T>(reply: T) -> T {
+async fn yield_then<T>(reply: T) -> T {
     tokio::task::yield_now().await;
     reply
 }
@@ -213,19 +213,19 @@
     fn check_outage(&self) -> Result<(), PlatformError> {
         match self.outage {
             None | Some(StoreFault::None) => Ok(()),
-            Some(StoreFault::Refuse) => Err(refused()),
+            Some(StoreFault::Refuse) => Err(unavailable()),
             Some(StoreFault::LoseResponse | StoreFault::LoseRequest | StoreFault::Late(_)) => {
-                Err(lost())
+                Err(no_response())
             }
         }
     }
 
-    fn holds(&self, write: &RowWrite) -> bool {
+    fn precondition_holds(&self, write: &RowWrite) -> bool {
         let found = self.rows.get(&write.key).map(|row| row.version);
         match write.expect {
             RowPrecondition::Any => true,
             RowPrecondition::Absent => found.is_none(),
-            // As on the wire, where a condition has no era.
+            // Compares numbers only, since a precondition has no era on the wire.
             RowPrecondition::Version(version) => {
                 found.map(StoreVersion::number) == Some(version.number())
             }
@@ -236,17 +236,18 @@
         StoreVersion::new(StoreEra::new(self.era), self.newest_number)
     }
 
-    /// Applies a commit, and answers as a service does that knows in which era its conditions were read.
+    /// Applies a commit and responds like a service that knows in which era the preconditions were
+    /// read.
     fn commit(&mut self, request: CommitRequest) -> Result<CommitReply, PlatformError> {
         let expected = request.writes.iter().find_map(|write| match write.expect {
             RowPrecondition::Version(version) => Some(version),
             RowPrecondition::Any | RowPrecondition::Absent => None,
         });
-        let read_in = expected.or(request.read_at).map(StoreVersion::era);
+        let read_era = expected.or(request.read_at).map(StoreVersion::era);
         let reply = self.apply(request.writes);
-        let is_restored = read_in.is_some_and(|era| era != StoreEra::new(self.era));
+        let is_restored = read_era.is_some_and(|era| era != StoreEra::new(self.era));
         if is_restored && reply == CommitReply::Committed {
-            return Err(lost());
+            return Err(no_response());
         }
         Ok(reply)
     }
@@ -254,7 +255,7 @@
     fn apply(&mut self, writes: Vec<RowWrite>) -> CommitReply {
         let conflicts: Vec<Name> = writes
             .iter()
-            .filter(|write| !self.holds(write))
+            .filter(|write| !self.precondition_holds(write))
             .map(|write| Name::clone(&write.key))
             .collect();
         if !conflicts.is_empty() {
@@ -273,7 +274,7 @@
     }
 }
 
-/// An object store in memory.
+/// An in-memory object store.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryObjects {
     objects: Arc<Mutex<BTreeMap<Name, String>>>,
@@ -281,130 +282,130 @@
 }
 
 impl MemoryObjects {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Refuses all calls until mended.
+    /// Rejects all calls while `down` is set.
     pub fn set_down(&self, down: bool) {
-        *locked(&self.outage) = down;
+        *lock(&self.outage) = down;
     }
 
     /// Reads an object.
     pub fn get(&self, key: &Name) -> Result<ObjectReply, PlatformError> {
-        self.check()?;
-        Ok(ObjectReply { text: locked(&self.objects).get(key).cloned() })
+        self.check_outage()?;
+        Ok(ObjectReply { text: lock(&self.objects).get(key).cloned() })
     }
 
     /// Writes an object.
     pub fn put(&self, request: PutRequest) -> Result<(), PlatformError> {
-        self.check()?;
-        locked(&self.objects).insert(request.key, request.text);
+        self.check_outage()?;
+        lock(&self.objects).insert(request.key, request.text);
         Ok(())
     }
 
     /// Lists a page of keys.
     pub fn list(&self, request: &ListRequest) -> Result<ListReply, PlatformError> {
-        self.check()?;
-        let objects = locked(&self.objects);
+        self.check_outage()?;
+        let objects = lock(&self.objects);
         let start = Name::clone(&request.prefix).max(Name::clone(&request.after));
         let mut found = objects
             .range(start..)
             .map(|(key, _text)| key)
             .filter(|key| **key != request.after)
             .take_while(|key| key.starts_with(&*request.prefix));
-        let keys = found.by_ref().take(LIST_PAGE).map(Name::clone).collect();
+        let keys = found.by_ref().take(LIST_PAGE_KEYS).map(Name::clone).collect();
         Ok(ListReply { keys, has_more: found.next().is_some() })
     }
 
     /// Deletes an object.
     pub fn delete(&self, key: &Name) -> Result<(), PlatformError> {
-        self.check()?;
-        locked(&self.objects).remove(key);
+        self.check_outage()?;
+        lock(&self.objects).remove(key);
         Ok(())
     }
 
-    fn check(&self) -> Result<(), PlatformError> {
-        if *locked(&self.outage) { Err(refused()) } else { Ok(()) }
+    fn check_outage(&self) -> Result<(), PlatformError> {
+        if *lock(&self.outage) { Err(unavailable()) } else { Ok(()) }
     }
 
-    /// This store as a service.
+    /// Returns a client of this store.
     pub fn store(&self) -> ObjectStore {
-        let (getting, putting) = (self.clone(), self.clone());
-        let (listing, deleting) = (self.clone(), self.clone());
+        let (getter, putter) = (self.clone(), self.clone());
+        let (lister, deleter) = (self.clone(), self.clone());
         ObjectStore {
             get: Arc::new(move |key| {
-                let reply = getting.get(&key);
-                Box::pin(async move { yielding(reply).await })
+                let reply = getter.get(&key);
+                Box::pin(async move { yield_then(reply).await })
             }),
             put: Arc::new(move |request| {
-                let reply = putting.put(request);
-                Box::pin(async move { yielding(reply).await })
+                let reply = putter.put(request);
+                Box::pin(async move { yield_then(reply).await })
             }),
             list: Arc::new(move |request| {
-                let reply = listing.list(&request);
-                Box::pin(async move { yielding(reply).await })
+                let reply = lister.list(&request);
+                Box::pin(async move { yield_then(reply).await })
             }),
             delete: Arc::new(move |key| {
-                let reply = deleting.delete(&key);
-                Box::pin(async move { yielding(reply).await })
+                let reply = deleter.delete(&key);
+                Box::pin(async move { yield_then(reply).await })
             }),
         }
     }
 }
 
-/// A host list in memory.
+/// An in-memory host list.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryHosts {
-    listed: Arc<Mutex<ListedHosts>>,
+    state: Arc<Mutex<HostListState>>,
 }
 
 #[derive(Debug, Default)]
-struct ListedHosts {
+struct HostListState {
     entries: BTreeMap<Name, HostEntry>,
-    /// Changes so far; versions begin at 1.
+    /// Number of changes so far; versions begin at 1.
     changes: u64,
 }
 
 impl MemoryHosts {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Adds or replaces an entry.
     pub fn set(&self, entry: HostEntry) {
-        let mut listed = locked(&self.listed);
-        listed.changes += 1;
-        listed.entries.insert(Name::clone(&entry.name), entry);
+        let mut state = lock(&self.state);
+        state.changes += 1;
+        state.entries.insert(Name::clone(&entry.name), entry);
     }
 
     /// Removes an entry.
     pub fn remove(&self, name: &str) {
-        let mut listed = locked(&self.listed);
-        listed.changes += 1;
-        listed.entries.remove(name);
+        let mut state = lock(&self.state);
+        state.changes += 1;
+        state.entries.remove(name);
     }
 
-    /// Reads the list, if it is not the known one.
+    /// Reads the list unless the known version is current.
     pub fn list(&self, query: HostListQuery) -> HostListReply {
-        let listed = locked(&self.listed);
-        let version = listed.changes + 1;
+        let state = lock(&self.state);
+        let version = state.changes + 1;
         let changed = version != query.known;
         HostListReply {
             version,
-            entries: changed.then(|| listed.entries.values().cloned().collect()),
+            entries: changed.then(|| state.entries.values().cloned().collect()),
         }
     }
 
-    /// This list as a service.
+    /// Returns a client of this list.
     pub fn store(&self) -> HostList {
         let hosts = self.clone();
         HostList {
             list: Arc::new(move |query| {
                 let reply = hosts.list(query);
-                Box::pin(async move { yielding(Ok(reply)).await })
+                Box::pin(async move { yield_then(Ok(reply)).await })
             }),
         }
     }
--- a/crates/dillspool_platform/src/objects.rs
+++ b/crates/dillspool_platform/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store: texts by key, written once and read whole.
+//! The object store: texts by key, written and read whole.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::PlatformError;
-use crate::table::post;
+use crate::table::post_json;
 
-/// An object to write.
+/// Request to write an object.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PutRequest {
     /// Key of the object.
@@ -21,28 +21,28 @@
     pub text: String,
 }
 
-/// An object as read.
+/// An object that was read.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ObjectReply {
-    /// The text, or `None` where there is no such object.
+    /// Text of the object; `None` if it does not exist.
     pub text: Option<String>,
 }
 
-/// A range of keys to list.
+/// Request to list a range of keys.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListRequest {
-    /// Start that all keys share.
+    /// Prefix of all keys.
     pub prefix: Name,
-    /// Key after which to begin; empty for the first.
+    /// Key after which the list begins; empty to begin with the first key.
     pub after: Name,
 }
 
-/// A page of keys in their order.
+/// One page of keys.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListReply {
-    /// The keys.
+    /// Keys in order.
     pub keys: Vec<Name>,
-    /// Whether there are more after the last one.
+    /// Whether more keys follow the last one.
     pub has_more: bool,
 }
 
@@ -51,16 +51,16 @@
 type ListFn = dyn Fn(ListRequest) -> BoxFuture<Result<ListReply, PlatformError>> + Send + Sync;
 type DeleteFn = dyn Fn(Name) -> BoxFuture<Result<(), PlatformError>> + Send + Sync;
 
-/// The object store.
+/// Client of the object store.
 #[derive(Clone)]
 pub struct ObjectStore {
     /// Reads an object.
     pub get: Arc<GetFn>,
     /// Writes an object; writing the same text again is harmless.
     pub put: Arc<PutFn>,
-    /// Lists keys by their start.
+    /// Lists keys by prefix.
     pub list: Arc<ListFn>,
-    /// Deletes an object; one that is not there counts as deleted.
+    /// Deletes an object; deleting a missing object succeeds.
     pub delete: Arc<DeleteFn>,
 }
 
@@ -71,21 +71,21 @@
 }
 
 impl ObjectStore {
-    /// The store at an address, reached over HTTP; each call ends within `limit`.
-    pub fn http(client: &HttpClient, address: SocketAddr, limit: Duration) -> Self {
+    /// Creates a client of the service at an address, over HTTP; each call ends within `timeout`.
+    pub fn http(client: &HttpClient, address: SocketAddr, timeout: Duration) -> Self {
         Self {
-            get: post(client, address, "/objects/get", limit),
-            put: post(client, address, "/objects/put", limit),
-            list: post(client, address, "/objects/list", limit),
-            delete: post(client, address, "/objects/delete", limit),
+            get: post_json(client, address, "/objects/get", timeout),
+            put: post_json(client, address, "/objects/put", timeout),
+            list: post_json(client, address, "/objects/list", timeout),
+            delete: post_json(client, address, "/objects/delete", timeout),
         }
     }
 
-    /// Lists all keys that share a start, page by page.
+    /// Lists all keys with a prefix, page by page.
     ///
     /// # Errors
     ///
-    /// [`PlatformError`] when the service does not answer for a page.
+    /// [`PlatformError`] if the call for a page fails.
     pub async fn list_all(&self, prefix: &Name) -> Result<Vec<Name>, PlatformError> {
         let mut keys: Vec<Name> = Vec::new();
         loop {
--- a/crates/dillspool_platform/src/table.rs
+++ b/crates/dillspool_platform/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table: rows by key, read, scanned and committed on conditions.
+//! The transactional table: rows by key, with reads, scans and conditional commits.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,84 +13,84 @@
 
 use crate::PlatformError;
 
-/// A row as it is stored.
+/// A stored row.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct TableRow {
     /// Text of the row.
     pub value: String,
-    /// Grows with each write of the row; the service sets it.
+    /// Version of the row, set by the service; grows with each write.
     pub version: StoreVersion,
 }
 
-/// What a row must be for a commit to take effect.
+/// Precondition on a row for a commit to take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RowPrecondition {
-    /// Anything.
+    /// No condition.
     Any,
-    /// Not there.
+    /// The row does not exist.
     Absent,
-    /// There, with this version.
+    /// The row exists with this version.
     Version(StoreVersion),
 }
 
-/// One row of a commit.
+/// A conditional write of one row.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct RowWrite {
     /// Key of the row.
     pub key: Name,
-    /// Condition on the row as it is.
+    /// Precondition on the current row.
     pub expect: RowPrecondition,
     /// New text, or `None` to delete the row.
     pub value: Option<String>,
 }
 
-/// Rows written together, or not at all.
+/// An atomic write of several rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct CommitRequest {
-    /// The rows.
+    /// Writes of the commit.
     pub writes: Vec<RowWrite>,
-    /// Version of the store at the read on which the conditions rest. A store that was restored since may hold
-    /// them by chance, so its commit then counts as unknown.
+    /// Version of the store at the read that the preconditions are based on. In a store that was
+    /// restored since, they may hold by chance, so the outcome of the commit is then unknown.
     #[serde(default)]
     pub read_at: Option<StoreVersion>,
 }
 
-/// What became of a commit.
+/// Outcome of a commit.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommitReply {
     /// All rows were written.
     Committed,
-    /// Nothing was written; the conditions of these keys did not hold.
+    /// Nothing was written, because the preconditions of these keys did not hold.
     Conflict(Vec<Name>),
 }
 
-/// Keys to read.
+/// Request to read rows by key.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ReadRequest {
-    /// The keys.
+    /// Keys of the rows.
     pub keys: Vec<Name>,
 }
 
-/// Rows in the order of the keys.
+/// Rows that were read.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ReadReply {
-    /// A row for each key, `None` where there is none.
+    /// The row of each requested key, in the order of the request; `None` if there is none.
     pub rows: Vec<Option<TableRow>>,
     /// Newest version of the store.
     #[serde(default)]
     pub version: StoreVersion,
 }
 
-/// A range of keys to read.
+/// Request to scan a range of keys.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ScanRequest {
-    /// Start that all keys share.
+    /// Prefix of all keys.
     pub prefix: Name,
-    /// Key after which to begin; empty for the first.
+    /// Key after which the scan begins; empty to begin with the first key.
     pub after: Name,
-    /// Rows at most.
+    /// Maximum number of rows.
     pub limit: usize,
 }
 
@@ -99,28 +99,28 @@
 pub struct ScannedRow {
     /// Key of the row.
     pub key: Name,
-    /// The row.
+    /// Text and version of the row.
     pub row: TableRow,
 }
 
-/// Rows of a scan in the order of their keys.
+/// One page of a scan.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ScanReply {
-    /// The rows.
+    /// Rows in key order.
     pub rows: Vec<ScannedRow>,
 }
 
-type Call<Q, R> = Arc<dyn Fn(Q) -> BoxFuture<Result<R, PlatformError>> + Send + Sync>;
+type StoreFn<Q, R> = Arc<dyn Fn(Q) -> BoxFuture<Result<R, PlatformError>> + Send + Sync>;
 
-/// The table service.
+/// Client of the table service.
 #[derive(Clone)]
 pub struct TableStore {
     /// Reads rows by key.
-    pub read: Call<ReadRequest, ReadReply>,
-    /// Reads a range of rows.
-    pub scan: Call<ScanRequest, ScanReply>,
-    /// Writes rows together on conditions.
-    pub commit: Call<CommitRequest, CommitReply>,
+    pub read: StoreFn<ReadRequest, ReadReply>,
+    /// Scans a range of rows.
+    pub scan: StoreFn<ScanRequest, ScanReply>,
+    /// Writes rows atomically if all preconditions hold.
+    pub commit: StoreFn<CommitRequest, CommitReply>,
 }
 
 impl fmt::Debug for TableStore {
@@ -130,12 +130,12 @@
 }
 
 impl TableStore {
-    /// The service at an address, reached over HTTP; each call ends within `limit`.
-    pub fn http(client: &HttpClient, address: SocketAddr, limit: Duration) -> Self {
+    /// Creates a client of the service at an address, over HTTP; each call ends within `timeout`.
+    pub fn http(client: &HttpClient, address: SocketAddr, timeout: Duration) -> Self {
         Self {
-            read: post(client, address, "/table/read", limit),
-            scan: post(client, address, "/table/scan", limit),
-            commit: post(client, address, "/table/commit", limit),
+            read: post_json(client, address, "/table/read", timeout),
+            scan: post_json(client, address, "/table/scan", timeout),
+            commit: post_json(client, address, "/table/commit", timeout),
         }
     }
 
@@ -143,28 +143,29 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError`] when the service does not answer.
+    /// [`PlatformError`] if the call fails.
     pub async fn read_one(&self, key: Name) -> Result<Option<TableRow>, PlatformError> {
         let reply = (self.read)(ReadRequest { keys: vec![key] }).await?;
         Ok(reply.rows.into_iter().next().flatten())
     }
 
-    /// Commits rows together.
+    /// Commits rows atomically.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Unknown`] when the commit may have taken effect.
+    /// [`PlatformError::Unknown`] if the commit may have taken effect, [`PlatformError::NotDone`]
+    /// if it did not.
     pub async fn commit(&self, writes: Vec<RowWrite>) -> Result<CommitReply, PlatformError> {
         (self.commit)(CommitRequest { writes, read_at: None }).await
     }
 }
 
-pub(crate) fn post<Q, R>(
+pub(crate) fn post_json<Q, R>(
     client: &HttpClient,
     address: SocketAddr,
     path: &'static str,
-    limit: Duration,
-) -> Call<Q, R>
+    timeout: Duration,
+) -> StoreFn<Q, R>
 where
     Q: Serialize + Send + Sync + 'static,
     R: serde::de::DeserializeOwned + Send + 'static,
@@ -173,7 +174,7 @@
     Arc::new(move |query| {
         let client = client.clone();
         Box::pin(async move {
-            let reply = client.call(Method::POST, address, path, &query, limit).await?;
+            let reply = client.call(Method::POST, address, path, &query, timeout).await?;
             Ok(reply)
         })
     })
--- a/crates/dillspool_platform/src/watch.rs
+++ b/crates/dillspool_platform/src/watch.rs
@@ -1,4 +1,4 @@
-//! Whole tables with their version, and what changed in them since.
+//! Table snapshots with their version, and the changes after it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -16,39 +16,39 @@
 pub struct ChangedRow {
     /// Key of the row.
     pub key: Name,
-    /// Version that its change gave it.
+    /// Version that this change gave the row.
     pub version: StoreVersion,
-    /// Its text, `None` when it was deleted.
+    /// Text of the row; `None` if it was deleted.
     pub value: Option<Arc<str>>,
 }
 
 /// Rows of one table, complete up to a version of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableDelta {
-    /// Whether rows that are missing here do not exist.
+    /// Whether this is a snapshot: rows that are missing here do not exist.
     pub full: bool,
-    /// Version of the store up to which this is complete.
+    /// Version of the store up to which the rows are complete.
     pub version: StoreVersion,
-    /// The rows.
+    /// Rows of the snapshot, or changed rows.
     pub rows: Vec<ChangedRow>,
 }
 
-/// Why a watch gave nothing.
+/// Error of a watch for changes.
 #[derive(Clone, Debug, Snafu)]
 pub enum WatchError {
-    /// The store keeps no changes as old as asked for.
-    #[snafu(display("the store's history is gone; read the whole table"))]
+    /// The store does not keep changes as old as the requested version.
+    #[snafu(display("the store no longer keeps changes this old; read the whole table"))]
     HistoryGone,
-    /// The store came back from a copy after the version that was asked for.
-    #[snafu(display("the store is restored in era {era}; read the whole table"))]
+    /// The store was restored from a snapshot after the requested version.
+    #[snafu(display("the store was restored and is now in era {era}; read the whole table"))]
     Restored {
-        /// Its era now.
+        /// Current era of the store.
         era: StoreEra,
     },
-    /// The store did not answer as it should.
+    /// The call to the store failed.
     #[snafu(display("{source}"))]
     Store {
-        /// What went wrong.
+        /// Cause of the failure.
         source: PlatformError,
     },
 }
@@ -57,12 +57,12 @@
 type ChangesFn =
     dyn Fn(Name, StoreVersion, Duration) -> BoxFuture<Result<TableDelta, WatchError>> + Send + Sync;
 
-/// Reads tables whole and follows their changes.
+/// Reads table snapshots and follows their changes.
 #[derive(Clone)]
 pub struct TableWatch {
-    /// Reads a table whole.
+    /// Reads a snapshot of a table.
     pub snapshot: Arc<SnapshotFn>,
-    /// Waits up to a time for changes behind a version of the store.
+    /// Waits up to the given time for changes after a version of the store.
     pub changes: Arc<ChangesFn>,
 }
 
