--- a/crates/dillspool_router/src/call_metrics.rs
+++ b/crates/dillspool_router/src/call_metrics.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services that are decided on here, as figures that are read when they are scraped.
+//! Metrics of the plain services' calls that this host schedules, updated on each scrape.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Figures of a host's call queues.
+/// Metrics of a host's call queues.
 #[derive(Clone, Debug)]
 pub(crate) struct CallMetrics {
     desk: CallDesk,
@@ -47,7 +47,6 @@
 }
 
 impl CallMetrics {
-    /// Figures of a desk.
     pub(crate) fn new(desk: CallDesk) -> Self {
         Self {
             desk,
@@ -58,7 +57,6 @@
         }
     }
 
-    /// Registers all figures.
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Calls that wait at this host for a backend server";
         registry.register("calls_waiting", help, self.waiting.clone());
@@ -70,23 +68,23 @@
         registry.register("calls_rejected", help, self.rejected.clone());
     }
 
-    /// Takes over what is known now.
+    /// Updates the metrics to the current values.
     pub(crate) fn refresh(&self) {
-        // A service that is not decided on here any more has no figures.
+        // A service that this host no longer schedules must not keep its last values.
         self.waiting.clear();
         self.in_flight.clear();
         self.limit.clear();
-        for (service, reading) in self.desk.read() {
+        for (service, snapshot) in self.desk.read() {
             let labels = ServiceLabels { service: Name::clone(&service) };
-            let servers = reading.servers.iter();
+            let servers = snapshot.servers.iter();
             let (in_flight, limit) = servers.fold((0_i64, 0_i64), |(in_flight, limit), server| {
                 (in_flight + i64::from(server.in_flight), limit + i64::from(server.limit))
             });
-            let waiting = i64::try_from(reading.waiting).unwrap_or(i64::MAX);
+            let waiting = i64::try_from(snapshot.waiting).unwrap_or(i64::MAX);
             self.waiting.get_or_create(&labels).set(waiting);
             self.in_flight.get_or_create(&labels).set(in_flight);
             self.limit.get_or_create(&labels).set(limit);
-            for (cause, count) in reading.rejected {
+            for (cause, count) in snapshot.rejected {
                 let cause = match cause {
                     RejectCause::NoServer => "no_server",
                     RejectCause::NoCapacity => "no_room",
--- a/crates/dillspool_router/src/config_tracker.rs
+++ b/crates/dillspool_router/src/config_tracker.rs
@@ -1,4 +1,4 @@
-//! From the configuration's row to the configuration in force.
+//! Decodes the configuration row and puts it in force.
 
 use std::sync::Arc;
 
@@ -10,30 +10,30 @@
 use crate::site::SiteProtocol;
 use crate::unreadable_rows::UnreadableRows;
 
-/// Puts each newer configuration in force, whole, until the belief ends.
+/// Puts each newer configuration in force as a whole, until the replica is closed.
 ///
-/// A configuration that cannot be decoded leaves the last good one in force.
+/// If a configuration cannot be decoded, the last valid one stays in force.
 pub async fn track_config(
     site: SiteProtocol,
-    mut belief: watch::Receiver<TableReplica>,
+    mut replica: watch::Receiver<TableReplica>,
     unreadable: UnreadableRows,
     config: watch::Sender<Option<Arc<RoutingConfig>>>,
 ) {
     let (table, key) = &site.config_row;
-    let mut seen = StoreVersion::default();
+    let mut last_version = StoreVersion::default();
     loop {
-        let row = belief.borrow_and_update().rows.get(key).cloned();
+        let row = replica.borrow_and_update().rows.get(key).cloned();
         if let Some(row) = row
-            && row.version > seen
+            && row.version > last_version
             && let Some(text) = row.value
         {
-            seen = row.version;
+            last_version = row.version;
             match (site.decode_config)(&text) {
                 Ok(decoded) => apply(decoded, row.version, &config),
-                Err(cause) => unreadable.note(table, key, row.version, &cause),
+                Err(cause) => unreadable.record(table, key, row.version, &cause),
             }
         }
-        if belief.changed().await.is_err() {
+        if replica.changed().await.is_err() {
             return;
         }
     }
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts, reloads and stops the parts of a routing host.
+//! Starts, reloads and stops the tasks of a routing host.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,46 +26,47 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::belief_metrics::BeliefMetrics;
-use crate::beliefs::Beliefs;
 use crate::call_metrics::CallMetrics;
-use crate::fleet_duties::{
-    HostCount, fleet_bus, hash_of, keep_host_count, order_delay, start_backend_limits, start_calls,
-    start_limits, start_schedule,
+use crate::fleet_tasks::{
+    HostCount, fleet_bus, host_hash, maintain_host_count, order_delay, start_backend_limits,
+    start_calls, start_limits, start_schedule,
 };
 use crate::held_metrics::HeldMetrics;
 use crate::ingress::{IngressState, KnownConfig};
-use crate::notice_keeper::NoticeKeeper;
-use crate::peer_list::{PeerList, keep_peer_list};
+use crate::notice_publisher::NoticePublisher;
+use crate::peer_list::{PeerList, maintain_peer_list};
 use crate::settings::RouterConfig;
 use crate::site::SiteProtocol;
 use crate::status::{metrics_handler, readiness_handler};
+use crate::store_metrics::StoreMetrics;
+use crate::store_replicas::StoreReplicas;
 use crate::suspect_metrics::SuspectMetrics;
-use crate::suspect_rows::SuspectKeeper;
+use crate::suspect_rows::SuspectReplicator;
 use crate::throttle_metrics::ThrottleMetrics;
 
-/// Connections of callers at most; each may need a second descriptor for its backend server.
-const MOST_CALLER_CONNECTIONS: usize = 1_800;
-/// Connections for readiness and metrics at most.
-const MOST_STATUS_CONNECTIONS: usize = 16;
-/// Time that a connection may rest before a configuration is known.
-const FIRST_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time after the signal to stop in which new connections still come: the platform asks for
-/// readiness each second and takes a host out after two misses.
-const STILL_LISTED: Duration = Duration::from_millis(2_600);
-/// Time before the kill at which what still runs is broken off; up to 0.25 s of it are for the last lines
-/// of the log.
+/// Maximum number of caller connections; each may need a second file descriptor for its backend
+/// server.
+const MAX_CALLER_CONNECTIONS: usize = 1_800;
+/// Maximum number of connections to each of the readiness and metrics listeners.
+const MAX_STATUS_CONNECTIONS: usize = 16;
+/// Idle timeout of connections before a configuration is known.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time after the stop signal during which new connections are still accepted: the platform polls
+/// readiness every second and removes a host after two failures.
+const READINESS_DRAIN_DELAY: Duration = Duration::from_millis(2_600);
+/// Time before the kill at which requests still in progress are aborted; up to 0.25 s of it are
+/// needed to write the last log lines.
 const KILL_MARGIN: Duration = Duration::from_millis(600);
 
-/// Why a host cannot start.
+/// Reason why a host cannot start.
 #[derive(Debug, Snafu)]
 pub enum RouterError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     #[snafu(display("cannot listen on {address}: {source}; check [listen] of the settings"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What went wrong.
+        /// The underlying error.
         source: std::io::Error,
     },
 }
@@ -75,24 +76,24 @@
 pub struct RouterDaemon {
     config: RouterConfig,
     stopping: Arc<AtomicBool>,
-    /// Ends taking callers' connections.
+    /// Stops accepting connections from callers.
     callers: CancellationToken,
-    /// Ends everything else.
+    /// Stops all other tasks.
     background: CancellationToken,
     serving: TaskTracker,
     peers: PeerList,
     suspects: SuspectTracker,
-    /// Bytes held for slow peers, where they are limited.
+    /// Budget for bytes held for slow peers; `None` if they are not limited.
     held: Option<ByteBudget>,
     clock: HostClock,
 }
 
 impl RouterDaemon {
-    /// Starts all parts.
+    /// Starts all tasks.
     ///
     /// # Errors
     ///
-    /// [`RouterError::Listen`] naming the address.
+    /// [`RouterError::Listen`] with the address if listening fails.
     pub async fn start(
         config: RouterConfig,
         stack: NetStack,
@@ -106,7 +107,7 @@
         let metrics_listener = listen(&stack, config.metrics).await?;
         let schedule_listener = listen(&stack, config.schedule).await?;
         let host_count = HostCount::default();
-        let beliefs = Beliefs::start(
+        let replicas = StoreReplicas::start(
             &config,
             &stack,
             &site,
@@ -121,7 +122,7 @@
         suspects.set_lifted(config.lifted.clone());
         let limits = LimitDesk::new(config.limits, clock.clone());
         let backend_limits = LimitDesk::of_backend_servers(config.limits.shares, clock.clone());
-        let seed = hash_of(&config.host);
+        let seed = host_hash(&config.host);
         let desk = PoolDesk::new(config.policy.admission, seed, demand.clone(), clock.clone());
         let calls = CallDesk::new(config.calls, seed, clock.clone());
         let desks = ScheduleDesks {
@@ -132,23 +133,23 @@
             bus: fleet_bus(&suspects, &site, &clock),
         };
         let schedule =
-            start_schedule(&config, &stack, &beliefs, schedule_listener, desks, &background);
-        let limits = start_limits(&config, &stack, &beliefs, limits, &background);
+            start_schedule(&config, &stack, &replicas, schedule_listener, desks, &background);
+        let limits = start_limits(&config, &stack, &replicas, limits, &background);
         let backend_limits = start_backend_limits(
             &config,
             &stack,
-            &beliefs,
+            &replicas,
             backend_limits,
             schedule.clone(),
             &background,
         );
         let call_metrics = CallMetrics::new(calls.clone());
         let call_client =
-            start_calls(&config, &stack, &beliefs, calls, host_count.clone(), &background);
+            start_calls(&config, &stack, &replicas, calls, host_count.clone(), &background);
         let context = ForwardContext {
             failure_domain: Name::clone(&config.failure_domain),
             calls: site.calls.clone(),
-            directory: beliefs.directory.clone(),
+            directory: replicas.directory.clone(),
             schedule: schedule.clone(),
             call_client,
             limits,
@@ -169,21 +170,21 @@
             callers,
             background,
             serving: TaskTracker::new(),
-            peers: beliefs.peers.clone(),
+            peers: replicas.peers.clone(),
             suspects: suspects.clone(),
             clock: clock.clone(),
         };
-        let throttled = ThrottleMetrics::new(
+        let throttle_metrics = ThrottleMetrics::new(
             site.throttle.clone(),
             site.leaving.clone(),
             [context.limits.clone(), backend_limits.clone()],
         );
-        let figures = (throttled, call_metrics);
-        daemon.start_status(&beliefs, figures, &metrics, readiness_listener, metrics_listener);
-        daemon.start_suspects(&beliefs, &site, schedule.clone());
-        daemon.start_notices(&beliefs, &site, backend_limits, schedule.clone());
-        daemon.start_keepers(&beliefs, &site, (budgets, host_count), demand, schedule, &clock);
-        daemon.start_callers(&beliefs, &site, context, callers_listener, clock);
+        let figures = (throttle_metrics, call_metrics);
+        daemon.start_status(&replicas, figures, &metrics, readiness_listener, metrics_listener);
+        daemon.start_suspect_replicator(&replicas, &site, schedule.clone());
+        daemon.start_notice_publisher(&replicas, &site, backend_limits, schedule.clone());
+        daemon.start_maintenance(&replicas, &site, (budgets, host_count), demand, schedule, &clock);
+        daemon.start_callers(&replicas, &site, context, callers_listener, clock);
         log::info!(
             "event=started failure_domain={} callers={} site={}",
             daemon.config.failure_domain,
@@ -195,72 +196,72 @@
 
     fn start_status(
         &self,
-        beliefs: &Beliefs,
-        (throttled, calls): (ThrottleMetrics, CallMetrics),
+        replicas: &StoreReplicas,
+        (throttle_metrics, calls): (ThrottleMetrics, CallMetrics),
         metrics: &ForwardMetrics,
         readiness: NetListener,
         figures: NetListener,
     ) {
         let limits =
-            ServerLimits { max_connections: MOST_STATUS_CONNECTIONS, ..ServerLimits::default() };
-        let (config, directory) = (beliefs.config.clone(), beliefs.directory.clone());
+            ServerLimits { max_connections: MAX_STATUS_CONNECTIONS, ..ServerLimits::default() };
+        let (config, directory) = (replicas.config.clone(), replicas.directory.clone());
         let stopping = Arc::clone(&self.stopping);
         let held = self.held.clone();
         let is_ready = move || {
             let known = config.borrow().is_some() && !directory.borrow().entries.is_empty();
-            let has_room = held.as_ref().is_none_or(ByteBudget::is_ready);
-            known && has_room && !stopping.load(Ordering::Relaxed)
+            let has_capacity = held.as_ref().is_none_or(ByteBudget::is_ready);
+            known && has_capacity && !stopping.load(Ordering::Relaxed)
         };
         let handler = readiness_handler(is_ready);
         tokio::spawn(serve_http(readiness, limits, handler, self.background.clone()));
         let mut registry = Registry::with_prefix("dillspool");
         metrics.register(&mut registry);
-        let believed = BeliefMetrics::new(
-            beliefs.config.clone(),
-            beliefs.directory.clone(),
-            beliefs.reach.clone(),
-            vec![beliefs.operator.clone(), beliefs.backends.clone(), beliefs.hosts.clone()],
+        let store_metrics = StoreMetrics::new(
+            replicas.config.clone(),
+            replicas.directory.clone(),
+            replicas.reachability.clone(),
+            vec![replicas.operator.clone(), replicas.backends.clone(), replicas.hosts.clone()],
         );
-        believed.register(&mut registry);
-        beliefs.unreadable.register(&mut registry);
-        let suspected = SuspectMetrics::new(self.suspects.clone());
-        suspected.register(&mut registry);
-        throttled.register(&mut registry);
+        store_metrics.register(&mut registry);
+        replicas.unreadable.register(&mut registry);
+        let suspect_metrics = SuspectMetrics::new(self.suspects.clone());
+        suspect_metrics.register(&mut registry);
+        throttle_metrics.register(&mut registry);
         calls.register(&mut registry);
         let held = HeldMetrics::new(self.held.clone());
         held.register(&mut registry);
         let refresh = move || {
             held.refresh();
-            believed.refresh();
-            suspected.refresh();
-            throttled.refresh();
+            store_metrics.refresh();
+            suspect_metrics.refresh();
+            throttle_metrics.refresh();
             calls.refresh();
         };
         let handler = metrics_handler(registry, refresh);
         tokio::spawn(serve_http(figures, limits, handler, self.background.clone()));
     }
 
-    fn start_keepers(
+    fn start_maintenance(
         &self,
-        beliefs: &Beliefs,
+        replicas: &StoreReplicas,
         site: &SiteProtocol,
         (budgets, host_count): (RetryBudgets, HostCount),
         demand: DemandMeter,
         schedule: ScheduleClient,
         clock: &HostClock,
     ) {
-        tokio::spawn(keep_peer_list(
+        tokio::spawn(maintain_peer_list(
             self.config.clone(),
             (Name::clone(&site.own_table), site.store.clone()),
-            beliefs.peers.clone(),
-            [beliefs.hosts.subscribe(), beliefs.backends.subscribe()],
-            beliefs.unreadable.clone(),
-            beliefs.role.clone(),
+            replicas.peers.clone(),
+            [replicas.hosts.subscribe(), replicas.backends.subscribe()],
+            replicas.unreadable.clone(),
+            replicas.role.clone(),
             self.background.clone(),
         ));
-        tokio::spawn(keep_host_count(
+        tokio::spawn(maintain_host_count(
             schedule.clone(),
-            beliefs.peers.clone(),
+            replicas.peers.clone(),
             budgets,
             host_count,
             self.background.clone(),
@@ -272,57 +273,62 @@
             handover_gap: self.config.order_handover_gap,
             is_first_start: self.config.first_start,
             clock: clock.clone(),
-            delay: order_delay(&self.config.host, beliefs.config.clone(), schedule),
+            delay: order_delay(&self.config.host, replicas.config.clone(), schedule),
             is_backing_off: Arc::new(move |engine| throttle.backoff_until(engine).is_some()),
         };
         tokio::spawn(reconcile_stages(
             settings,
             site.store.clone(),
             site.calls.clone(),
-            beliefs.config.clone(),
-            beliefs.directory.clone(),
+            replicas.config.clone(),
+            replicas.directory.clone(),
             self.background.clone(),
         ));
     }
 
-    /// Starts to tell other hosts what backend servers say of themselves.
-    fn start_notices(
+    /// Starts sharing what backend servers announce in their responses with other hosts.
+    fn start_notice_publisher(
         &self,
-        beliefs: &Beliefs,
+        replicas: &StoreReplicas,
         site: &SiteProtocol,
         limits: LimitClient,
         schedule: ScheduleClient,
     ) {
-        let keeper = NoticeKeeper {
+        let publisher = NoticePublisher {
             throttle: site.throttle.clone(),
             leaving: site.leaving.clone(),
             limits,
             schedule,
-            directory: beliefs.directory.clone(),
+            directory: replicas.directory.clone(),
         };
-        tokio::spawn(keeper.run(self.background.clone()));
+        tokio::spawn(publisher.run(self.background.clone()));
     }
 
-    /// Starts to tell other hosts, and to hear from them, under which requests backend servers ended.
-    fn start_suspects(&self, beliefs: &Beliefs, site: &SiteProtocol, schedule: ScheduleClient) {
-        let telling = schedule.clone();
-        let keeper = SuspectKeeper {
+    /// Starts exchanging with other hosts which requests crashed backend servers.
+    fn start_suspect_replicator(
+        &self,
+        replicas: &StoreReplicas,
+        site: &SiteProtocol,
+        schedule: ScheduleClient,
+    ) {
+        let publisher = schedule.clone();
+        let replicator = SuspectReplicator {
             host: Name::clone(&self.config.host),
             table: Name::clone(&site.own_table),
             store: site.store.clone(),
-            rows: beliefs.hosts.subscribe(),
-            unreadable: beliefs.unreadable.clone(),
-            desk: self.suspects.clone(),
+            rows: replicas.hosts.subscribe(),
+            unreadable: replicas.unreadable.clone(),
+            tracker: self.suspects.clone(),
             wall: WallClock::system(),
-            tell: Arc::new(move |news| telling.tell(&FleetNews::Suspect(news.clone()))),
-            schedules: Arc::new(move || schedule.schedules_any()),
+            publish: Arc::new(move |update| publisher.tell(&FleetNews::Suspect(update.clone()))),
+            is_scheduler: Arc::new(move || schedule.schedules_any()),
         };
-        tokio::spawn(keeper.run(self.background.clone()));
+        tokio::spawn(replicator.run(self.background.clone()));
     }
 
     fn start_callers(
         &self,
-        beliefs: &Beliefs,
+        replicas: &StoreReplicas,
         site: &SiteProtocol,
         context: ForwardContext,
         listener: NetListener,
@@ -330,8 +336,8 @@
     ) {
         let stopping = Arc::clone(&self.stopping);
         let known = KnownConfig {
-            config: beliefs.config.clone(),
-            operator: beliefs.operator.clone(),
+            config: replicas.config.clone(),
+            operator: replicas.operator.clone(),
             change_limit: self.config.change_limit,
         };
         let state = IngressState::new(
@@ -342,26 +348,27 @@
             self.config.fingerprint_key.clone(),
             clock,
         );
-        let limits = caller_limits(beliefs.config.clone(), &self.background);
+        let limits = caller_limits(replicas.config.clone(), &self.background);
         let (held, cancel) = (self.held.clone(), self.callers.clone());
         let serve = serve_http_held(listener, limits, state.handler(), held, cancel);
         self.serving.spawn(serve);
     }
 
-    /// Takes what may change without a restart from new settings.
+    /// Applies the settings that can change without a restart.
     pub fn reload(&self, config: RouterConfig) {
         log::info!("event=reloaded seeds={:?} lifted={:?}", config.seeds, config.lifted);
         self.peers.set_seeds(config.seeds);
         self.suspects.set_lifted(config.lifted);
     }
 
-    /// Stops: no new callers, open answers to their end, nothing beyond the grace.
+    /// Stops gracefully: refuses new callers and waits for open responses until the grace period
+    /// ends.
     pub async fn stop(self) {
-        let asked = self.clock.now();
-        let deadline = asked + self.config.shutdown_grace.saturating_sub(KILL_MARGIN);
+        let requested_at = self.clock.now();
+        let deadline = requested_at + self.config.shutdown_grace.saturating_sub(KILL_MARGIN);
         log::info!("event=stopping grace_ms={}", self.config.shutdown_grace.as_millis());
         self.stopping.store(true, Ordering::Relaxed);
-        self.clock.sleep_until(deadline.min(asked + STILL_LISTED)).await;
+        self.clock.sleep_until(deadline.min(requested_at + READINESS_DRAIN_DELAY)).await;
         self.callers.cancel();
         self.serving.close();
         let finished = self.clock.timeout_at(deadline, self.serving.wait()).await.is_ok();
@@ -370,17 +377,17 @@
     }
 }
 
-/// The limits on callers' connections, as the configuration in force says.
+/// Limits on caller connections, according to the current configuration.
 fn caller_limits(
     mut config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     cancel: &CancellationToken,
 ) -> watch::Receiver<ServerLimits> {
     let limits = |idle| ServerLimits {
-        max_connections: MOST_CALLER_CONNECTIONS,
-        // A connection that rests is waiting for its next head.
+        max_connections: MAX_CALLER_CONNECTIONS,
+        // An idle connection is waiting for its next header.
         header_timeout: idle,
     };
-    let (sender, receiver) = watch::channel(limits(FIRST_IDLE_TIMEOUT));
+    let (sender, receiver) = watch::channel(limits(DEFAULT_IDLE_TIMEOUT));
     let cancel = cancel.clone();
     tokio::spawn(async move {
         loop {
@@ -389,7 +396,7 @@
                 () = cancel.cancelled() => return,
             }
             let idle = config.borrow_and_update().as_ref().map(|now| now.limits.idle_timeout);
-            sender.send_replace(limits(idle.unwrap_or(FIRST_IDLE_TIMEOUT)));
+            sender.send_replace(limits(idle.unwrap_or(DEFAULT_IDLE_TIMEOUT)));
         }
     });
     receiver
--- a/crates/dillspool_router/src/directory_tracker.rs
+++ b/crates/dillspool_router/src/directory_tracker.rs
@@ -1,10 +1,12 @@
-//! From the directory's rows, and what backend servers say themselves, to the backend servers in use.
+//! Determines the backend servers in use from the directory's rows and from the responses of
+//! backend servers.
 //!
-//! Rows of living backend servers may lapse while the store is away. A row that goes missing
-//! around an outage therefore counts as gone only some time after the store's return. Rows do not change
-//! meanwhile, so a backend server that says in an answer that it leaves is believed whatever its row says;
-//! `docs/design/notices.md` has the reasons. A store that comes back from a copy shows rows of before, which bring
-//! no backend server back that has left; `docs/design/store_eras.md` has those.
+//! Rows of running backend servers may lapse while the store is unavailable. A row that disappears
+//! around an outage therefore counts as deleted only some time after the store is back. Rows do not
+//! change during an outage, so a backend server that announces in a response that it is leaving is
+//! trusted over its row; see `docs/design/notices.md`. A store that was restored from a backup
+//! shows outdated rows, which must not bring back a backend server that has left; see
+//! `docs/design/store_eras.md`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,50 +23,52 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::departed::{DepartedBook, HeldBack};
+use crate::departed_backends::{DepartedBackends, StaleCause};
 use crate::drained_domains::DrainedDomains;
 use crate::site::SiteProtocol;
 use crate::unreadable_rows::UnreadableRows;
 
-/// How the directory is read.
+/// Settings for reading the directory.
 #[derive(Clone, Debug)]
 pub struct DirectorySettings {
-    /// Time after the store's return in which lapsed backend servers may register again.
+    /// Time after the store is back during which lapsed backend servers may register again.
     pub lapse_grace: Duration,
-    /// Addresses at which this host listens. A row that claims one of them is another writer's: requests
-    /// sent there would come back as new ones.
+    /// Addresses on which this host listens. A row with one of them was written by someone else:
+    /// requests sent there would arrive as new requests.
     pub own_addresses: Vec<SocketAddr>,
 }
 
-/// What the newest row of an id says.
-struct KnownBackend {
-    /// `None` when the row names no backend server.
+/// Content of the newest row of an id.
+struct BackendRecord {
+    /// `None` if the row does not describe a backend server.
     entry: Option<Arc<BackendEntry>>,
     row_version: StoreVersion,
-    /// Whether its row is missing, for now.
-    lapsed: bool,
-    /// Set while its row, of the copy from which the store came back, is not believed to be ready.
-    held_back: Option<HeldBack>,
+    /// Whether its row is currently missing.
+    is_lapsed: bool,
+    /// Set while its row, which was restored from a backup, is not trusted to be ready.
+    stale_cause: Option<StaleCause>,
 }
 
-impl KnownBackend {
-    /// Whether it takes new requests, as far as its last row and itself say.
+impl BackendRecord {
+    /// Returns whether it accepts new requests, according to its last row and its own responses.
     fn is_ready(&self, leaving: &LeavingRegistry) -> bool {
         let is_ready =
             |entry: &Arc<BackendEntry>| entry.is_ready() && !leaving.is_leaving(&entry.instance());
-        self.held_back.is_none() && self.entry.as_ref().is_some_and(is_ready)
+        self.stale_cause.is_none() && self.entry.as_ref().is_some_and(is_ready)
     }
 
-    /// Whether its row said, or is held to say, that a start leaves.
-    fn leaves(&self, backend: &BackendInstance) -> bool {
+    /// Returns whether this start was leaving, according to its row or because the row is not
+    /// trusted.
+    fn was_leaving(&self, backend: &BackendInstance) -> bool {
         self.entry.as_ref().is_some_and(|entry| {
             let is_same = !BackendStart::are_different(entry.start, backend.start);
-            is_same && (!entry.is_ready() || self.held_back.is_some())
+            is_same && (!entry.is_ready() || self.stale_cause.is_some())
         })
     }
 
-    /// What is in use of it: its row, unless it has said itself that it leaves.
-    fn used_entry(&self, leaving: &LeavingRegistry) -> Option<Arc<BackendEntry>> {
+    /// Entry to publish: that of its row, as draining if the backend server announced that it is
+    /// leaving.
+    fn effective_entry(&self, leaving: &LeavingRegistry) -> Option<Arc<BackendEntry>> {
         let entry = self.entry.as_ref()?;
         if entry.is_ready() == self.is_ready(leaving) {
             return Some(Arc::clone(entry));
@@ -73,16 +77,16 @@
     }
 }
 
-/// What the directory in use follows from.
+/// Inputs from which the directory is computed.
 #[derive(Debug)]
 pub struct DirectorySources {
     /// Rows of backend servers.
     pub backends: watch::Receiver<TableReplica>,
     /// The operator's rows.
     pub operator: watch::Receiver<TableReplica>,
-    /// Whether the store is reached.
+    /// Whether the store is reachable.
     pub reachability: watch::Receiver<StoreReachability>,
-    /// Backend servers that have said in an answer that they leave.
+    /// Backend servers that announced in a response that they are leaving.
     pub leaving: watch::Receiver<LeavingRegistry>,
 }
 
@@ -90,16 +94,16 @@
     site: SiteProtocol,
     settings: DirectorySettings,
     unreadable: UnreadableRows,
-    known: BTreeMap<BackendId, KnownBackend>,
-    departed: DepartedBook,
-    /// Version of the table that was taken last.
+    records: BTreeMap<BackendId, BackendRecord>,
+    departed: DepartedBackends,
+    /// Version of the table that was applied last.
     version: StoreVersion,
     drained: DrainedDomains,
-    /// The part of the table that this host holds.
-    part: Option<Arc<TableSubset>>,
+    /// Subset of the table that this host stores.
+    subset: Option<Arc<TableSubset>>,
 }
 
-/// Publishes the backend servers in use until the belief ends.
+/// Publishes the backend servers in use until a replica is closed.
 pub async fn track_directory(
     site: SiteProtocol,
     settings: DirectorySettings,
@@ -113,26 +117,26 @@
         site,
         settings,
         unreadable,
-        known: BTreeMap::new(),
-        departed: DepartedBook::default(),
+        records: BTreeMap::new(),
+        departed: DepartedBackends::default(),
         version: StoreVersion::default(),
         drained,
-        part: None,
+        subset: None,
     };
-    // Whether a backend server has said that it leaves since the last view.
-    let mut leaves_more = false;
+    // Whether a backend server announced that it is leaving since the last view.
+    let mut leaving_changed = false;
     loop {
         let state = *reachability.borrow_and_update();
-        let drains_changed = tracker.drained.take_rows(&operator.borrow_and_update());
+        let drains_changed = tracker.drained.update(&operator.borrow_and_update());
         {
             let (rows, leaving) = (backends.borrow_and_update(), leaving.borrow_and_update());
             let changed = tracker.update(&rows, &leaving, state);
-            if changed || drains_changed || leaves_more || leaving.has_changed() {
+            if changed || drains_changed || leaving_changed || leaving.has_changed() {
                 view.send_replace(Arc::new(tracker.view(rows.version, &leaving)));
             }
-            leaves_more = false;
+            leaving_changed = false;
         }
-        let next_end = tracker.next_end(state);
+        let next_expiry = tracker.next_expiry(state);
         tokio::select! {
             changed = backends.changed() => if changed.is_err() { return },
             changed = operator.changed() => if changed.is_err() { return },
@@ -141,14 +145,14 @@
                 if changed.is_err() {
                     return;
                 }
-                leaves_more = true;
+                leaving_changed = true;
             }
-            () = sleep_until(next_end) => {}
+            () = sleep_until(next_expiry) => {}
         }
     }
 }
 
-/// Waits until a moment; for ever where there is none.
+/// Waits until a point in time, or forever if there is none.
 pub(crate) async fn sleep_until(moment: Option<Instant>) {
     match moment {
         Some(moment) => tokio::time::sleep_until(moment).await,
@@ -158,51 +162,49 @@
 
 impl DirectoryTracker {
     fn view(&self, version: StoreVersion, leaving: &LeavingRegistry) -> DirectoryView {
-        let entry = |(id, known): (&BackendId, &KnownBackend)| {
-            Some((BackendId::clone(id), known.used_entry(leaving)?))
+        let entry = |(id, record): (&BackendId, &BackendRecord)| {
+            Some((BackendId::clone(id), record.effective_entry(leaving)?))
         };
-        let entries = self.known.iter().filter_map(entry);
-        let (drained, part) = (self.drained.names().clone(), self.part.clone());
-        DirectoryView {
-            version,
-            entries: entries.collect(),
-            drained_domains: drained,
-            subset: part,
-        }
+        let entries = self.records.iter().filter_map(entry);
+        let (drained_domains, subset) = (self.drained.names().clone(), self.subset.clone());
+        DirectoryView { version, entries: entries.collect(), drained_domains, subset }
     }
 
-    /// Whether a row that is missing now may belong to a living backend server.
+    /// Returns whether a row that is missing now may belong to a running backend server.
     fn may_lapse(&self, state: StoreReachability) -> bool {
-        !state.is_reachable() || Instant::now() < self.lapse_end(state)
+        !state.is_reachable() || Instant::now() < self.lapse_deadline(state)
     }
 
-    /// When entries that are missing count as gone, while the store is reachable. Those that were recorded after
-    /// the copy from which the store came back are missing, too.
-    fn lapse_end(&self, state: StoreReachability) -> Instant {
+    /// When missing entries count as deleted while the store is reachable. Entries registered after
+    /// the backup was taken are missing too when the store is restored from it.
+    fn lapse_deadline(&self, state: StoreReachability) -> Instant {
         let returned_at = self.departed.restored_at().map_or(state.since, |at| at.max(state.since));
         returned_at + self.settings.lapse_grace
     }
 
-    /// When entries change by time alone: lapsed ones are gone, or ones that were held back are not any more.
-    fn next_end(&self, state: StoreReachability) -> Option<Instant> {
-        let any_lapsed = self.known.values().any(|known| known.lapsed);
-        let lapse_end = (any_lapsed && state.is_reachable()).then(|| self.lapse_end(state));
-        let held_until = |known: &KnownBackend| match known.held_back {
-            Some(HeldBack::Gone { until }) => Some(until),
-            Some(HeldBack::Leaves) | None => None,
+    /// When entries next change without an event: a lapsed one is deleted, or an untrusted one
+    /// becomes trusted.
+    fn next_expiry(&self, state: StoreReachability) -> Option<Instant> {
+        let any_lapsed = self.records.values().any(|record| record.is_lapsed);
+        let lapse_deadline =
+            (any_lapsed && state.is_reachable()).then(|| self.lapse_deadline(state));
+        let stale_until = |record: &BackendRecord| match record.stale_cause {
+            Some(StaleCause::Gone { until }) => Some(until),
+            Some(StaleCause::Leaves) | None => None,
         };
-        let ends = lapse_end.into_iter().chain(self.drained.next_end());
-        self.known.values().filter_map(held_until).chain(ends).min()
+        let deadlines = lapse_deadline.into_iter().chain(self.drained.next_expiry());
+        self.records.values().filter_map(stale_until).chain(deadlines).min()
     }
 
-    /// Lets rows count that have outlived those that nobody writes; whether there are any.
-    fn release_held(&mut self) -> bool {
+    /// Trusts rows that have outlived the time after which an abandoned row lapses; returns whether
+    /// any changed.
+    fn expire_stale(&mut self) -> bool {
         let now = Instant::now();
         let mut any = false;
-        for (id, known) in &mut self.known {
-            if matches!(known.held_back, Some(HeldBack::Gone { until }) if until <= now) {
-                log::info!("event=backend_believed backend={id} row={}", known.row_version);
-                known.held_back = None;
+        for (id, record) in &mut self.records {
+            if matches!(record.stale_cause, Some(StaleCause::Gone { until }) if until <= now) {
+                log::info!("event=backend_believed backend={id} row={}", record.row_version);
+                record.stale_cause = None;
                 any = true;
             }
         }
@@ -211,111 +213,115 @@
 
     fn update(
         &mut self,
-        belief: &TableReplica,
+        replica: &TableReplica,
         leaving: &LeavingRegistry,
         state: StoreReachability,
     ) -> bool {
-        if self.departed.note_version(belief.version, self.version) {
-            let (before, version) = (self.version, belief.version);
+        if self.departed.record_version(replica.version, self.version) {
+            let (before, version) = (self.version, replica.version);
             log::info!("event=directory_restored version={version} before={before}");
         }
-        self.version = belief.version;
-        let mut changed = self.part != belief.subset;
+        self.version = replica.version;
+        let mut changed = self.subset != replica.subset;
         if changed {
-            let part = belief.subset.as_deref().map(ToString::to_string).unwrap_or_default();
+            let subset = replica.subset.as_deref().map(ToString::to_string).unwrap_or_default();
             log::info!(
-                "event=directory_part part=\"{part}\" rows={} version={}",
-                belief.rows.len(),
-                belief.version
+                "event=directory_part part=\"{subset}\" rows={} version={}",
+                replica.rows.len(),
+                replica.version
             );
-            self.part.clone_from(&belief.subset);
+            self.subset.clone_from(&replica.subset);
         }
-        for (id, row) in &belief.rows {
+        for (id, row) in &replica.rows {
             let Some(text) = &row.value else { continue };
-            changed |= self.take_row(id, row.version, text);
+            changed |= self.apply_row(id, row.version, text);
         }
-        changed |= self.release_held();
+        changed |= self.expire_stale();
         let may_lapse = self.may_lapse(state);
         let mut gone = Vec::new();
-        for (id, known) in &mut self.known {
-            if belief.value(id).is_some() {
+        for (id, record) in &mut self.records {
+            if replica.value(id).is_some() {
                 continue;
             }
-            // One that was about to leave has left.
-            if may_lapse && known.is_ready(leaving) {
-                if !known.lapsed {
-                    log::info!("event=backend_lapsed backend={id} version={}", belief.version);
+            // One that was already leaving is gone.
+            if may_lapse && record.is_ready(leaving) {
+                if !record.is_lapsed {
+                    log::info!("event=backend_lapsed backend={id} version={}", replica.version);
                 }
-                known.lapsed = true;
+                record.is_lapsed = true;
             } else {
                 gone.push(BackendId::clone(id));
             }
         }
         for id in &gone {
-            let Some(entry) = self.known.remove(id).and_then(|known| known.entry) else { continue };
-            log::info!("event=backend_gone backend={id} version={}", belief.version);
+            let Some(entry) = self.records.remove(id).and_then(|record| record.entry) else {
+                continue;
+            };
+            log::info!("event=backend_gone backend={id} version={}", replica.version);
             changed = true;
-            // A row that is none of this host's part any more was not deleted.
-            if belief.rows.contains_key(id) {
-                self.departed.note_gone(entry.instance(), belief.version);
+            // A row that is no longer in this host's subset was not deleted.
+            if replica.rows.contains_key(id) {
+                self.departed.record_gone(entry.instance(), replica.version);
             }
         }
         changed
     }
 
-    fn read_row(&self, id: &BackendId, text: &str) -> Result<BackendEntry, String> {
+    fn decode_row(&self, id: &BackendId, text: &str) -> Result<BackendEntry, String> {
         let entry = (self.site.decode_backend)(id, text)?;
         if self.settings.own_addresses.contains(&entry.address) {
-            return Err(format!("this host itself listens at {}", entry.address));
+            return Err(format!("this host itself listens on {}", entry.address));
         }
         Ok(entry)
     }
 
-    /// Why an entry that says ready is not believed: its row may be of the copy from which the store came back.
-    fn held_back(&self, entry: &BackendEntry, row_version: StoreVersion) -> Option<HeldBack> {
-        if !entry.is_ready() || !self.departed.may_be_copied(row_version) {
+    /// Why an entry in state ready is not trusted: its row may come from the backup that the store
+    /// was restored from.
+    fn stale_cause(&self, entry: &BackendEntry, row_version: StoreVersion) -> Option<StaleCause> {
+        if !entry.is_ready() || !self.departed.may_predate_restore(row_version) {
             return None;
         }
         let backend = entry.instance();
-        match self.known.get(&backend.id) {
-            Some(known) if known.row_version.era() == row_version.era() => known.held_back,
-            Some(known) => known.leaves(&backend).then_some(HeldBack::Leaves),
+        match self.records.get(&backend.id) {
+            Some(record) if record.row_version.era() == row_version.era() => record.stale_cause,
+            Some(record) => record.was_leaving(&backend).then_some(StaleCause::Leaves),
             None => self.departed.find_gone(&backend, row_version),
         }
     }
 
-    fn take_row(&mut self, id: &BackendId, row_version: StoreVersion, text: &str) -> bool {
-        let known = self.known.get_mut(id);
-        if let Some(known) = known
-            && known.row_version == row_version
+    fn apply_row(&mut self, id: &BackendId, row_version: StoreVersion, text: &str) -> bool {
+        let record = self.records.get_mut(id);
+        if let Some(record) = record
+            && record.row_version == row_version
         {
-            known.lapsed = false;
+            record.is_lapsed = false;
             return false;
         }
-        let entry = match self.read_row(id, text) {
+        let entry = match self.decode_row(id, text) {
             Ok(entry) => Some(Arc::new(entry)),
             Err(cause) => {
-                self.unreadable.note(&self.site.directory_table, id, row_version, &cause);
+                self.unreadable.record(&self.site.directory_table, id, row_version, &cause);
                 None
             }
         };
-        let held_back = entry.as_deref().and_then(|entry| self.held_back(entry, row_version));
-        let known = KnownBackend { entry: entry.clone(), row_version, lapsed: false, held_back };
-        let before = self.known.insert(BackendId::clone(id), known);
-        let was_held = before.as_ref().and_then(|known| known.held_back);
-        if let Some(cause) = held_back {
+        let stale_cause = entry.as_deref().and_then(|entry| self.stale_cause(entry, row_version));
+        let record =
+            BackendRecord { entry: entry.clone(), row_version, is_lapsed: false, stale_cause };
+        let previous = self.records.insert(BackendId::clone(id), record);
+        let was_stale = previous.as_ref().and_then(|record| record.stale_cause);
+        if let Some(cause) = stale_cause {
             log::info!("event=backend_held_back backend={id} row={row_version} cause={cause:?}");
         }
-        let before = before.and_then(|known| known.entry);
-        if before == entry && was_held.is_some() == held_back.is_some() {
+        let previous = previous.and_then(|record| record.entry);
+        if previous == entry && was_stale.is_some() == stale_cause.is_some() {
             return false;
         }
         let Some(entry) = entry else {
             log::info!("event=backend_gone backend={id} version={row_version}");
             return true;
         };
-        if let Some(before) = &before
-            && BackendStart::are_different(before.start, entry.start)
+        if let Some(previous) = &previous
+            && BackendStart::are_different(previous.start, entry.start)
         {
             log::info!("event=backend_restarted backend={id} row={row_version}");
         }
--- a/crates/dillspool_router/src/drained_domains.rs
+++ b/crates/dillspool_router/src/drained_domains.rs
@@ -1,4 +1,4 @@
-//! Failure domains that the operator has drained, by the operator's rows.
+//! Failure domains that the operator has drained, from the operator's rows.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,14 +8,16 @@
 use dillspool_watch::TableReplica;
 use tokio::time::Instant;
 
-/// Names the failure domain that a key of the operator's drains, if it does.
+/// Returns the failure domain that an operator's key drains, if any.
 type DomainOfKey = fn(&str) -> Option<&str>;
 
-/// Domains that stay drained though a copy does not show it: the operator drains them again.
+/// Domains that stay drained although the restored store does not show it, so that the operator can
+/// drain them again.
 #[derive(Debug)]
-struct KeptDomains {
+struct RetainedDomains {
     until: Instant,
-    /// Version at which the copy was first seen; what is taken back later is not drained any more.
+    /// Version at which the restored store was first seen; a drain that is lifted later than this
+    /// ends.
     seen_at: StoreVersion,
     domains: BTreeSet<Name>,
 }
@@ -24,50 +26,50 @@
 #[derive(Debug)]
 pub(crate) struct DrainedDomains {
     domain_of: DomainOfKey,
-    /// Time after the store's return in which the operator writes again what was lost.
+    /// Time after a restore in which the operator writes lost rows again.
     grace: Duration,
     version: StoreVersion,
     drained: BTreeSet<Name>,
-    kept: Option<KeptDomains>,
+    retained: Option<RetainedDomains>,
 }
 
 impl DrainedDomains {
     pub(crate) fn new(domain_of: DomainOfKey, grace: Duration) -> Self {
         let (version, drained) = (StoreVersion::default(), BTreeSet::new());
-        Self { domain_of, grace, version, drained, kept: None }
+        Self { domain_of, grace, version, drained, retained: None }
     }
 
     pub(crate) fn names(&self) -> &BTreeSet<Name> {
         &self.drained
     }
 
-    /// When domains change by time alone.
-    pub(crate) fn next_end(&self) -> Option<Instant> {
-        self.kept.as_ref().map(|kept| kept.until)
+    /// When retained domains expire.
+    pub(crate) fn next_expiry(&self) -> Option<Instant> {
+        self.retained.as_ref().map(|retained| retained.until)
     }
 
-    /// Takes the operator's rows; whether other domains are drained than before.
-    pub(crate) fn take_rows(&mut self, operator: &TableReplica) -> bool {
+    /// Applies the operator's rows; returns whether the set of drained domains changed.
+    pub(crate) fn update(&mut self, operator: &TableReplica) -> bool {
         let is_restored = self.version.is_known() && operator.version.era() > self.version.era();
         self.version = operator.version;
         if is_restored {
             let (until, seen_at) = (Instant::now() + self.grace, operator.version);
-            self.kept = Some(KeptDomains { until, seen_at, domains: self.drained.clone() });
+            self.retained = Some(RetainedDomains { until, seen_at, domains: self.drained.clone() });
         }
-        self.kept.take_if(|kept| kept.until <= Instant::now());
+        self.retained.take_if(|retained| retained.until <= Instant::now());
         let rows = operator.rows.iter();
         let mut drained = BTreeSet::new();
         for (key, row) in rows {
             let Some(domain) = (self.domain_of)(key) else { continue };
             if row.value.is_some() {
                 drained.insert(Name::from(domain));
-            } else if let Some(kept) = &mut self.kept
-                && row.version > kept.seen_at
+            } else if let Some(retained) = &mut self.retained
+                && row.version > retained.seen_at
             {
-                kept.domains.remove(domain);
+                retained.domains.remove(domain);
             }
         }
-        drained.extend(self.kept.iter().flat_map(|kept| kept.domains.iter().cloned()));
+        drained.extend(self.retained.iter().flat_map(|retained| retained.domains.iter().cloned()));
         for domain in drained.difference(&self.drained) {
             log::info!(
                 "event=failure_domain_drained failure_domain={domain} version={}",
--- a/crates/dillspool_router/src/fleet_duties.rs
+++ b/crates/dillspool_router/src/fleet_tasks.rs
@@ -1,4 +1,5 @@
-//! What a host does for others, and asks of them: schedulers, holders of limits, orders, budgets.
+//! Starts the tasks that connect a host with the rest of the fleet: schedulers, limit holders,
+//! stage orders and retry budgets.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,24 +18,24 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::beliefs::Beliefs;
 use crate::peer_list::PeerList;
 use crate::settings::RouterConfig;
 use crate::site::SiteProtocol;
+use crate::store_replicas::StoreReplicas;
 
-/// Time before a host gives orders that does not schedule the pools: the one that does has ordered by
-/// then, and its orders show in the directory, unless it cannot reach the store or the engines.
-const OTHERS_ORDER_DELAY: Duration = Duration::from_secs(6);
-/// Time between two looks at the number of hosts.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
-/// The same until it is known: callers of a fleet that was lost come back at once, and a host that takes
-/// the fleet for the largest of all has no budget for more than one prompt at a time.
-const FIRST_COUNT_EVERY: Duration = Duration::from_millis(50);
-/// Longest extra wait of such a host, spread over the hosts: once the first has given orders, the
-/// others find that in the row of the lease and do not wait for it.
-const LONGEST_ORDER_DELAY_MS: u64 = 14_000;
+/// Delay before a host that does not schedule the pools gives orders. The scheduler has given them
+/// by then, and they show in the directory, unless it cannot reach the store or the engines.
+const NON_SCHEDULER_ORDER_DELAY: Duration = Duration::from_secs(6);
+/// Time between two updates of the host count.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
+/// The same until the count is known: after the loss of a whole fleet callers retry at once, and a
+/// host that assumes the largest possible fleet has a retry budget for only one prompt at a time.
+const INITIAL_COUNT_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum additional delay of such a host, spread over the hosts: once the first has given orders,
+/// the others see this in the lease row and do not contend for it.
+const MAX_ORDER_JITTER_MS: u64 = 14_000;
 
-/// Hosts of the fleet, as far as this host knows.
+/// Number of hosts in the fleet, as far as this host knows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HostCount(Arc<AtomicUsize>);
 
@@ -43,16 +44,16 @@
         self.0.store(hosts, Ordering::Relaxed);
     }
 
-    /// `None` until it is known.
+    /// Returns `None` until the count is known.
     pub(crate) fn get(&self) -> Option<usize> {
         let hosts = self.0.load(Ordering::Relaxed);
         (hosts > 0).then_some(hosts)
     }
 }
 
-/// Keeps the number of hosts that share the budget of repeated sends until `cancel`: by the schedulers'
-/// word or, until a host that starts is linked, by the rows of the hosts.
-pub(crate) async fn keep_host_count(
+/// Keeps the number of hosts that share the retry budget up to date until `cancel`. The count comes
+/// from the schedulers or, until a starting host is linked to one, from the host rows.
+pub(crate) async fn maintain_host_count(
     schedule: ScheduleClient,
     peers: PeerList,
     budgets: RetryBudgets,
@@ -65,7 +66,7 @@
             budgets.set_host_count(hosts);
             count.set(hosts);
         }
-        let pause = if hosts.is_some() { COUNT_EVERY } else { FIRST_COUNT_EVERY };
+        let pause = if hosts.is_some() { COUNT_INTERVAL } else { INITIAL_COUNT_INTERVAL };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
             () = cancel.cancelled() => return,
@@ -73,45 +74,45 @@
     }
 }
 
-/// News between what this host knows and its links.
+/// Connects the trackers of this host with its links for exchanging updates.
 pub(crate) fn fleet_bus(
     suspects: &SuspectTracker,
     site: &SiteProtocol,
     clock: &HostClock,
 ) -> FleetBus {
-    let (learning, telling) = (suspects.clone(), suspects.clone());
-    let (knowing, repeating) = (suspects.clone(), suspects.clone());
+    let (updater, forwarder) = (suspects.clone(), suspects.clone());
+    let (reader, repeat_reader) = (suspects.clone(), suspects.clone());
     let suspects = SuspectHandlers {
-        learn: Arc::new(move |news| learning.apply_update(news)),
-        worth_telling: Arc::new(move |news| telling.updates_to_forward(news)),
-        known: Arc::new(move |most| knowing.newest_updates(most)),
-        repeated: Arc::new(move |most| repeating.newest_repeated(most)),
+        learn: Arc::new(move |news| updater.apply_update(news)),
+        worth_telling: Arc::new(move |news| forwarder.updates_to_forward(news)),
+        known: Arc::new(move |most| reader.newest_updates(most)),
+        repeated: Arc::new(move |most| repeat_reader.newest_repeated(most)),
     };
-    let (learning, knowing) = (site.throttle.clone(), site.throttle.clone());
+    let (updater, reader) = (site.throttle.clone(), site.throttle.clone());
     let throttle = NoticeHandlers {
-        learn: Arc::new(move |news| learning.apply_update(news)),
-        known: Arc::new(move |most| knowing.newest_updates(most)),
+        learn: Arc::new(move |news| updater.apply_update(news)),
+        known: Arc::new(move |most| reader.newest_updates(most)),
     };
-    let (learning, knowing) = (site.leaving.clone(), site.leaving.clone());
+    let (updater, reader) = (site.leaving.clone(), site.leaving.clone());
     let leaving = NoticeHandlers {
-        learn: Arc::new(move |news| learning.apply_update(news)),
-        known: Arc::new(move |most| knowing.newest_updates(most)),
+        learn: Arc::new(move |news| updater.apply_update(news)),
+        known: Arc::new(move |most| reader.newest_updates(most)),
     };
     FleetBus::new(BusHandlers { suspects, throttle, leaving }, clock.clone())
 }
 
-/// Starts this host's own decisions, its service to others that ask it, and its link to the
-/// scheduler that it asks.
+/// Starts this host's scheduler, its service for other hosts, and its link to the scheduler that it
+/// uses.
 pub(crate) fn start_schedule(
     config: &RouterConfig,
     stack: &NetStack,
-    beliefs: &Beliefs,
+    replicas: &StoreReplicas,
     listener: NetListener,
     desks: ScheduleDesks,
     cancel: &CancellationToken,
 ) -> ScheduleClient {
     let (desk, bus) = (desks.pools.clone(), desks.bus.clone());
-    let (known, directory) = (beliefs.config.clone(), beliefs.directory.clone());
+    let (known, directory) = (replicas.config.clone(), replicas.directory.clone());
     tokio::spawn(desk.clone().run(known.clone(), directory, cancel.clone()));
     tokio::spawn(serve_schedule(listener, desks, cancel.clone()));
     let client = ScheduleClient::new(desk, bus);
@@ -119,54 +120,54 @@
     if !config.policy.schedule {
         return client;
     }
-    let listed = beliefs.peers.clone();
-    let peers = move |service: &str| listed.schedule_peers(service);
+    let peer_list = replicas.peers.clone();
+    let peers = move |service: &str| peer_list.schedule_peers(service);
     let host = Name::clone(&config.host);
     tokio::spawn(client.clone().run(stack.clone(), host, peers, known, cancel.clone()));
     client
 }
 
-/// Starts this host's links to the hosts that count the limits of workspaces.
+/// Starts this host's links to the holders of workspace limits.
 pub(crate) fn start_limits(
     config: &RouterConfig,
     stack: &NetStack,
-    beliefs: &Beliefs,
+    replicas: &StoreReplicas,
     desk: LimitDesk,
     cancel: &CancellationToken,
 ) -> LimitClient {
     let client = LimitClient::new(desk);
-    let (listed, known) = (beliefs.peers.clone(), beliefs.config.clone());
-    let peers = move |share: &str| listed.schedule_peers(share);
+    let (peer_list, known) = (replicas.peers.clone(), replicas.config.clone());
+    let peers = move |share: &str| peer_list.schedule_peers(share);
     let host = Name::clone(&config.host);
     tokio::spawn(client.clone().run(stack.clone(), host, peers, known, cancel.clone()));
     client
 }
 
-/// Starts this host's links to the hosts that count what backend servers say they take; none is opened before
-/// one says so.
+/// Starts this host's links to the holders of backend server limits; none is opened before a
+/// backend server announces a limit.
 pub(crate) fn start_backend_limits(
     config: &RouterConfig,
     stack: &NetStack,
-    beliefs: &Beliefs,
+    replicas: &StoreReplicas,
     desk: LimitDesk,
     schedule: ScheduleClient,
     cancel: &CancellationToken,
 ) -> LimitClient {
     let client = LimitClient::new(desk);
-    let (listed, counted) = (beliefs.peers.clone(), beliefs.peers.clone());
-    let peers = move |share: &str| listed.schedule_peers(share);
-    let count = move || schedule.hosts().or_else(|| counted.count_hosts());
+    let (peer_list, counted_hosts) = (replicas.peers.clone(), replicas.peers.clone());
+    let peers = move |share: &str| peer_list.schedule_peers(share);
+    let count = move || schedule.hosts().or_else(|| counted_hosts.count_hosts());
     let host = Name::clone(&config.host);
     tokio::spawn(client.clone().run_wanted(stack.clone(), host, peers, count, cancel.clone()));
     client
 }
 
-/// Starts this host's decisions on the calls of plain services with few slots, and its links to the hosts that
-/// decide on them for all.
+/// Starts scheduling the calls of plain services with few slots, and this host's links to the hosts
+/// that schedule these calls for the fleet.
 pub(crate) fn start_calls(
     config: &RouterConfig,
     stack: &NetStack,
-    beliefs: &Beliefs,
+    replicas: &StoreReplicas,
     desk: CallDesk,
     hosts: HostCount,
     cancel: &CancellationToken,
@@ -176,32 +177,32 @@
     if config.calls.slots_per_host <= 0.0 || !config.policy.schedule {
         return client;
     }
-    let (known, directory) = (beliefs.config.clone(), beliefs.directory.clone());
-    let counted = hosts.clone();
-    tokio::spawn(desk.run(known, directory, move || counted.get(), cancel.clone()));
-    let listed = beliefs.peers.clone();
-    let peers = move |service: &str| listed.schedule_peers(service);
+    let (known, directory) = (replicas.config.clone(), replicas.directory.clone());
+    let counted_hosts = hosts.clone();
+    tokio::spawn(desk.run(known, directory, move || counted_hosts.get(), cancel.clone()));
+    let peer_list = replicas.peers.clone();
+    let peers = move |service: &str| peer_list.schedule_peers(service);
     let (host, count) = (Name::clone(&config.host), move || hosts.get());
     tokio::spawn(client.clone().run(stack.clone(), host, peers, count, cancel.clone()));
     client
 }
 
-/// The host that schedules the pools sees the requests of all and gives orders at once; others, by
-/// their names, only if nobody has for a while.
+/// Delay before this host gives orders. The scheduler of the pools sees all requests and gives
+/// orders at once; other hosts, spread by name, do so only if nobody has for a while.
 pub(crate) fn order_delay(
     host: &str,
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     schedule: ScheduleClient,
 ) -> DelayFn {
-    let spread = Duration::from_millis(hash_of(host) % LONGEST_ORDER_DELAY_MS);
+    let spread = Duration::from_millis(host_hash(host) % MAX_ORDER_JITTER_MS);
     Arc::new(move || {
         let known = config.borrow();
         let mut services = known.iter().flat_map(|known| known.services.keys());
         let is_first = services.any(|service| schedule.schedules(service));
-        if is_first { Duration::ZERO } else { OTHERS_ORDER_DELAY + spread }
+        if is_first { Duration::ZERO } else { NON_SCHEDULER_ORDER_DELAY + spread }
     })
 }
 
-pub(crate) fn hash_of(host: &str) -> u64 {
+pub(crate) fn host_hash(host: &str) -> u64 {
     host.bytes().fold(0_u64, |hash, byte| hash.wrapping_mul(1_099_511_628_211) ^ u64::from(byte))
 }
--- a/crates/dillspool_router/src/held_metrics.rs
+++ b/crates/dillspool_router/src/held_metrics.rs
@@ -1,4 +1,4 @@
-//! Held bytes and stalled exchanges, as figures that are read when they are scraped.
+//! Metrics of held bytes and stalled exchanges, updated on each scrape.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::{Registry, Unit};
 
-/// Why an exchange was ended.
+/// Why an exchange was aborted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct StalledLabels {
     /// `caller`, `backend` or `budget`.
@@ -23,7 +23,7 @@
     }
 }
 
-/// Figures of a host's budget; without one there are none.
+/// Metrics of a host's byte budget; without a budget there are none.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldMetrics {
     budget: Option<ByteBudget>,
@@ -33,13 +33,12 @@
 }
 
 impl HeldMetrics {
-    /// Figures of a budget.
     pub(crate) fn new(budget: Option<ByteBudget>) -> Self {
         let (held, limit, stalled) = (Gauge::default(), Gauge::default(), Family::default());
         Self { budget, held, limit, stalled }
     }
 
-    /// Registers all figures, if there is a budget.
+    /// Registers the metrics if there is a budget.
     pub(crate) fn register(&self, registry: &mut Registry) {
         if self.budget.is_none() {
             return;
@@ -52,13 +51,13 @@
         registry.register("exchanges_stalled", help, self.stalled.clone());
     }
 
-    /// Takes over what is known now.
+    /// Updates the metrics to the current values.
     pub(crate) fn refresh(&self) {
         let Some(budget) = &self.budget else { return };
-        let reading = budget.read();
-        self.held.set(reading.held);
-        self.limit.set(reading.limit);
-        for (side, count) in StalledSide::ALL.into_iter().zip(reading.stalled) {
+        let snapshot = budget.read();
+        self.held.set(snapshot.held);
+        self.limit.set(snapshot.limit);
+        for (side, count) in StalledSide::ALL.into_iter().zip(snapshot.stalled) {
             let counter = self.stalled.get_or_create(&StalledLabels { side: side.name() });
             counter.inner().store(count, Ordering::Relaxed);
         }
--- a/crates/dillspool_router/src/host_rows.rs
+++ b/crates/dillspool_router/src/host_rows.rs
@@ -1,4 +1,4 @@
-//! The rows of hosts, and those that a copy of the store lacks for now.
+//! The rows of hosts, including those that are temporarily missing from a restored store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,65 +11,71 @@
 use crate::sources::{HostRow, should_register};
 use crate::unreadable_rows::UnreadableRows;
 
-/// Start of the keys of hosts.
-pub(crate) const HOST_PREFIX: &str = "hosts/";
-/// Time in which hosts write their rows again that a restored store has lost: their delay, and as long again for
-/// rows that come back by relays.
-const WRITTEN_AGAIN: Duration = Duration::from_secs(10);
+/// Key prefix of host rows.
+pub(crate) const HOST_KEY_PREFIX: &str = "hosts/";
+/// Time in which hosts write rows again that a restored store has lost: their registration delay,
+/// plus the same time for rows that arrive by relays.
+const RETENTION_AFTER_RESTORE: Duration = Duration::from_secs(10);
 
-/// Hosts by the keys of their rows.
+/// Host rows by key.
 #[derive(Debug, Default)]
 pub(crate) struct HostRows {
     era: StoreEra,
     stored: BTreeMap<Name, HostRow>,
-    /// Rows of before a restoration, and until when they count.
-    kept: Option<(Instant, BTreeMap<Name, HostRow>)>,
+    /// Rows from before a restore, and until when they are valid.
+    retained: Option<(Instant, BTreeMap<Name, HostRow>)>,
 }
 
 impl HostRows {
-    /// Takes the rows of the table.
-    pub(crate) fn take(&mut self, name: &Name, table: &TableReplica, unreadable: &UnreadableRows) {
+    /// Applies the rows of the table.
+    pub(crate) fn update(
+        &mut self,
+        name: &Name,
+        table: &TableReplica,
+        unreadable: &UnreadableRows,
+    ) {
         let era = table.version.era();
         if era > self.era {
-            let before = self.listed_by_key();
-            self.kept = Some((Instant::now() + WRITTEN_AGAIN, before));
+            let before = self.hosts_by_key();
+            self.retained = Some((Instant::now() + RETENTION_AFTER_RESTORE, before));
             self.era = era;
         }
-        let hosts = table.rows.iter().filter(|(key, _row)| key.starts_with(HOST_PREFIX));
+        let hosts = table.rows.iter().filter(|(key, _row)| key.starts_with(HOST_KEY_PREFIX));
         let rows = hosts.filter_map(|(key, row)| {
             let decoded = serde_json::from_str(row.value.as_deref()?);
-            let told = decoded.inspect_err(|error| {
-                unreadable.note(name, key, row.version, &error.to_string());
+            let reported = decoded.inspect_err(|error| {
+                unreadable.record(name, key, row.version, &error.to_string());
             });
-            Some((Name::clone(key), told.ok()?))
+            Some((Name::clone(key), reported.ok()?))
         });
         self.stored = rows.collect();
-        self.kept.take_if(|(until, _rows)| *until <= Instant::now());
+        self.retained.take_if(|(until, _rows)| *until <= Instant::now());
     }
 
-    /// Whether a host should record itself: the store has lost its row, or has too few others.
-    pub(crate) fn lacks(&self, own: &HostRow) -> bool {
-        let listed = self.listed();
-        if listed.contains(own) {
+    /// Returns whether a host should register: the store has lost its row, or has too few others.
+    pub(crate) fn needs_registration(&self, own: &HostRow) -> bool {
+        let hosts = self.hosts();
+        if hosts.contains(own) {
             !self.stored.values().any(|row| row == own)
         } else {
-            should_register(&listed, own)
+            should_register(&hosts, own)
         }
     }
 
-    /// Hosts that may be relied on.
-    pub(crate) fn listed(&self) -> Vec<HostRow> {
-        self.listed_by_key().into_values().collect()
+    /// Rows of all known hosts.
+    pub(crate) fn hosts(&self) -> Vec<HostRow> {
+        self.hosts_by_key().into_values().collect()
     }
 
-    fn listed_by_key(&self) -> BTreeMap<Name, HostRow> {
-        let mut rows = self.kept.as_ref().map(|(_until, rows)| rows.clone()).unwrap_or_default();
+    fn hosts_by_key(&self) -> BTreeMap<Name, HostRow> {
+        let mut rows =
+            self.retained.as_ref().map(|(_until, rows)| rows.clone()).unwrap_or_default();
         rows.extend(self.stored.iter().map(|(key, row)| (Name::clone(key), row.clone())));
         rows
     }
 
-    /// When hosts are forgotten whose rows were not written again.
-    pub(crate) fn next_end(&self) -> Option<Instant> {
-        self.kept.as_ref().map(|(until, _rows)| *until)
+    /// When retained rows that were not written again expire.
+    pub(crate) fn next_expiry(&self) -> Option<Instant> {
+        self.retained.as_ref().map(|(until, _rows)| *until)
     }
 }
--- a/crates/dillspool_router/src/ingress.rs
+++ b/crates/dillspool_router/src/ingress.rs
@@ -1,4 +1,4 @@
-//! From a caller's HTTP request to a routed request.
+//! Turns a caller's HTTP request into a routed request.
 
 use std::fmt;
 use std::sync::Arc;
@@ -20,42 +20,42 @@
 use hyper::{Request, Response, Uri, Version};
 use tokio::sync::{Semaphore, watch};
 
-use crate::receiving::{enter, receive};
+use crate::request_body::{begin_exchange, receive_body};
 use crate::retry_detector::RetryDetector;
 use crate::site::SiteProtocol;
 
-/// When to come back to a host that is not ready; another host takes the connection then.
-const NOT_READY_RETRY: Duration = Duration::from_millis(500);
-/// When to come back to a host that has too much in flight.
-pub(crate) const FULL_RETRY: Duration = Duration::from_millis(300);
-/// When to come back to a host whose configuration may be old; the caller's next connection goes to
-/// another host, as a rule to one that hears of changes.
-const STALE_RETRY: Duration = Duration::from_millis(500);
-/// Requests in flight at most. Each takes two descriptors of some 3,900, and its body counts
-/// towards the memory of the process.
-const MOST_IN_FLIGHT: usize = 1_500;
+/// Retry delay when this host is not ready; another host accepts the connection by then.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Retry delay when this host has too many requests in flight.
+pub(crate) const HOST_FULL_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Retry delay when this host's configuration may be outdated. The caller's next connection goes to
+/// another host, which usually receives changes.
+const STALE_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Maximum number of requests in flight. Each takes two of about 3,900 file descriptors, and its
+/// body counts toward the memory of the process.
+const MAX_IN_FLIGHT: usize = 1_500;
 
-/// The configuration as this host knows it.
+/// Handles to the configuration that this host knows.
 #[derive(Clone, Debug)]
 pub struct KnownConfig {
-    /// The configuration in force.
+    /// Configuration in force.
     pub config: watch::Receiver<Option<Arc<RoutingConfig>>>,
-    /// The operator's rows, whose age tells whether the configuration is the newest.
+    /// The operator's rows; their age shows whether the configuration is the newest.
     pub operator: SharedReplica,
-    /// Time in which a change must be in force.
+    /// Time within which a change must be in force.
     pub change_limit: Duration,
 }
 
-/// What every caller's request needs of the host.
+/// Shared state for handling callers' requests.
 #[derive(Clone)]
 pub struct IngressState {
-    /// The site's protocol.
+    /// Protocol of the site.
     pub site: SiteProtocol,
-    /// The path to backend servers.
+    /// Context for forwarding to backend servers.
     pub context: ForwardContext,
     /// The configuration.
     pub known: KnownConfig,
-    /// Set once the host is to stop; answers then close their connections.
+    /// Set once the host is stopping; responses then close their connections.
     pub stopping: Arc<AtomicBool>,
     in_flight: Arc<Semaphore>,
     retry_detector: RetryDetector,
@@ -70,7 +70,7 @@
 }
 
 impl IngressState {
-    /// State with nothing in flight.
+    /// Creates the state with no requests in flight.
     pub fn new(
         site: SiteProtocol,
         context: ForwardContext,
@@ -79,24 +79,24 @@
         fingerprint_key: FingerprintKey,
         clock: HostClock,
     ) -> Self {
-        let in_flight = Arc::new(Semaphore::new(MOST_IN_FLIGHT));
+        let in_flight = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
         let retry_detector = RetryDetector::default();
         Self { site, context, known, stopping, in_flight, retry_detector, fingerprint_key, clock }
     }
 
-    /// The handler of the callers' listener.
+    /// Handler for the callers' listener.
     pub fn handler(self) -> HttpHandler {
         handler(move |request| {
             let state = self.clone();
-            async move { state.answer(request).await }
+            async move { state.handle(request).await }
         })
     }
 
-    async fn answer(&self, mut request: Request<Incoming>) -> Response<ResponseBody> {
+    async fn handle(&self, mut request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = self.clock.now();
-        let terms = (self.site.extract_metadata)(request.headers_mut());
-        let id = terms.id.clone();
-        let mut response = match self.route(request, terms, arrived).await {
+        let metadata = (self.site.extract_metadata)(request.headers_mut());
+        let id = metadata.id.clone();
+        let mut response = match self.route(request, metadata, arrived).await {
             Ok((routed, _permit)) => {
                 let route = Name::clone(&routed.route.name);
                 let response = handle_request(self.context.clone(), routed).await;
@@ -123,41 +123,42 @@
     async fn route(
         &self,
         request: Request<Incoming>,
-        terms: RequestMetadata,
+        metadata: RequestMetadata,
         arrived: Moment,
     ) -> Result<(RoutedRequest, tokio::sync::OwnedSemaphorePermit), Refusal> {
         let current = self.known.config.borrow().clone();
         let Some(config) = current else {
-            return Err(Refusal::with_retry_after(RefusalCause::NotReady, NOT_READY_RETRY));
+            return Err(Refusal::with_retry_after(RefusalCause::NotReady, NOT_READY_RETRY_AFTER));
         };
         let Ok(permit) = Arc::clone(&self.in_flight).try_acquire_owned() else {
-            return Err(Refusal::with_retry_after(RefusalCause::HostFull, FULL_RETRY));
+            return Err(Refusal::with_retry_after(RefusalCause::HostFull, HOST_FULL_RETRY_AFTER));
         };
-        let id = terms.id.ok_or(Refusal::new(RefusalCause::Malformed))?;
+        let id = metadata.id.ok_or(Refusal::new(RefusalCause::Malformed))?;
         let (parts, body) = request.into_parts();
-        let (held, body) = enter(&parts.extensions, body, &id)?;
+        let (held_bytes, body) = begin_exchange(&parts.extensions, body, &id)?;
         let host = host_of(&parts.headers, &parts.uri)
             .ok_or(Refusal::new(RefusalCause::Malformed))?
             .to_owned();
         let route = config.routes.find(&host, parts.uri.path()).cloned();
-        let route = route.ok_or_else(|| self.unknown(RefusalCause::NoRoute))?;
-        let workspace = self.workspace_of(&config, &route, &terms.key)?;
+        let route = route.ok_or_else(|| self.unknown_refusal(RefusalCause::NoRoute))?;
+        let workspace = self.workspace_of(&config, &route, &metadata.key)?;
         let service = route.pick_service(&id).map(Name::clone);
         let service = service.ok_or(Refusal::new(RefusalCause::NoRoute))?;
-        let caller_time = terms.time_budget.unwrap_or(route.timeout);
-        let spent_before = self.retry_detector.record_request(&route.name, caller_time);
-        let deadline = arrived + caller_time.min(route.timeout);
-        let body = receive(body, config.limits.max_body_bytes, &held);
+        let time_budget = metadata.time_budget.unwrap_or(route.timeout);
+        let spent_before = self.retry_detector.record_request(&route.name, time_budget);
+        let deadline = arrived + time_budget.min(route.timeout);
+        let body = receive_body(body, config.limits.max_body_bytes, &held_bytes);
         let received = self.clock.timeout_at(deadline, body).await;
         let body = received.unwrap_or(Err(Refusal::new(RefusalCause::BodyLost)))?;
-        // Not the address: one caller comes by many, and each would have a request of its own.
+        // Not the address: a caller uses many, and its request would have a different fingerprint
+        // for each.
         let caller = workspace.as_ref().map_or("", |workspace| &*workspace.name);
         let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
-        let print = FingerprintInput { caller, host: &route.host, path, body: &body };
-        let print = RequestFingerprint::of(&self.fingerprint_key, &print);
+        let fingerprint_input = FingerprintInput { caller, host: &route.host, path, body: &body };
+        let fingerprint = RequestFingerprint::of(&self.fingerprint_key, &fingerprint_input);
         let routed = RoutedRequest {
             id,
-            fingerprint: print,
+            fingerprint,
             method: parts.method,
             uri: origin_form(&parts.uri),
             headers: parts.headers,
@@ -169,10 +170,10 @@
             route,
             service,
             workspace,
-            generation: terms.generation,
-            resume_after: terms.resume_after,
+            generation: metadata.generation,
+            resume_after: metadata.resume_after,
             config_version: config.version,
-            held_bytes: held,
+            held_bytes,
             accepts_chunked: parts.version > Version::HTTP_10,
         };
         Ok((routed, permit))
@@ -180,7 +181,7 @@
 }
 
 impl IngressState {
-    /// The workspace whose key a request names, where its route needs one.
+    /// Workspace of the key in a request, if its route requires one.
     fn workspace_of(
         &self,
         config: &RoutingConfig,
@@ -193,23 +194,24 @@
         match key {
             PresentedKey::One(key) => match workspaces.find_by_key(key) {
                 Some(workspace) => Ok(Some(Arc::clone(workspace))),
-                None => Err(self.unknown(RefusalCause::UnknownKey)),
+                None => Err(self.unknown_refusal(RefusalCause::UnknownKey)),
             },
-            // No configuration could know these.
+            // No configuration could contain these.
             PresentedKey::Missing | PresentedKey::Malformed => {
                 Err(Refusal::new(RefusalCause::UnknownKey))
             }
         }
     }
 
-    /// The refusal of what this host does not know: final if its configuration is the newest, else
-    /// with when to come back, since it may have been added meanwhile.
-    fn unknown(&self, cause: RefusalCause) -> Refusal {
+    /// Refusal for a route or key that this host does not know. It is final if the configuration is
+    /// the newest; otherwise the caller is told to retry, since the route or key may have been
+    /// added since.
+    fn unknown_refusal(&self, cause: RefusalCause) -> Refusal {
         let is_newest = self.known.operator.age().is_some_and(|age| age <= self.known.change_limit);
         if is_newest {
             Refusal::new(cause)
         } else {
-            Refusal::with_retry_after(RefusalCause::StaleConfig, STALE_RETRY)
+            Refusal::with_retry_after(RefusalCause::StaleConfig, STALE_CONFIG_RETRY_AFTER)
         }
     }
 }
@@ -219,7 +221,7 @@
     uri.authority().map(hyper::http::uri::Authority::as_str).or(header)
 }
 
-/// Path and query alone, as a backend server takes them.
+/// Path and query only, as backend servers expect.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_default()
--- a/crates/dillspool_router/src/lib.rs
+++ b/crates/dillspool_router/src/lib.rs
@@ -1,30 +1,30 @@
-//! The host that routes requests on a prepared platform, put together from its parts.
+//! Host that routes requests on a prepared platform.
 //!
-//! A site's protocol comes in as a [`SiteProtocol`] of closures; see
+//! The protocol of a site is passed in as a [`SiteProtocol`] of functions and closures; see
 //! `docs/design/platform_site.md`.
 
-mod belief_metrics;
-mod beliefs;
 mod call_metrics;
 mod config_tracker;
 mod daemon;
-mod departed;
+mod departed_backends;
 mod directory_tracker;
 mod drained_domains;
-mod fleet_duties;
+mod fleet_tasks;
 mod held_metrics;
 mod host_rows;
 mod ingress;
-mod memory_terms;
-mod notice_keeper;
+mod memory_limits;
+mod notice_publisher;
 mod peer_list;
 mod policy;
-mod receiving;
+mod request_body;
 mod retry_detector;
 mod settings;
 mod site;
 mod sources;
 mod status;
+mod store_metrics;
+mod store_replicas;
 mod suspect_metrics;
 mod suspect_rows;
 mod throttle_metrics;
--- a/crates/dillspool_router/src/peer_list.rs
+++ b/crates/dillspool_router/src/peer_list.rs
@@ -1,4 +1,4 @@
-//! The other hosts, from the seeds of the settings and from the rows that some of them keep in the
+//! The other hosts, from the seeds in the settings and from the rows that some hosts keep in the
 //! store.
 
 use std::net::SocketAddr;
@@ -16,35 +16,36 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::directory_tracker::sleep_until;
-use crate::host_rows::{HOST_PREFIX, HostRows};
+use crate::host_rows::{HOST_KEY_PREFIX, HostRows};
 use crate::settings::RouterConfig;
 use crate::sources::{
-    HostRow, MOST_DIRECT_HOSTS, SourcePlan, count_hosts, full_replica_hosts, plan_initial_sources,
+    HostRow, MAX_DIRECT_HOSTS, SourcePlan, count_hosts, full_replica_hosts, plan_initial_sources,
     plan_sources,
 };
 use crate::unreadable_rows::UnreadableRows;
 
-/// Longest time before a host with a link of [`USUAL_LINK_MBPS`] records itself, spread over the
-/// hosts: those with wider links do so before, and most others then need not.
-const LONGEST_LIST_DELAY: Duration = Duration::from_secs(5);
-/// Parts of that time between which a host does so: none in the first half, so that it hears of wider ones first.
-const LIST_DELAY_PARTS: std::ops::Range<f64> = 0.5..1.0;
-/// Width of a link in Mbit/s from which on hosts record themselves earlier, in proportion.
-const USUAL_LINK_MBPS: f64 = 10.0;
-/// Time after the first start of a fleet at which its hosts have recorded themselves.
-const SETTLED_AFTER: Duration = Duration::from_secs(8);
-/// Pause after a row was written, or could not be: longer than what was written takes to come back, so that
-/// a host to which no news comes does not write it again and again.
-const WRITTEN_PAUSE: Duration = Duration::from_secs(4);
-
-/// Where other hosts are asked for what they have read from the store.
+/// Maximum delay before a host with a link of [`TYPICAL_LINK_MBPS`] registers, randomized per host.
+/// Hosts with faster links register earlier, and most others then need not register.
+const MAX_REGISTRATION_DELAY: Duration = Duration::from_secs(5);
+/// Random fraction of that delay: at least half, so that a host learns of hosts with faster links
+/// first.
+const REGISTRATION_JITTER: std::ops::Range<f64> = 0.5..1.0;
+/// Link bandwidth in Mbit/s above which hosts register earlier, in proportion.
+const TYPICAL_LINK_MBPS: f64 = 10.0;
+/// Time after the first start of a fleet by which its hosts have registered.
+const BOOTSTRAP_PERIOD: Duration = Duration::from_secs(8);
+/// Delay after an attempt to write the row. It is longer than the row takes to come back, so that a
+/// host that receives no updates does not write it over and over.
+const REGISTRATION_RETRY_DELAY: Duration = Duration::from_secs(4);
+
+/// The hosts from which this host reads what they have read from the store.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerList {
     own: HostRow,
     seeds: Arc<Mutex<Vec<SocketAddr>>>,
-    listed: Arc<Mutex<Vec<HostRow>>>,
-    /// Whether the rows of hosts are known to all alike; before, who is a source differs from host to host.
-    settled: Arc<AtomicBool>,
+    registered: Arc<Mutex<Vec<HostRow>>>,
+    /// Whether all hosts know the same host rows; before that, hosts disagree on who is a source.
+    is_settled: Arc<AtomicBool>,
 }
 
 impl PeerList {
@@ -58,13 +59,13 @@
         Self {
             own,
             seeds: Arc::new(Mutex::new(config.seeds.clone())),
-            listed: Arc::default(),
-            settled: Arc::new(AtomicBool::new(!config.first_start)),
+            registered: Arc::default(),
+            is_settled: Arc::new(AtomicBool::new(!config.first_start)),
         }
     }
 
     fn set_settled(&self, is_settled: bool) {
-        self.settled.store(is_settled, Ordering::Relaxed);
+        self.is_settled.store(is_settled, Ordering::Relaxed);
     }
 
     fn seeds(&self) -> Vec<SocketAddr> {
@@ -72,18 +73,19 @@
     }
 
     fn with_rows<T>(&self, run: impl FnOnce(&mut Vec<HostRow>) -> T) -> T {
-        run(&mut self.listed.lock().unwrap_or_else(PoisonError::into_inner))
+        run(&mut self.registered.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     fn plan(&self) -> SourcePlan {
-        if self.settled.load(Ordering::Relaxed) {
+        if self.is_settled.load(Ordering::Relaxed) {
             return self.with_rows(|rows| plan_sources(rows, &self.own));
         }
         let seeds = self.seeds();
         self.with_rows(|rows| plan_initial_sources(rows, &self.own, &seeds))
     }
 
-    /// Hosts that could schedule the pool of a service, the best first; each of them holds the whole directory.
+    /// Candidates for scheduling the pool of a service, best first; each of them has the whole
+    /// directory.
     pub(crate) fn schedule_peers(&self, service: &str) -> SchedulePeers {
         let candidate = |row: &HostRow| {
             let link_mbps = row.link_mbps;
@@ -94,7 +96,7 @@
         SchedulePeers { own: self.own.schedule, ranked: rank_candidates(service, &hosts) }
     }
 
-    /// Whose questions to the store this host's beliefs come from.
+    /// Who polls the store for this host's replicas.
     fn role(&self) -> FollowRole {
         match self.plan() {
             SourcePlan::Alone => FollowRole::Alone,
@@ -103,30 +105,30 @@
         }
     }
 
-    /// Where this host takes the tables from. At the first start of a fleet roots and sources do so from the seeds, which
-    /// ask the store, until the rows of hosts are settled: hosts that take others for roots, and these the other way
-    /// round, would relay to each other and learn nothing.
+    /// Hosts that this host reads the tables from. At the first start of a fleet, roots and sources
+    /// read from the seeds, which poll the store, until the host rows have settled: two hosts that
+    /// take each other for roots would relay to each other and receive nothing.
     pub(crate) fn relay_peers(&self) -> RelayPeers {
         let sources = match self.plan() {
             SourcePlan::Relayed(sources) => sources,
             SourcePlan::Alone | SourcePlan::Root => Vec::new(),
         };
-        RelayPeers { sources, all: self.addresses(), subset_seed: self.part() }
+        RelayPeers { sources, all: self.addresses(), subset_seed: self.subset_seed() }
     }
 
-    /// What tells this host's part of a large table from those of others; none on a host that others may rely
-    /// on.
-    fn part(&self) -> Option<u64> {
-        let is_relied_on = self.with_rows(|rows| {
-            let near = |row: &&HostRow| row.failure_domain == self.own.failure_domain;
+    /// Seed of this host's subset of a large table; `None` on a host that may serve whole tables to
+    /// others.
+    fn subset_seed(&self) -> Option<u64> {
+        let holds_full_replica = self.with_rows(|rows| {
+            let is_in_domain = |row: &&HostRow| row.failure_domain == self.own.failure_domain;
             let is_alone =
-                !rows.is_empty() && rows.iter().filter(near).count() <= MOST_DIRECT_HOSTS;
+                !rows.is_empty() && rows.iter().filter(is_in_domain).count() <= MAX_DIRECT_HOSTS;
             is_alone || full_replica_hosts(rows).iter().any(|row| row.peers == self.own.peers)
         });
-        (!is_relied_on).then(|| host_seed(&self.own.peers.to_string()))
+        (!holds_full_replica).then(|| host_seed(&self.own.peers.to_string()))
     }
 
-    /// Hosts of the fleet, where their rows tell.
+    /// Size of the fleet, if it follows from the host rows.
     pub(crate) fn count_hosts(&self) -> Option<usize> {
         self.with_rows(|rows| count_hosts(rows))
     }
@@ -135,11 +137,12 @@
         *self.seeds.lock().unwrap_or_else(PoisonError::into_inner) = seeds;
     }
 
-    /// Addresses to ask: hosts of this failure domain first, since bytes between domains cost.
+    /// Addresses of peers, those in this failure domain first, since traffic between domains is
+    /// charged.
     fn addresses(&self) -> Vec<SocketAddr> {
-        let listed = self.with_rows(|rows| rows.clone());
+        let registered = self.with_rows(|rows| rows.clone());
         let (near, far): (Vec<_>, Vec<_>) =
-            listed.into_iter().partition(|row| row.failure_domain == self.own.failure_domain);
+            registered.into_iter().partition(|row| row.failure_domain == self.own.failure_domain);
         let all = near.into_iter().chain(far).map(|row| row.peers).chain(self.seeds());
         let mut addresses = Vec::new();
         for address in all {
@@ -151,11 +154,11 @@
     }
 }
 
-/// Follows the rows of hosts, and writes this host's own if it should have one, until `cancel`.
+/// Follows the host rows, and registers this host if needed, until `cancel`.
 ///
-/// `tables` are those of the hosts and of the backend servers; a store without any row of a host is
-/// known by the other one.
-pub(crate) async fn keep_peer_list(
+/// `tables` are the table with the host rows and that of the backend servers; the latter shows that
+/// a store without any host row has been read.
+pub(crate) async fn maintain_peer_list(
     config: RouterConfig,
     (own_table, store): (Name, TableStore),
     peers: PeerList,
@@ -164,76 +167,77 @@
     role: watch::Sender<FollowRole>,
     cancel: CancellationToken,
 ) {
-    let keep = async {
+    let maintain = async {
         let [mut hosts, mut backends] = tables;
         let started = Instant::now();
-        let mut may_write_at = started;
-        let mut due: Option<Instant> = None;
+        let mut not_before = started;
+        let mut registration_due: Option<Instant> = None;
         let mut rows = HostRows::default();
         loop {
-            rows.take(&own_table, &hosts.borrow_and_update(), &unreadable);
-            peers.with_rows(|listed| *listed = rows.listed());
+            rows.update(&own_table, &hosts.borrow_and_update(), &unreadable);
+            peers.with_rows(|registered| *registered = rows.hosts());
             let is_known =
                 hosts.borrow().version.is_known() || backends.borrow().version.is_known();
-            // At the first start of a fleet nobody is recorded yet, and every host would seem alone.
-            let is_settled = !config.first_start || started.elapsed() >= SETTLED_AFTER;
+            // At the first start of a fleet no host is registered yet, and every host would seem to
+            // be alone.
+            let is_settled = !config.first_start || started.elapsed() >= BOOTSTRAP_PERIOD;
             peers.set_settled(is_settled);
-            let now_role = peers.role();
-            if is_known && (is_settled || now_role != FollowRole::Alone) {
-                role.send_if_modified(|role| std::mem::replace(role, now_role) != now_role);
+            let current_role = peers.role();
+            if is_known && (is_settled || current_role != FollowRole::Alone) {
+                role.send_if_modified(|role| std::mem::replace(role, current_role) != current_role);
             }
-            let should_write = is_known && rows.lacks(&peers.own);
-            // Other rows of the table change all the time, which must not put it off.
-            let write_at = match due.filter(|_due| should_write) {
+            let should_register = is_known && rows.needs_registration(&peers.own);
+            // Other rows of the table change constantly, which must not postpone the registration.
+            let register_at = match registration_due.filter(|_due| should_register) {
                 Some(due) => due,
-                None => (Instant::now() + list_delay(&peers.own)).max(may_write_at),
+                None => (Instant::now() + registration_delay(&peers.own)).max(not_before),
             };
-            due = should_write.then_some(write_at);
+            registration_due = should_register.then_some(register_at);
             tokio::select! {
                 changed = hosts.changed() => if changed.is_err() { return },
-                () = tokio::time::sleep_until(started + SETTLED_AFTER), if !is_settled => {}
-                () = sleep_until(rows.next_end()) => {}
-                is_open = has_rows(&mut backends), if !is_known => if !is_open { return },
-                () = tokio::time::sleep_until(write_at), if should_write => {
-                    write_own(&config, &store, &peers.own).await;
-                    may_write_at = Instant::now() + WRITTEN_PAUSE;
-                    due = None;
+                () = tokio::time::sleep_until(started + BOOTSTRAP_PERIOD), if !is_settled => {}
+                () = sleep_until(rows.next_expiry()) => {}
+                is_open = wait_until_known(&mut backends), if !is_known => if !is_open { return },
+                () = tokio::time::sleep_until(register_at), if should_register => {
+                    register_host(&config, &store, &peers.own).await;
+                    not_before = Instant::now() + REGISTRATION_RETRY_DELAY;
+                    registration_due = None;
                 }
             }
         }
     };
     tokio::select! {
-        () = keep => {}
+        () = maintain => {}
         () = cancel.cancelled() => {}
     }
 }
 
-/// Waits until a table is known; false when its belief has ended.
-async fn has_rows(table: &mut watch::Receiver<TableReplica>) -> bool {
+/// Waits until a table is known; returns false if its replica is closed.
+async fn wait_until_known(table: &mut watch::Receiver<TableReplica>) -> bool {
     table.wait_for(|table| table.version.is_known()).await.is_ok()
 }
 
-/// Time before this host records itself, if nobody else has made that needless by then.
-fn list_delay(own: &HostRow) -> Duration {
-    let wide = (own.link_mbps / USUAL_LINK_MBPS).max(1.0);
-    let spread = rand::Rng::random_range(&mut rand::rng(), LIST_DELAY_PARTS);
-    LONGEST_LIST_DELAY.mul_f64(spread / wide)
+/// Delay before this host registers, unless others make this unnecessary by then.
+fn registration_delay(own: &HostRow) -> Duration {
+    let speedup = (own.link_mbps / TYPICAL_LINK_MBPS).max(1.0);
+    let jitter = rand::Rng::random_range(&mut rand::rng(), REGISTRATION_JITTER);
+    MAX_REGISTRATION_DELAY.mul_f64(jitter / speedup)
 }
 
-async fn write_own(config: &RouterConfig, store: &TableStore, own: &HostRow) {
-    if let Err(error) = try_write_own(config, store, own).await {
+async fn register_host(config: &RouterConfig, store: &TableStore, own: &HostRow) {
+    if let Err(error) = try_register_host(config, store, own).await {
         log::info!("event=host_row_not_written cause=\"{error}\"");
     }
 }
 
-async fn try_write_own(
+async fn try_register_host(
     config: &RouterConfig,
     store: &TableStore,
     own: &HostRow,
 ) -> Result<(), PlatformError> {
     let value = serde_json::to_string(own)
         .map_err(|error| PlatformError::NotDone { reason: error.to_string() })?;
-    let key = format!("{HOST_PREFIX}{}", config.host).into();
+    let key = format!("{HOST_KEY_PREFIX}{}", config.host).into();
     store.commit(vec![RowWrite { key, expect: RowExpect::Any, value: Some(value) }]).await?;
     Ok(())
 }
--- a/crates/dillspool_router/src/policy.rs
+++ b/crates/dillspool_router/src/policy.rs
@@ -1,24 +1,25 @@
-//! The limits of decisions on model requests, from the settings.
+//! Admission policy for model requests, from the settings.
 
 use dillspool_admission::AdmissionPolicy;
 use dillspool_schema::router::PolicySettings;
 
 use crate::settings::SettingsError;
 
-/// Largest part of a guess that may be reserved, and most deviations, lives and weights: beyond that
-/// engines would stand empty.
-const LARGEST_FACTOR: f64 = 4.0;
-/// Latest part of its time left at which a refused caller is told to come back; callers obey a third.
-const LATEST_COME_BACK: f64 = 0.33;
-/// Most engines that one request may be refused by; each refusal is a call.
-const MOST_REFUSALS: u32 = 64;
+/// Maximum of the reserved part of an estimate, and of deviations, mean lifetimes and weights:
+/// larger values would leave engines idle.
+const MAX_FACTOR: f64 = 4.0;
+/// Largest fraction of the remaining time that a refused caller may be told to wait before a retry;
+/// callers wait for at most a third.
+const MAX_RETRY_AFTER_FRACTION: f64 = 0.33;
+/// Maximum number of engines that may refuse one request; each refusal costs a call.
+const MAX_REFUSALS: u32 = 64;
 
-/// How requests for engines are decided on.
+/// Admission policy for model requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PolicyConfig {
-    /// Whether one host schedules a pool for all.
+    /// Whether one host schedules a pool for the whole fleet.
     pub schedule: bool,
-    /// The limits.
+    /// Parameters of admission decisions.
     pub admission: AdmissionPolicy,
 }
 
@@ -28,81 +29,81 @@
     }
 }
 
-/// Checks the table of the settings; what it leaves out has its default.
+/// Validates the policy section; missing fields take their defaults.
 ///
 /// # Errors
 ///
-/// [`SettingsError::Field`] naming the field and its range.
+/// [`SettingsError::Field`] with the field and its valid range.
 pub(crate) fn check(settings: Option<&PolicySettings>) -> Result<PolicyConfig, SettingsError> {
     let mut config = PolicyConfig::default();
     let Some(settings) = settings else { return Ok(config) };
     let policy = &mut config.admission;
     config.schedule = settings.schedule.unwrap_or(config.schedule);
     policy.reads_at_decode = settings.reads_at_decode.unwrap_or(policy.reads_at_decode);
-    policy.reserved_part = within(
+    policy.reserved_part = check_range(
         "policy.reserved_part",
         settings.reserved_part.unwrap_or(policy.reserved_part),
-        LARGEST_FACTOR,
-        "give a part of the guess between 0 and 4",
+        MAX_FACTOR,
+        "give a fraction of the estimate between 0 and 4",
     )?;
-    policy.memory_deviations = within(
+    policy.memory_deviations = check_range(
         "policy.memory_deviations",
         settings.memory_deviations.unwrap_or(policy.memory_deviations),
-        LARGEST_FACTOR,
+        MAX_FACTOR,
         "give standard deviations between 0 and 4",
     )?;
-    policy.late_margin = within(
+    policy.late_margin = check_range(
         "policy.late_margin",
         settings.late_margin.unwrap_or(policy.late_margin),
         1.0,
-        "give a part of an engine's memory between 0 and 1",
+        "give a fraction of an engine's memory between 0 and 1",
     )?;
-    policy.late_wait = within(
+    policy.late_wait = check_range(
         "policy.late_wait",
         settings.late_wait.unwrap_or(policy.late_wait),
-        LARGEST_FACTOR,
-        "give mean lives of an answer between 0 and 4",
+        MAX_FACTOR,
+        "give a number of mean response lifetimes between 0 and 4",
     )?;
     policy.by_cost = settings.by_cost.unwrap_or(policy.by_cost);
-    policy.slow_weight = within(
+    policy.slow_weight = check_range(
         "policy.slow_weight",
         settings.slow_weight.unwrap_or(policy.slow_weight),
-        LARGEST_FACTOR,
-        "give a part of an engine's memory between 0 and 4",
+        MAX_FACTOR,
+        "give a fraction of an engine's memory between 0 and 4",
     )?;
-    policy.come_back_from = within(
+    policy.come_back_from = check_range(
         "policy.come_back_from",
         settings.come_back_from.unwrap_or(policy.come_back_from),
-        LATEST_COME_BACK,
-        "give a part of the time left between 0 and 0.33",
+        MAX_RETRY_AFTER_FRACTION,
+        "give a fraction of the remaining time between 0 and 0.33",
     )?;
-    policy.completion_chance = within(
+    policy.completion_chance = check_range(
         "policy.completion_chance",
         settings.completion_chance.unwrap_or(policy.completion_chance),
         1.0,
-        "give a chance between 0 and 1",
+        "give a probability between 0 and 1",
     )?;
     if let Some(refusals) = settings.most_refusals {
-        policy.most_refusals = refusal_count(refusals)?;
+        policy.most_refusals = check_refusals(refusals)?;
     }
     Ok(config)
 }
 
-fn within(
+fn check_range(
     field: &'static str,
     value: f64,
-    most: f64,
+    max: f64,
     remedy: &'static str,
 ) -> Result<f64, SettingsError> {
-    if (0.0..=most).contains(&value) {
+    if (0.0..=max).contains(&value) {
         return Ok(value);
     }
     Err(SettingsError::Field { field, value: value.to_string(), remedy })
 }
 
-fn refusal_count(value: u32) -> Result<usize, SettingsError> {
+fn check_refusals(value: u32) -> Result<usize, SettingsError> {
     match value {
-        1..=MOST_REFUSALS => Ok(value as usize),
+        1..=MAX_REFUSALS => Ok(value as usize),
         _ => Err(SettingsError::Field {
             field: "policy.most_refusals",
             value: value.to_string(),
--- a/crates/dillspool_router/src/receiving.rs
+++ b/crates/dillspool_router/src/request_body.rs
@@ -9,16 +9,16 @@
 use hyper::body::{Body, Incoming};
 use hyper::http::Extensions;
 
-use crate::ingress::FULL_RETRY;
+use crate::ingress::HOST_FULL_RETRY_AFTER;
 
-/// Most bytes of a refused request's body that are read and dropped.
-const DISCARD_BYTES: usize = 1024 * 1024;
-/// Time for which they are.
-const DISCARD_TIME: Duration = Duration::from_secs(2);
+/// Maximum size of a refused request's body that is read and discarded.
+const MAX_DISCARD_BYTES: usize = 1024 * 1024;
+/// Time limit for discarding it.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Opens the account of a request's exchange, if bytes are limited and the request fits beside what is
-/// held.
-pub(crate) fn enter(
+/// Starts accounting for the bytes of an exchange, if they are limited and the request fits beside
+/// the bytes already held.
+pub(crate) fn begin_exchange(
     extensions: &Extensions,
     body: Incoming,
     id: &str,
@@ -27,22 +27,22 @@
         return Ok((ExchangeBytes::default(), body));
     };
     if !caller.budget().takes_new(body.size_hint().lower()) {
-        return Err(host_full(body));
+        return Err(refuse_and_discard(body));
     }
     Ok((caller.begin(id), body))
 }
 
-/// Receives a whole body of at most `limit` bytes.
-pub(crate) async fn receive(
+/// Receives a complete body of at most `limit` bytes.
+pub(crate) async fn receive_body(
     body: Incoming,
     limit: usize,
-    held: &ExchangeBytes,
+    held_bytes: &ExchangeBytes,
 ) -> Result<Bytes, Refusal> {
     if body.size_hint().lower() > limit as u64 {
         return Err(Refusal::new(RefusalCause::BodyTooLarge));
     }
-    if held.terms().is_some() {
-        return receive_held(body, limit, held).await;
+    if held_bytes.terms().is_some() {
+        return receive_metered(body, limit, held_bytes).await;
     }
     match read_body(body, limit).await {
         Ok(bytes) => Ok(bytes),
@@ -53,58 +53,59 @@
     }
 }
 
-/// As [`receive`], charged as it comes; a caller that sends nothing for too long is given up.
-async fn receive_held(
+/// Like [`receive_body`], but charges each chunk as it arrives and gives up on a caller that
+/// stalls.
+async fn receive_metered(
     mut body: Incoming,
     limit: usize,
-    held: &ExchangeBytes,
+    held_bytes: &ExchangeBytes,
 ) -> Result<Bytes, Refusal> {
     let lost = |_broken| Refusal::new(RefusalCause::BodyLost);
-    let (mut whole, mut guard) = (BytesMut::new(), held.guard());
-    while let Some(frame) = next_frame(&mut body, held).await? {
+    let (mut buffer, mut guard) = (BytesMut::new(), held_bytes.guard());
+    while let Some(frame) = next_frame(&mut body, held_bytes).await? {
         let frame = frame.map_err(lost)?;
-        let Ok(part) = frame.into_data() else { continue };
-        let length = whole.len() + part.len();
+        let Ok(chunk) = frame.into_data() else { continue };
+        let length = buffer.len() + chunk.len();
         if length > limit {
             return Err(Refusal::new(RefusalCause::BodyTooLarge));
         }
-        // Nothing has run yet, so the caller can go to another host at once.
+        // The request has not run yet, so the caller can retry on another host at once.
         if !guard.try_set_new(length as u64) {
-            return Err(host_full(body));
+            return Err(refuse_and_discard(body));
         }
-        whole.extend_from_slice(&part);
+        buffer.extend_from_slice(&chunk);
     }
-    Ok(guard.attach(whole.freeze()))
+    Ok(guard.attach(buffer.freeze()))
 }
 
 type BodyFrame = Result<hyper::body::Frame<Bytes>, hyper::Error>;
 
 async fn next_frame(
     body: &mut Incoming,
-    held: &ExchangeBytes,
+    held_bytes: &ExchangeBytes,
 ) -> Result<Option<BodyFrame>, Refusal> {
-    let Some(terms) = held.terms() else { return Ok(body.frame().await) };
+    let Some(terms) = held_bytes.terms() else { return Ok(body.frame().await) };
     tokio::time::timeout(terms.stall, body.frame()).await.map_err(|_elapsed| {
-        held.note_stalled(StalledSide::Caller);
+        held_bytes.note_stalled(StalledSide::Caller);
         Refusal::new(RefusalCause::BodyLost)
     })
 }
 
-/// Refuses a request at once and reads what its caller still sends: a connection that is closed with
-/// unread bytes is reset, and the caller would see that in place of the refusal.
-fn host_full(body: Incoming) -> Refusal {
+/// Refuses a request at once and discards what the caller still sends: closing a connection with
+/// unread bytes resets it, and the caller would see the reset instead of the refusal.
+fn refuse_and_discard(body: Incoming) -> Refusal {
     tokio::spawn(async move {
-        let rest = discard(body);
-        // What does not end in time is closed with its connection.
-        let _unread = tokio::time::timeout(DISCARD_TIME, rest).await;
+        let discarding = discard(body);
+        // The rest is dropped when the connection closes.
+        let _unread = tokio::time::timeout(DISCARD_TIMEOUT, discarding).await;
     });
-    Refusal::with_retry_after(RefusalCause::HostFull, FULL_RETRY)
+    Refusal::with_retry_after(RefusalCause::HostFull, HOST_FULL_RETRY_AFTER)
 }
 
 async fn discard(mut body: Incoming) {
     let mut discarded = 0;
     while let Some(Ok(frame)) = body.frame().await
-        && discarded < DISCARD_BYTES
+        && discarded < MAX_DISCARD_BYTES
     {
         discarded += frame.data_ref().map_or(0, Bytes::len);
     }
--- a/crates/dillspool_router/src/retry_detector.rs
+++ b/crates/dillspool_router/src/retry_detector.rs
@@ -1,10 +1,10 @@
-//! Which callers have come back, learnt from the times that they name.
+//! Detects retries by callers from the time budgets that they send.
 //!
-//! A caller names the time that it has left. One that was refused before has spent part of it, so it
-//! names less than a first attempt of the same route does. The route's own time limit says nothing
-//! of that: an operator may set it shorter or longer than the callers' patience. Nor do all callers
-//! have the same patience: to take an impatient one for one that came back would cost it its place
-//! before others that can be in time.
+//! A caller sends the time it has left. After a refusal it has used up part of that time, so a
+//! retry has a smaller budget than a first attempt on the same route. The route's own timeout does
+//! not help here: an operator may set it shorter or longer than the callers' budgets. Callers also
+//! have different budgets, and mistaking an impatient caller for a retry would cost it its place
+//! before others that can still be in time.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,102 +13,103 @@
 use dillspool_schema::Name;
 use tokio::time::Instant;
 
-/// Time after which a longest time that nobody named again is forgotten; callers change their
-/// patience with their releases, not within minutes.
-const FORGET_AFTER: Duration = Duration::from_mins(2);
-/// Part of the longest time from which a caller counts as one that confirms it: its way to the
-/// host takes milliseconds of seconds.
-const CONFIRMS_FROM: f64 = 0.98;
-/// Part of the longest time that a caller which came back has spent at least. Callers that are told to
-/// come back for want of engines are told to after 0.23 of their time and more
-/// (`dillspool_admission`); one that came back sooner may still be in time.
-const SPENT_AT_LEAST: f64 = 0.2;
-/// Time in which half of what was counted of callers is forgotten; a refused caller comes back within
-/// seconds.
-const COUNTS_HALVED: Duration = Duration::from_secs(10);
-/// Refused callers for each that names little time, from which on such callers are taken for those that
-/// came back. Hosts count their own; a refused caller comes back to any of them.
-const REFUSED_FOR_EACH: f64 = 0.25;
-/// Routes kept at most; the names come from the configuration, which may change often.
-const MOST_ROUTES: usize = 4096;
+/// Time after which a maximum budget that was not confirmed expires; callers change their budgets
+/// with their releases, not within minutes.
+const MAX_BUDGET_EXPIRY: Duration = Duration::from_mins(2);
+/// Fraction of the maximum budget from which a request confirms it; the way to the host takes
+/// milliseconds out of seconds.
+const CONFIRMATION_RATIO: f64 = 0.98;
+/// Minimum fraction of the maximum budget that a retry has used up. Callers refused for lack of
+/// engines are told to retry after at least 0.23 of their time (`dillspool_admission`); one that
+/// retries sooner may still be in time.
+const MIN_SPENT_RATIO: f64 = 0.2;
+/// Half-life of the counters; a refused caller retries within seconds.
+const COUNT_HALF_LIFE: Duration = Duration::from_secs(10);
+/// Refusals per request with a short budget above which such requests count as retries. Each host
+/// counts only its own refusals; a refused caller may retry on any host.
+const MIN_REFUSALS_PER_SHORT_BUDGET: f64 = 0.25;
+/// Maximum number of routes; their names come from the configuration, which may change often.
+const MAX_ROUTES: usize = 4096;
 
-/// A count of which half is forgotten in [`COUNTS_HALVED`].
+/// Counter that decays with [`COUNT_HALF_LIFE`].
 #[derive(Clone, Copy, Debug)]
-struct FadingCount {
+struct DecayingCounter {
     count: f64,
     at: Instant,
 }
 
-impl FadingCount {
-    fn none(now: Instant) -> Self {
+impl DecayingCounter {
+    fn zero(now: Instant) -> Self {
         Self { count: 0.0, at: now }
     }
 
-    fn read(&self, now: Instant) -> f64 {
-        let halvings = (now - self.at).as_secs_f64() / COUNTS_HALVED.as_secs_f64();
+    fn value(&self, now: Instant) -> f64 {
+        let halvings = (now - self.at).as_secs_f64() / COUNT_HALF_LIFE.as_secs_f64();
         self.count * 0.5_f64.powf(halvings)
     }
 
-    fn add(&mut self, now: Instant) {
-        *self = Self { count: self.read(now) + 1.0, at: now };
+    fn increment(&mut self, now: Instant) {
+        *self = Self { count: self.value(now) + 1.0, at: now };
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct RoutePatience {
-    longest: Duration,
-    confirmed: Instant,
-    /// Callers that named little time.
-    short: FadingCount,
-    /// Callers that were refused and may come back.
-    refused: FadingCount,
+struct RouteBudgets {
+    max_budget: Duration,
+    confirmed_at: Instant,
+    /// Requests with a short budget.
+    short_budgets: DecayingCounter,
+    /// Refusals after which the caller may retry.
+    refusals: DecayingCounter,
 }
 
-/// What callers named, by route.
+/// Time budgets sent by callers, by route.
 #[derive(Clone, Debug, Default)]
 pub struct RetryDetector {
-    routes: Arc<Mutex<HashMap<Name, RoutePatience>>>,
+    routes: Arc<Mutex<HashMap<Name, RouteBudgets>>>,
 }
 
 impl RetryDetector {
-    /// Notes the time that a caller has left, and returns what it has spent on attempts before this one;
-    /// zero if it has not come back, as far as can be told.
-    pub fn record_request(&self, route: &Name, left: Duration) -> Duration {
-        self.with(route, left, |patience, now| {
-            if left >= patience.longest || patience.confirmed + FORGET_AFTER <= now {
-                (patience.longest, patience.confirmed) = (left, now);
-            } else if left >= patience.longest.mul_f64(CONFIRMS_FROM) {
-                patience.confirmed = now;
+    /// Records the remaining time budget of a request and returns the time spent on earlier
+    /// attempts; zero if the request does not seem to be a retry.
+    pub fn record_request(&self, route: &Name, remaining: Duration) -> Duration {
+        self.with_route(route, remaining, |budgets, now| {
+            if remaining >= budgets.max_budget || budgets.confirmed_at + MAX_BUDGET_EXPIRY <= now {
+                (budgets.max_budget, budgets.confirmed_at) = (remaining, now);
+            } else if remaining >= budgets.max_budget.mul_f64(CONFIRMATION_RATIO) {
+                budgets.confirmed_at = now;
             }
-            let spent = patience.longest.saturating_sub(left);
-            if spent < patience.longest.mul_f64(SPENT_AT_LEAST) {
+            let spent = budgets.max_budget.saturating_sub(remaining);
+            if spent < budgets.max_budget.mul_f64(MIN_SPENT_RATIO) {
                 return Duration::ZERO;
             }
-            patience.short.add(now);
-            let expected = patience.refused.read(now);
-            let came_back = expected >= REFUSED_FOR_EACH * patience.short.read(now);
-            if came_back { spent } else { Duration::ZERO }
+            budgets.short_budgets.increment(now);
+            let refusals = budgets.refusals.value(now);
+            let is_retry =
+                refusals >= MIN_REFUSALS_PER_SHORT_BUDGET * budgets.short_budgets.value(now);
+            if is_retry { spent } else { Duration::ZERO }
         })
     }
 
-    /// Notes that a caller was refused and may come back.
+    /// Records that a request was refused and may be retried.
     pub fn record_refusal(&self, route: &Name) {
-        self.with(route, Duration::ZERO, |patience, now| patience.refused.add(now));
+        self.with_route(route, Duration::ZERO, |budgets, now| budgets.refusals.increment(now));
     }
 
-    fn with<T>(
+    fn with_route<T>(
         &self,
         route: &Name,
-        longest: Duration,
-        run: impl FnOnce(&mut RoutePatience, Instant) -> T,
+        max_budget: Duration,
+        run: impl FnOnce(&mut RouteBudgets, Instant) -> T,
     ) -> T {
         let now = Instant::now();
         let mut routes = self.routes.lock().unwrap_or_else(PoisonError::into_inner);
-        if routes.len() >= MOST_ROUTES {
-            routes.retain(|_route, patience| patience.confirmed + FORGET_AFTER > now);
+        if routes.len() >= MAX_ROUTES {
+            routes.retain(|_route, budgets| budgets.confirmed_at + MAX_BUDGET_EXPIRY > now);
         }
-        let none = FadingCount::none(now);
-        let fresh = RoutePatience { longest, confirmed: now, short: none, refused: none };
-        run(routes.entry(Name::clone(route)).or_insert(fresh), now)
+        let zero = DecayingCounter::zero(now);
+        let empty =
+            RouteBudgets { max_budget, confirmed_at: now, short_budgets: zero, refusals: zero };
+        run(routes.entry(Name::clone(route)).or_insert(empty), now)
     }
 }
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a routing host, read and checked.
+//! Reads and validates the settings file of a routing host.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,50 +13,51 @@
 use dillspool_suspects::{FingerprintKey, RequestFingerprint};
 use snafu::{ResultExt, Snafu};
 
-use crate::memory_terms;
+use crate::memory_limits;
 use crate::policy::{self, PolicyConfig};
 
-/// Time after an outage in which lapsed backend servers may register again; the users' letter
-/// promises about two seconds.
-const LAPSE_GRACE_S: f64 = 2.0;
-/// Part of a pool's engines that prefill before anything is observed; `docs/design/split.md`.
-const FIRST_SHARE: f64 = 0.2;
-/// Deadline of a store's call; an answer takes milliseconds, a slow one 60 times as long.
-const STORE_TIMEOUT_MS: u32 = 700;
-/// Time in which a change must be in force, the strictest that a site has asked for.
-const CHANGE_LIMIT_MS: u32 = 2_000;
-/// How long a watch is held open; a lost one is noticed that much later.
-const WATCH_WAIT_MS: u32 = 2_500;
+/// Time after an outage during which lapsed backend servers may register again; users are promised
+/// about two seconds.
+const DEFAULT_LAPSE_GRACE_S: f64 = 2.0;
+/// Share of a pool's engines that run prefill before any load is observed; see
+/// `docs/design/split.md`.
+const INITIAL_PREFILL_SHARE: f64 = 0.2;
+/// Timeout of a store call; a response normally takes milliseconds, a slow one 60 times as long.
+const DEFAULT_STORE_TIMEOUT_MS: u32 = 700;
+/// Time within which a change must be in force, the strictest value that a site has required.
+const DEFAULT_CHANGE_LIMIT_MS: u32 = 2_000;
+/// How long a watch request is held open; a lost one is detected only after this time.
+const DEFAULT_WATCH_WAIT_MS: u32 = 2_500;
 
-/// Shares of the workspaces: every host links to the holder of each, and a holder decides on some
-/// thousand requests a second.
-const LIMIT_SHARES: u32 = 4;
-/// Most shares; at the two-year size 16 suffice (docs/CAPACITY.md).
-const MOST_LIMIT_SHARES: u32 = 64;
+/// Number of shares that workspaces are split into. Every host links to the holder of each share,
+/// and a holder decides on several thousand requests per second.
+const DEFAULT_LIMIT_SHARES: u32 = 4;
+/// Maximum number of shares; 16 are enough at the size expected in two years (docs/CAPACITY.md).
+const MAX_LIMIT_SHARES: u32 = 64;
 
-/// Why the settings cannot be used.
+/// Reason why the settings cannot be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[snafu(display("cannot read {}: {source}; give the settings file with --settings", path.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What went wrong.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// The file is no TOML, or a field is missing or unknown.
+    /// The file is not valid TOML, or a field is missing or unknown.
     #[snafu(display("{}: {}; see docs/operators/router.md", path.display(), source.message()))]
     Syntax {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The underlying error.
         source: toml::de::Error,
     },
-    /// A field has a value that cannot be used.
+    /// A field has an invalid value.
     #[snafu(display("{field} is `{value}`: {remedy}"))]
     Field {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
         /// Its value.
         value: String,
@@ -65,75 +66,76 @@
     },
 }
 
-/// Checked settings, with units.
+/// Validated settings, with units.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
     /// Name of this host.
     pub host: Name,
-    /// Its failure domain.
+    /// Failure domain of this host.
     pub failure_domain: Name,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where readiness is asked.
+    /// Address of the readiness endpoint.
     pub readiness: SocketAddr,
-    /// Where other hosts connect.
+    /// Address on which other hosts connect.
     pub peers: SocketAddr,
-    /// Where other hosts ask this one as the scheduler of a pool.
+    /// Address on which other hosts reach this host's scheduler.
     pub schedule: SocketAddr,
-    /// Where metrics are read.
+    /// Address of the metrics endpoint.
     pub metrics: SocketAddr,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Deadline of a store's call.
+    /// Timeout of a store call.
     pub store_timeout: Duration,
-    /// How long a watch is held open.
+    /// How long a watch request is held open.
     pub watch_wait: Duration,
-    /// Time in which a change of the store's tables must be in force on all hosts.
+    /// Time within which a change to the store's tables must be in force on all hosts.
     pub change_limit: Duration,
-    /// Whether all hosts start for the first time.
+    /// Whether the whole fleet starts for the first time.
     pub first_start: bool,
-    /// Peer addresses known from the start.
+    /// Peer addresses known at startup.
     pub seeds: Vec<SocketAddr>,
-    /// Bandwidth of this host's link in Mbit/s, 0 if unknown.
+    /// Bandwidth of this host's link in Mbit/s; 0 if unknown.
     pub link_mbps: f64,
-    /// Budget of repeated sends.
+    /// Retry budget.
     pub budget: BudgetSettings,
-    /// How the limits of workspaces are counted.
+    /// How the limits of workspaces are enforced.
     pub limits: LimitTerms,
-    /// Limits on bytes held for slow peers; `None` where they are not limited.
+    /// Limits on bytes held for slow peers; `None` if they are not limited.
     pub held_bytes: Option<HeldTerms>,
-    /// Key of the prints that stand for requests.
+    /// Key for the fingerprints of requests.
     pub fingerprint_key: FingerprintKey,
-    /// Prints of requests that run whatever ended under them.
+    /// Fingerprints of requests that are always allowed to run, whatever backend servers crashed on
+    /// them.
     pub lifted: Vec<RequestFingerprint>,
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub shutdown_grace: Duration,
-    /// Time after an outage in which lapsed backend servers may register again.
+    /// Time after an outage during which lapsed backend servers may register again.
     pub lapse_grace: Duration,
-    /// Time between the orders of two holders.
+    /// Time between the orders of two consecutive lease holders.
     pub order_handover_gap: Duration,
-    /// What decides how many engines of a pool prefill.
+    /// Rule that determines how many engines of a pool run prefill.
     pub share_rule: ShareRule,
-    /// How requests for engines are decided on.
+    /// Admission policy for model requests.
     pub policy: PolicyConfig,
-    /// Which services' calls one host decides on.
+    /// For which services one host schedules the calls of all.
     pub calls: CallTerms,
     /// Log level.
     pub log_level: log::LevelFilter,
 }
 
 impl RouterConfig {
-    /// All addresses at which this host listens.
+    /// All addresses on which this host listens.
     pub fn listened_addresses(&self) -> [SocketAddr; 5] {
         [self.callers, self.readiness, self.peers, self.schedule, self.metrics]
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// [`SettingsError`] naming the field and what to write.
+/// [`SettingsError`] with the invalid field and how to correct it.
 pub fn load_settings(path: &Path) -> Result<RouterConfig, SettingsError> {
     let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
     let settings: RouterSettings = toml::from_str(&text).context(SyntaxSnafu { path })?;
@@ -142,44 +144,47 @@
 
 fn check(settings: &RouterSettings) -> Result<RouterConfig, SettingsError> {
     let listen = &settings.listen;
-    let seeds = settings.peers.seeds.iter().map(|seed| address("peers.seeds", seed));
+    let seeds = settings.peers.seeds.iter().map(|seed| parse_address("peers.seeds", seed));
     let (retry, orders) = (&settings.retry, &settings.orders);
     let lifecycle = &settings.lifecycle;
     let level = settings.log.as_ref().map_or("info", |log| &*log.level);
     Ok(RouterConfig {
-        host: name("host", &settings.host)?,
-        failure_domain: name("failure_domain", &settings.failure_domain)?,
-        callers: address("listen.callers", &listen.callers)?,
-        readiness: address("listen.readiness", &listen.readiness)?,
-        peers: address("listen.peers", &listen.peers)?,
-        schedule: address("listen.schedule", &listen.schedule)?,
-        metrics: address("listen.metrics", &listen.metrics)?,
-        store: address("store.address", &settings.store.address)?,
-        store_timeout: millis(settings.store.call_timeout_ms, STORE_TIMEOUT_MS),
-        watch_wait: millis(settings.store.watch_wait_ms, WATCH_WAIT_MS),
-        change_limit: millis(settings.store.config_limit_ms, CHANGE_LIMIT_MS)
-            .min(millis(settings.store.leave_limit_ms, CHANGE_LIMIT_MS)),
+        host: parse_name("host", &settings.host)?,
+        failure_domain: parse_name("failure_domain", &settings.failure_domain)?,
+        callers: parse_address("listen.callers", &listen.callers)?,
+        readiness: parse_address("listen.readiness", &listen.readiness)?,
+        peers: parse_address("listen.peers", &listen.peers)?,
+        schedule: parse_address("listen.schedule", &listen.schedule)?,
+        metrics: parse_address("listen.metrics", &listen.metrics)?,
+        store: parse_address("store.address", &settings.store.address)?,
+        store_timeout: millis_or_default(settings.store.call_timeout_ms, DEFAULT_STORE_TIMEOUT_MS),
+        watch_wait: millis_or_default(settings.store.watch_wait_ms, DEFAULT_WATCH_WAIT_MS),
+        change_limit: millis_or_default(settings.store.config_limit_ms, DEFAULT_CHANGE_LIMIT_MS)
+            .min(millis_or_default(settings.store.leave_limit_ms, DEFAULT_CHANGE_LIMIT_MS)),
         first_start: settings.peers.first_start,
         seeds: seeds.collect::<Result<_, _>>()?,
-        link_mbps: not_negative("peers.link_mbps", settings.peers.link_mbps.unwrap_or_default())?,
+        link_mbps: parse_non_negative(
+            "peers.link_mbps",
+            settings.peers.link_mbps.unwrap_or_default(),
+        )?,
         budget: BudgetSettings {
-            ratio: not_negative("retry.ratio", retry.ratio)?,
-            window: seconds("retry.window_s", retry.window_s)?,
-            extra: not_negative("retry.extra", retry.extra)?,
+            ratio: parse_non_negative("retry.ratio", retry.ratio)?,
+            window: parse_seconds("retry.window_s", retry.window_s)?,
+            extra: parse_non_negative("retry.extra", retry.extra)?,
         },
-        limits: limit_terms(settings.limits.as_ref())?,
-        held_bytes: memory_terms::check(settings.memory.as_ref())?,
+        limits: check_limits(settings.limits.as_ref())?,
+        held_bytes: memory_limits::check(settings.memory.as_ref())?,
         fingerprint_key: fingerprint_key(settings.suspects.as_ref()),
-        lifted: lifted(settings.suspects.as_ref())?,
-        shutdown_grace: seconds("lifecycle.grace_s", lifecycle.grace_s)?,
-        lapse_grace: seconds(
+        lifted: parse_lifted(settings.suspects.as_ref())?,
+        shutdown_grace: parse_seconds("lifecycle.grace_s", lifecycle.grace_s)?,
+        lapse_grace: parse_seconds(
             "lifecycle.lapse_grace_s",
-            lifecycle.lapse_grace_s.unwrap_or(LAPSE_GRACE_S),
+            lifecycle.lapse_grace_s.unwrap_or(DEFAULT_LAPSE_GRACE_S),
         )?,
-        order_handover_gap: seconds("orders.lease_ms", orders.lease_ms / 1000.0)?,
-        share_rule: share_rule(orders.prefill_share)?,
+        order_handover_gap: parse_seconds("orders.lease_ms", orders.lease_ms / 1000.0)?,
+        share_rule: check_share_rule(orders.prefill_share)?,
         policy: policy::check(settings.policy.as_ref())?,
-        calls: call_terms(settings.calls.as_ref())?,
+        calls: check_calls(settings.calls.as_ref())?,
         log_level: level.parse().map_err(|_unknown| SettingsError::Field {
             field: "log.level",
             value: level.to_owned(),
@@ -188,55 +193,57 @@
     })
 }
 
-/// The terms of limits; without them a holder grants no more than the limits say.
-fn limit_terms(settings: Option<&LimitSettings>) -> Result<LimitTerms, SettingsError> {
+/// Settings of limits; by default, a holder grants no more than the limits allow.
+fn check_limits(settings: Option<&LimitSettings>) -> Result<LimitTerms, SettingsError> {
     let slack = settings.and_then(|settings| settings.slack).unwrap_or_default();
-    let shares = settings.map_or(LIMIT_SHARES, |settings| settings.shares);
-    if shares == 0 || shares > MOST_LIMIT_SHARES {
+    let shares = settings.map_or(DEFAULT_LIMIT_SHARES, |settings| settings.shares);
+    if shares == 0 || shares > MAX_LIMIT_SHARES {
         let remedy = "give a number of shares between 1 and 64, the same on all hosts";
         return FieldSnafu { field: "limits.shares", value: shares.to_string(), remedy }.fail();
     }
-    Ok(LimitTerms { slack: not_negative("limits.slack", slack)?, shares: shares as usize })
+    Ok(LimitTerms { slack: parse_non_negative("limits.slack", slack)?, shares: shares as usize })
 }
 
-/// The terms of calls; without them each host decides on its own.
-fn call_terms(settings: Option<&CallSettings>) -> Result<CallTerms, SettingsError> {
+/// Settings of call scheduling; by default, each host decides on its own.
+fn check_calls(settings: Option<&CallSettings>) -> Result<CallTerms, SettingsError> {
     let slots = settings.and_then(|settings| settings.slots_per_host).unwrap_or_default();
-    let slots_per_host = not_negative("calls.slots_per_host", slots)?;
+    let slots_per_host = parse_non_negative("calls.slots_per_host", slots)?;
     Ok(CallTerms { slots_per_host, ..CallTerms::default() })
 }
 
-/// The key of prints; without one all fleets have the same.
+/// Key for fingerprints; the default is the same for all fleets.
 fn fingerprint_key(settings: Option<&SuspectSettings>) -> FingerprintKey {
     let key = settings.map(|settings| &*settings.key).filter(|key| !key.is_empty());
     key.map_or_else(FingerprintKey::default, FingerprintKey::new)
 }
 
-fn lifted(settings: Option<&SuspectSettings>) -> Result<Vec<RequestFingerprint>, SettingsError> {
-    let prints = settings.into_iter().flat_map(|settings| &settings.lifted);
+fn parse_lifted(
+    settings: Option<&SuspectSettings>,
+) -> Result<Vec<RequestFingerprint>, SettingsError> {
+    let fingerprints = settings.into_iter().flat_map(|settings| &settings.lifted);
     let parse = |text: &String| {
         text.parse().map_err(|_malformed| SettingsError::Field {
             field: "suspects.lifted",
             value: text.clone(),
-            remedy: "give prints as the log and `dillspool suspects` show them",
+            remedy: "give fingerprints as the log and `dillspool suspects` show them",
         })
     };
-    prints.map(parse).collect()
+    fingerprints.map(parse).collect()
 }
 
-/// The rule for an optional part of a pool.
-fn share_rule(share: Option<f64>) -> Result<ShareRule, SettingsError> {
+/// Rule for the share of prefill engines in a pool.
+fn check_share_rule(share: Option<f64>) -> Result<ShareRule, SettingsError> {
     match share {
-        None => Ok(ShareRule::Observed { initial_share: FIRST_SHARE }),
+        None => Ok(ShareRule::Observed { initial_share: INITIAL_PREFILL_SHARE }),
         Some(share) if share > 0.0 && share < 1.0 => Ok(ShareRule::Fixed(share)),
         Some(share) => {
-            let remedy = "give a part between 0 and 1, or leave it out so that it follows the load";
+            let remedy = "give a fraction between 0 and 1, or omit it so that it follows the load";
             FieldSnafu { field: "orders.prefill_share", value: share.to_string(), remedy }.fail()
         }
     }
 }
 
-fn name(field: &'static str, value: &Name) -> Result<Name, SettingsError> {
+fn parse_name(field: &'static str, value: &Name) -> Result<Name, SettingsError> {
     if value.is_empty() {
         let remedy = "give a name";
         return FieldSnafu { field, value: "", remedy }.fail();
@@ -244,7 +251,7 @@
     Ok(Name::clone(value))
 }
 
-fn address(field: &'static str, value: &str) -> Result<SocketAddr, SettingsError> {
+fn parse_address(field: &'static str, value: &str) -> Result<SocketAddr, SettingsError> {
     value.parse().map_err(|_malformed| SettingsError::Field {
         field,
         value: value.to_owned(),
@@ -252,7 +259,7 @@
     })
 }
 
-fn not_negative(field: &'static str, value: f64) -> Result<f64, SettingsError> {
+fn parse_non_negative(field: &'static str, value: f64) -> Result<f64, SettingsError> {
     if value.is_finite() && value >= 0.0 {
         return Ok(value);
     }
@@ -260,7 +267,7 @@
     FieldSnafu { field, value: value.to_string(), remedy }.fail()
 }
 
-fn seconds(field: &'static str, value: f64) -> Result<Duration, SettingsError> {
+fn parse_seconds(field: &'static str, value: f64) -> Result<Duration, SettingsError> {
     Duration::try_from_secs_f64(value).map_err(|_range| SettingsError::Field {
         field,
         value: value.to_string(),
@@ -268,12 +275,12 @@
     })
 }
 
-/// A time in milliseconds; zero, which no call could keep, stands for the default.
-fn millis(value: u32, default: u32) -> Duration {
+/// A duration in milliseconds; zero, which no call could meet, selects the default.
+fn millis_or_default(value: u32, default: u32) -> Duration {
     Duration::from_millis(u64::from(if value == 0 { default } else { value }))
 }
 
-/// Notices that a settings file was replaced, also when no signal says so.
+/// Detects that a settings file was replaced, even without a signal.
 #[derive(Clone, Debug)]
 pub struct SettingsWatch {
     path: PathBuf,
@@ -281,12 +288,13 @@
 }
 
 impl SettingsWatch {
-    /// Watches a file from its present text on.
+    /// Watches a file, starting from its current content.
     pub fn new(path: &Path) -> Self {
         Self { path: path.to_owned(), text: std::fs::read_to_string(path).ok() }
     }
 
-    /// Whether the file has another text than last time; one that cannot be read has not changed.
+    /// Returns whether the content differs from the last check; an unreadable file counts as
+    /// unchanged.
     pub fn has_changed(&mut self) -> bool {
         let Ok(text) = std::fs::read_to_string(&self.path) else { return false };
         let changed = self.text.as_ref() != Some(&text);
--- a/crates/dillspool_router/src/site.rs
+++ b/crates/dillspool_router/src/site.rs
@@ -1,4 +1,4 @@
-//! A site's protocol, as closures and functions that a site's adapter fills.
+//! Interface to the protocol of a site, as functions and closures that the site's adapter provides.
 
 use std::fmt;
 use std::sync::Arc;
@@ -14,33 +14,33 @@
 /// Everything that differs between sites.
 #[derive(Clone)]
 pub struct SiteProtocol {
-    /// Decodes a request's terms and leaves what is passed on.
+    /// Extracts the request's metadata from the headers; the remaining headers are forwarded.
     pub extract_metadata: fn(&mut HeaderMap) -> RequestMetadata,
-    /// Names the request in an answer of the router's own.
+    /// Sets the request id on a response that the router sends.
     pub set_request_id: fn(&mut HeaderMap, &str),
     /// Decodes a configuration.
     pub decode_config: fn(&str) -> Result<RoutingConfig, String>,
-    /// Decodes the row of a backend server with an id.
+    /// Decodes the directory row of the backend server with an id.
     pub decode_backend: fn(&str, &str) -> Result<BackendEntry, String>,
-    /// The failure domain that an operator's row of this key says is drained.
+    /// Failure domain that is drained while the operator's row with this key exists.
     pub drained_domain: fn(&str) -> Option<&str>,
     /// Table and key of the configuration.
     pub config_row: (Name, Name),
     /// Table of the backend servers.
     pub directory_table: Name,
-    /// Table of the product's own rows.
+    /// Table of the router's own rows.
     pub own_table: Name,
     /// Calls to backend servers.
     pub calls: BackendCalls,
-    /// Remembers what the answers to them say of how much the backend servers take.
+    /// Tracks the rate limits and backoff periods that backend servers announce in responses.
     pub throttle: ThrottleTracker,
-    /// Remembers which backend servers say in them that they leave.
+    /// Tracks the backend servers that announce in a response that they are leaving.
     pub leaving: LeavingTracker,
-    /// Follows the store's tables.
+    /// Reads and watches the store's tables.
     pub watch: TableWatch,
-    /// The product's own rows in the store.
+    /// Writes the router's own rows to the store.
     pub store: TableStore,
-    /// Names the protocol in the log.
+    /// Name of the protocol in the log.
     pub label: Arc<str>,
 }
 
--- a/crates/dillspool_router/src/status.rs
+++ b/crates/dillspool_router/src/status.rs
@@ -1,4 +1,4 @@
-//! Readiness and metrics of a host.
+//! Readiness and metrics endpoints of a host.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use prometheus_client::registry::Registry;
 
-/// Answers 200 while `is_ready`, else 503, whatever the path.
+/// Responds with 200 while `is_ready`, otherwise with 503, for any path.
 pub(crate) fn readiness_handler(
     is_ready: impl Fn() -> bool + Send + Sync + 'static,
 ) -> HttpHandler {
@@ -23,7 +23,7 @@
     })
 }
 
-/// Answers with all metrics as text, as they are after `refresh`.
+/// Responds with all metrics as text, after calling `refresh`.
 pub(crate) fn metrics_handler(
     registry: Registry,
     refresh: impl Fn() + Send + Sync + 'static,
--- a/crates/dillspool_router/src/belief_metrics.rs
+++ b/crates/dillspool_router/src/store_metrics.rs
@@ -1,4 +1,4 @@
-//! What a host believes, as gauges that are read when they are scraped.
+//! Metrics of the replicated tables, updated on each scrape.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -15,7 +15,7 @@
 
 use crate::unreadable_rows::TableLabels;
 
-/// A service and the part that its backend servers play.
+/// A service, and the role and state of its backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct BackendLabels {
     service: Name,
@@ -44,9 +44,9 @@
     }
 }
 
-/// Gauges of the directory, the configuration and the store's reach.
+/// Gauges of the directory, the configuration and the reachability of the store.
 #[derive(Clone, Debug)]
-pub(crate) struct BeliefMetrics {
+pub(crate) struct StoreMetrics {
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     directory: watch::Receiver<Arc<DirectoryView>>,
     reach: watch::Receiver<StoreReachability>,
@@ -58,8 +58,7 @@
     store_era: Gauge,
 }
 
-impl BeliefMetrics {
-    /// Gauges of these beliefs.
+impl StoreMetrics {
     pub(crate) fn new(
         config: watch::Receiver<Option<Arc<RoutingConfig>>>,
         directory: watch::Receiver<Arc<DirectoryView>>,
@@ -79,7 +78,6 @@
         }
     }
 
-    /// Registers all gauges.
     pub(crate) fn register(&self, registry: &mut Registry) {
         registry.register("backends", "Backend servers in use", self.backends.clone());
         let version = self.config_version.clone();
@@ -97,7 +95,7 @@
         );
     }
 
-    /// Takes over what is believed now.
+    /// Updates the gauges to the current values.
     pub(crate) fn refresh(&self) {
         let version = self.config.borrow().as_ref().map_or(0, |config| config.version);
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
@@ -105,13 +103,13 @@
         let era = self.reach.borrow().era.number();
         self.store_era.set(i64::try_from(era).unwrap_or(i64::MAX));
         for table in &self.tables {
-            // A table that was never heard of has no age yet.
+            // A table that was never received has no age yet.
             if let Some(age) = table.age() {
                 let labels = TableLabels { table: Name::clone(&table.table) };
                 self.table_ages.get_or_create(&labels).set(age.as_secs_f64());
             }
         }
-        // A part that nobody plays any more must not keep its last count.
+        // A role without backend servers must not keep its last count.
         self.backends.clear();
         let view = Arc::clone(&self.directory.borrow());
         for entry in view.entries.values() {
--- a/crates/dillspool_router/src/suspect_metrics.rs
+++ b/crates/dillspool_router/src/suspect_metrics.rs
@@ -1,4 +1,4 @@
-//! Requests under which backend servers ended, as gauges that are read when they are scraped.
+//! Metrics of requests that crashed backend servers, updated on each scrape.
 
 use dillspool_metrics::write_labels;
 use dillspool_suspects::SuspectTracker;
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// What is done with copies of a request.
+/// How copies of a request are handled.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SuspectLabels {
     /// `watched` or `refused`.
@@ -20,28 +20,26 @@
     }
 }
 
-/// Gauges of a host's suspects.
+/// Gauges of a host's suspect requests.
 #[derive(Clone, Debug)]
 pub(crate) struct SuspectMetrics {
-    desk: SuspectTracker,
+    tracker: SuspectTracker,
     suspects: Family<SuspectLabels, Gauge>,
 }
 
 impl SuspectMetrics {
-    /// Gauges of a desk.
-    pub(crate) fn new(desk: SuspectTracker) -> Self {
-        Self { desk, suspects: Family::default() }
+    pub(crate) fn new(tracker: SuspectTracker) -> Self {
+        Self { tracker, suspects: Family::default() }
     }
 
-    /// Registers all gauges.
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Requests under which backend servers ended, by what is done with their copies";
         registry.register("suspects", help, self.suspects.clone());
     }
 
-    /// Takes over what is known now.
+    /// Updates the gauges to the current values.
     pub(crate) fn refresh(&self) {
-        let (watched, refused) = self.desk.counts();
+        let (watched, refused) = self.tracker.counts();
         for (state, count) in [("watched", watched), ("refused", refused)] {
             let gauge = self.suspects.get_or_create(&SuspectLabels { state });
             gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
--- a/crates/dillspool_router/src/suspect_rows.rs
+++ b/crates/dillspool_router/src/suspect_rows.rs
@@ -1,8 +1,9 @@
-//! What hosts tell each other of requests under which backend servers ended: a row of each host.
+//! Replicates between hosts which requests crashed backend servers, with one row per host.
 //!
-//! A host writes its own row only, so that no two writers meet, and takes the rows of all. They reach it
-//! with the rows of hosts, by the store or by other hosts, and stay when all hosts are lost. What no row tells,
-//! since whoever saw it is gone, a host that schedules a pool writes into its own. See `docs/design/suspects.md`.
+//! A host writes only its own row, so writers never conflict, and reads the rows of all. They are
+//! replicated together with the host rows, from the store or by other hosts, and survive the loss
+//! of all hosts. Crashes that no row records, because the host that saw them is gone, are written
+//! by a host that schedules a pool into its own row. See `docs/design/suspects.md`.
 
 mod row;
 
@@ -22,231 +23,234 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::unreadable_rows::UnreadableRows;
-use row::{DeskClock, SuspectRow};
+use row::{SuspectRow, TrackerClock};
 
-/// Start of the keys of these rows.
-const ROW_PREFIX: &str = "suspects/";
-/// Time in which news are gathered for one write: a crash breaks off all its runs within some milliseconds.
-const GATHER: Duration = Duration::from_millis(20);
-/// Pause after a row that could not be written; doubles up to [`LONGEST_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
-/// Time for which the row of whoever saw an end is waited for, in seconds, drawn anew each time so that one host
-/// writes what others need not write then.
-const ROW_WAIT_S: std::ops::Range<f64> = 2.0..5.0;
-/// Ends that are written for others at most.
-const MOST_ADOPTED: usize = 64;
-/// Time between two looks at what stands against nobody any more, in seconds, drawn anew each time so that
-/// hosts do not look together.
-const LOOK_EVERY_S: std::ops::Range<f64> = 60.0..180.0;
-/// Age from which on a row of a host that tells nothing of use any more is deleted.
-const ROW_LIFE: Duration = Duration::from_hours(1);
+/// Key prefix of these rows.
+const SUSPECT_KEY_PREFIX: &str = "suspects/";
+/// Time for which updates are batched into one write: a crash ends all requests on a backend server
+/// within a few milliseconds.
+const BATCH_WINDOW: Duration = Duration::from_millis(20);
+/// Delay after a failed write; doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
+/// Time in seconds to wait for the row of the host that saw a crash. It is random each time, so
+/// that one host writes what the others then need not write.
+const ADOPTION_DELAY_S: std::ops::Range<f64> = 2.0..5.0;
+/// Maximum number of crashes written on behalf of others.
+const MAX_ADOPTED: usize = 64;
+/// Time in seconds between removals of expired entries. It is random each time, so that hosts do
+/// not run at the same moment.
+const CLEANUP_INTERVAL_S: std::ops::Range<f64> = 60.0..180.0;
+/// Minimum age at which a host's row without useful entries is deleted.
+const MIN_DELETE_AGE: Duration = Duration::from_hours(1);
 
-/// Writes this host's row and takes the rows of all.
-pub(crate) struct SuspectKeeper {
+/// Writes this host's row and applies the rows of all hosts.
+pub(crate) struct SuspectReplicator {
     pub(crate) host: Name,
     pub(crate) table: Name,
     pub(crate) store: TableStore,
     pub(crate) rows: watch::Receiver<TableReplica>,
     pub(crate) unreadable: UnreadableRows,
-    pub(crate) desk: SuspectTracker,
+    pub(crate) tracker: SuspectTracker,
     pub(crate) wall: WallClock,
-    /// Tells news on this host's links, which go on while the store is away.
-    pub(crate) tell: Arc<dyn Fn(&SuspectUpdate) + Send + Sync>,
-    /// Whether this host schedules a pool, and so hears of all ends there.
-    pub(crate) schedules: Arc<dyn Fn() -> bool + Send + Sync>,
+    /// Sends an update over this host's links, which work while the store is unavailable.
+    pub(crate) publish: Arc<dyn Fn(&SuspectUpdate) + Send + Sync>,
+    /// Whether this host schedules a pool, and therefore learns of all crashes in it.
+    pub(crate) is_scheduler: Arc<dyn Fn() -> bool + Send + Sync>,
 }
 
-/// How far the rows and the desk agree.
+/// State of replication between the rows and the tracker.
 #[derive(Default)]
-struct KeeperState {
-    /// Era of the store in which rows were taken last.
+struct ReplicatorState {
+    /// Store era in which rows were last applied.
     era: StoreEra,
-    /// Version of each row that was taken.
-    taken: HashMap<Name, StoreVersion>,
+    /// Version of each applied row.
+    row_versions: HashMap<Name, StoreVersion>,
     own: SuspectRow,
-    /// Ends that some row told.
-    in_rows: HashSet<(RequestFingerprint, Name)>,
-    /// When ends are written that no row has told by then.
+    /// Crashes that some row records.
+    recorded_crashes: HashSet<(RequestFingerprint, Name)>,
+    /// When crashes that no row records by then are written to this host's row.
     adopt_at: Option<Instant>,
-    /// The text that the store has or will have as far as this host knows.
+    /// Content that the store has or will have, as far as this host knows.
     written: Option<String>,
-    /// When the next write may be tried after one that failed.
-    paused: Option<(Instant, Duration)>,
+    /// Earliest time of the next write after a failed one, and its delay.
+    backoff: Option<(Instant, Duration)>,
 }
 
-impl SuspectKeeper {
+impl SuspectReplicator {
     /// Runs until `cancel`.
     pub(crate) async fn run(self, cancel: CancellationToken) {
         tokio::select! {
-            () = self.keep() => {}
+            () = self.replicate() => {}
             () = cancel.cancelled() => {}
         }
     }
 
-    async fn keep(mut self) {
-        let clock = DeskClock { desk: self.desk.clone(), wall: self.wall.clone() };
-        let mut state = KeeperState::default();
-        let mut look_at = Instant::now() + look_pause();
+    async fn replicate(mut self) {
+        let clock = TrackerClock { tracker: self.tracker.clone(), wall: self.wall.clone() };
+        let mut state = ReplicatorState::default();
+        let mut cleanup_at = Instant::now() + cleanup_interval();
         loop {
             let is_known = self.take_rows(&mut state, &clock);
-            self.take_news(&mut state, &clock);
-            self.plan_adoption(&mut state);
+            self.take_updates(&mut state, &clock);
+            self.schedule_adoption(&mut state);
             let adopt_at = state.adopt_at.unwrap_or_else(Instant::now);
             let text = serde_json::to_string(&state.own).unwrap_or_default();
             let is_due = is_known
                 && state.own != SuspectRow::default()
                 && state.written.as_ref() != Some(&text);
-            let write_at = state.paused.map_or_else(Instant::now, |(until, _pause)| until);
+            let write_at = state.backoff.map_or_else(Instant::now, |(until, _delay)| until);
             tokio::select! {
                 changed = self.rows.changed() => if changed.is_err() { return },
-                () = self.desk.changed() => self.gather(&mut state, &clock).await,
+                () = self.tracker.changed() => self.collect_batch(&mut state, &clock).await,
                 () = tokio::time::sleep_until(write_at), if is_due => {
                     self.write(&mut state, text).await;
                 }
                 () = tokio::time::sleep_until(adopt_at), if state.adopt_at.is_some() => {
                     self.adopt(&mut state, &clock);
                 }
-                () = tokio::time::sleep_until(look_at) => {
-                    self.desk.remove_expired();
-                    state.own.prune(&self.desk);
-                    state.in_rows.retain(|(print, _end)| self.desk.decide(*print).ends() > 0);
-                    self.delete_one(&clock).await;
-                    look_at = Instant::now() + look_pause();
+                () = tokio::time::sleep_until(cleanup_at) => {
+                    self.tracker.remove_expired();
+                    state.own.prune(&self.tracker);
+                    state.recorded_crashes.retain(|(fingerprint, _backend)| self.tracker.decide(*fingerprint).ends() > 0);
+                    self.delete_obsolete(&clock).await;
+                    cleanup_at = Instant::now() + cleanup_interval();
                 }
             }
         }
     }
 
-    /// Tells news on the links at once, and waits a moment for more before they are written.
-    async fn gather(&self, state: &mut KeeperState, clock: &DeskClock) {
-        self.take_news(state, clock);
-        tokio::time::sleep(GATHER).await;
+    /// Sends updates over the links at once, and waits briefly for more before they are written.
+    async fn collect_batch(&self, state: &mut ReplicatorState, clock: &TrackerClock) {
+        self.take_updates(state, clock);
+        tokio::time::sleep(BATCH_WINDOW).await;
     }
 
-    fn take_news(&self, state: &mut KeeperState, clock: &DeskClock) {
-        for news in self.desk.take_updates() {
-            (self.tell)(&news);
-            state.own.add(&news, clock);
+    fn take_updates(&self, state: &mut ReplicatorState, clock: &TrackerClock) {
+        for update in self.tracker.take_updates() {
+            (self.publish)(&update);
+            state.own.add(&update, clock);
         }
     }
 
-    /// Ends that more than one row should tell of, and none does.
-    fn missing(&self, state: &KeeperState) -> Vec<SuspectUpdate> {
-        let mut repeated = self.desk.newest_repeated(MOST_ADOPTED);
-        repeated.retain(|news| match news {
-            SuspectUpdate::Crashed(end) => {
-                !state.in_rows.contains(&(end.fingerprint, Name::clone(&end.backend)))
-                    && !state.own.tells(end)
+    /// Crashes held against requests with more than one crash that no row records.
+    fn unrecorded_crashes(&self, state: &ReplicatorState) -> Vec<SuspectUpdate> {
+        let mut repeated = self.tracker.newest_repeated(MAX_ADOPTED);
+        repeated.retain(|update| match update {
+            SuspectUpdate::Crashed(crash) => {
+                !state.recorded_crashes.contains(&(crash.fingerprint, Name::clone(&crash.backend)))
+                    && !state.own.contains(crash)
             }
             SuspectUpdate::Succeeded { .. } => false,
         });
         repeated
     }
 
-    fn plan_adoption(&self, state: &mut KeeperState) {
-        if !(self.schedules)() || self.missing(state).is_empty() {
+    fn schedule_adoption(&self, state: &mut ReplicatorState) {
+        if !(self.is_scheduler)() || self.unrecorded_crashes(state).is_empty() {
             state.adopt_at = None;
         } else if state.adopt_at.is_none() {
-            let wait = rand::Rng::random_range(&mut rand::rng(), ROW_WAIT_S);
+            let wait = rand::Rng::random_range(&mut rand::rng(), ADOPTION_DELAY_S);
             state.adopt_at = Some(Instant::now() + Duration::from_secs_f64(wait));
         }
     }
 
-    /// Takes what no row tells into this host's own.
-    fn adopt(&self, state: &mut KeeperState, clock: &DeskClock) {
+    /// Adds crashes that no row records to this host's row.
+    fn adopt(&self, state: &mut ReplicatorState, clock: &TrackerClock) {
         state.adopt_at = None;
-        let missing = self.missing(state);
-        log::info!("event=suspects_adopted ends={}", missing.len());
-        for news in missing {
-            state.own.add(&news, clock);
+        let unrecorded_crashes = self.unrecorded_crashes(state);
+        log::info!("event=suspects_adopted ends={}", unrecorded_crashes.len());
+        for update in unrecorded_crashes {
+            state.own.add(&update, clock);
         }
     }
 
     fn own_key(&self) -> Name {
-        format!("{ROW_PREFIX}{}", self.host).into()
+        format!("{SUSPECT_KEY_PREFIX}{}", self.host).into()
     }
 
-    /// Takes the rows that changed; false while the table is not known.
-    fn take_rows(&mut self, state: &mut KeeperState, clock: &DeskClock) -> bool {
+    /// Applies the rows that changed; returns false while the table is unknown.
+    fn take_rows(&mut self, state: &mut ReplicatorState, clock: &TrackerClock) -> bool {
         let own_key = self.own_key();
-        let mut told = Vec::new();
-        let belief = self.rows.borrow_and_update();
-        let era = belief.version.era();
+        let mut updates = Vec::new();
+        let replica = self.rows.borrow_and_update();
+        let era = replica.version.era();
         if era > state.era {
-            // Rows that were written since the copy from which the store came back are gone.
+            // Rows written since the backup that the store was restored from are lost.
             state.era = era;
-            state.taken.clear();
-            state.in_rows.clear();
+            state.row_versions.clear();
+            state.recorded_crashes.clear();
             state.written = None;
         }
-        for (key, row) in belief.rows.range(Name::from(ROW_PREFIX)..) {
-            if !key.starts_with(ROW_PREFIX) {
+        for (key, row) in replica.rows.range(Name::from(SUSPECT_KEY_PREFIX)..) {
+            if !key.starts_with(SUSPECT_KEY_PREFIX) {
                 break;
             }
-            if state.taken.insert(Name::clone(key), row.version) == Some(row.version) {
+            if state.row_versions.insert(Name::clone(key), row.version) == Some(row.version) {
                 continue;
             }
             let Some(text) = &row.value else { continue };
             let decoded = match SuspectRow::decode(text) {
                 Ok(decoded) => decoded,
                 Err(cause) => {
-                    self.unreadable.note(&self.table, key, row.version, &cause);
+                    self.unreadable.record(&self.table, key, row.version, &cause);
                     if *key == own_key {
                         state.written = None;
                     }
                     continue;
                 }
             };
-            told.extend(decoded.news(clock));
+            updates.extend(decoded.updates(clock));
             if *key == own_key {
-                // Of this host before it started anew, or of a write that was done late.
+                // Written by this host before it restarted, or by a write that completed late.
                 state.own.adopt(&decoded);
                 state.written = Some(text.to_string());
             }
         }
-        // A good end clears only what is known, and may stand in another row than the ends before it.
-        told.sort_by_key(|news| matches!(news, SuspectUpdate::Succeeded { .. }));
-        for news in told {
-            self.desk.apply_update(&news);
-            if let SuspectUpdate::Crashed(end) = news {
-                state.in_rows.insert((end.fingerprint, end.backend));
+        // A success only clears known crashes, which may be in another row, so crashes are applied
+        // first.
+        updates.sort_by_key(|update| matches!(update, SuspectUpdate::Succeeded { .. }));
+        for update in updates {
+            self.tracker.apply_update(&update);
+            if let SuspectUpdate::Crashed(crash) = update {
+                state.recorded_crashes.insert((crash.fingerprint, crash.backend));
             }
         }
-        belief.version.is_known()
+        replica.version.is_known()
     }
 
-    async fn write(&self, state: &mut KeeperState, text: String) {
+    async fn write(&self, state: &mut ReplicatorState, text: String) {
         let write =
             RowWrite { key: self.own_key(), expect: RowExpect::Any, value: Some(text.clone()) };
         match self.store.commit(vec![write]).await {
             Ok(CommitReply::Committed | CommitReply::Conflict(_)) => {
                 log::info!(
                     "event=suspects_told ends={} whole={}",
-                    state.own.ends.len(),
-                    state.own.whole.len(),
+                    state.own.crashes.len(),
+                    state.own.successes.len(),
                 );
                 state.written = Some(text);
-                state.paused = None;
+                state.backoff = None;
             }
             Err(error) => {
-                let pause = state
-                    .paused
-                    .map_or(FIRST_PAUSE, |(_until, pause)| (pause * 2).min(LONGEST_PAUSE));
-                state.paused = Some((Instant::now() + pause, pause));
+                let delay = state
+                    .backoff
+                    .map_or(INITIAL_BACKOFF, |(_until, delay)| (delay * 2).min(MAX_BACKOFF));
+                state.backoff = Some((Instant::now() + delay, delay));
                 log::info!("event=suspects_not_told cause=\"{error}\"");
             }
         }
     }
 
-    /// Deletes one row of a host, perhaps gone, that tells nothing of use any more.
-    async fn delete_one(&self, clock: &DeskClock) {
+    /// Deletes the row of one host, possibly gone, that has no useful entries.
+    async fn delete_obsolete(&self, clock: &TrackerClock) {
         let now = clock.wall.now();
         let old = {
-            let belief = self.rows.borrow();
-            let rows = belief.rows.iter().filter(|(key, _row)| key.starts_with(ROW_PREFIX));
+            let replica = self.rows.borrow();
+            let rows =
+                replica.rows.iter().filter(|(key, _row)| key.starts_with(SUSPECT_KEY_PREFIX));
             rows.filter_map(|(key, row)| Some((key, row.version, row.value.as_ref()?)))
-                .find(|(_key, _version, text)| self.is_old(text, now))
+                .find(|(_key, _version, text)| self.is_obsolete(text, now))
                 .map(|(key, version, _text)| (Name::clone(key), version))
         };
         let Some((key, version)) = old else { return };
@@ -260,15 +264,15 @@
         }
     }
 
-    fn is_old(&self, text: &str, now: UnixMillis) -> bool {
+    fn is_obsolete(&self, text: &str, now: UnixMillis) -> bool {
         SuspectRow::decode(text).is_ok_and(|mut row| {
             let age = now.since(row.newest());
-            row.prune(&self.desk);
-            age > ROW_LIFE && row.ends.is_empty()
+            row.prune(&self.tracker);
+            age > MIN_DELETE_AGE && row.crashes.is_empty()
         })
     }
 }
 
-fn look_pause() -> Duration {
-    Duration::from_secs_f64(rand::Rng::random_range(&mut rand::rng(), LOOK_EVERY_S))
+fn cleanup_interval() -> Duration {
+    Duration::from_secs_f64(rand::Rng::random_range(&mut rand::rng(), CLEANUP_INTERVAL_S))
 }
--- a/crates/dillspool_router/src/suspect_rows/row.rs
+++ b/crates/dillspool_router/src/suspect_rows/row.rs
@@ -1,4 +1,4 @@
-//! The row of one host, and how its times are read.
+//! The row of one host, and conversion of its timestamps.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -11,138 +11,152 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Entries of a row at most, the newest; each takes some 100 bytes, and a row may have 64 KB.
-const MOST_ENTRIES: usize = 256;
-/// Bytes of a backend server's name in a row at most.
-const LONGEST_BACKEND: usize = 200;
+/// Maximum number of entries, the newest ones; each takes about 100 bytes, and a row is limited to
+/// 64 KB.
+const MAX_ENTRIES: usize = 256;
+/// Maximum length of a backend server's name in a row.
+const MAX_BACKEND_NAME_BYTES: usize = 200;
 
-/// A backend server that ended under a request.
+/// Crash of a backend server while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub(super) struct RowEnd {
-    print: Name,
+pub(super) struct RowCrash {
+    #[serde(rename = "print")]
+    fingerprint: Name,
     backend: Name,
     at: UnixMillis,
 }
 
-/// A copy that came to a good end.
+/// Successful run of a request with the same fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub(super) struct RowWhole {
-    print: Name,
+pub(super) struct RowSuccess {
+    #[serde(rename = "print")]
+    fingerprint: Name,
     at: UnixMillis,
 }
 
 /// The row of one host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub(super) struct SuspectRow {
-    pub(super) ends: Vec<RowEnd>,
-    #[serde(default)]
-    pub(super) whole: Vec<RowWhole>,
+    #[serde(rename = "ends")]
+    pub(super) crashes: Vec<RowCrash>,
+    #[serde(default, rename = "whole")]
+    pub(super) successes: Vec<RowSuccess>,
 }
 
 impl SuspectRow {
     pub(super) fn decode(text: &str) -> Result<Self, String> {
         let row: Self = serde_json::from_str(text).map_err(|error| error.to_string())?;
-        if row.ends.len() > MOST_ENTRIES || row.whole.len() > MOST_ENTRIES {
-            return Err(format!("more than {MOST_ENTRIES} entries"));
+        if row.crashes.len() > MAX_ENTRIES || row.successes.len() > MAX_ENTRIES {
+            return Err(format!("more than {MAX_ENTRIES} entries"));
         }
-        let prints = row.ends.iter().map(|end| &end.print);
-        for print in prints.chain(row.whole.iter().map(|whole| &whole.print)) {
-            print.parse::<RequestFingerprint>().map_err(|error| error.to_string())?;
+        let fingerprints = row.crashes.iter().map(|crash| &crash.fingerprint);
+        for fingerprint in
+            fingerprints.chain(row.successes.iter().map(|success| &success.fingerprint))
+        {
+            fingerprint.parse::<RequestFingerprint>().map_err(|error| error.to_string())?;
         }
-        if row.ends.iter().any(|end| end.backend.is_empty() || end.backend.len() > LONGEST_BACKEND)
+        if row
+            .crashes
+            .iter()
+            .any(|crash| crash.backend.is_empty() || crash.backend.len() > MAX_BACKEND_NAME_BYTES)
         {
             return Err("a backend server's name is empty or too long".to_owned());
         }
         Ok(row)
     }
 
-    pub(super) fn add(&mut self, news: &SuspectUpdate, clock: &DeskClock) {
-        match news {
-            SuspectUpdate::Crashed(end) => self.ends.push(RowEnd {
-                print: end.fingerprint.to_string().into(),
-                backend: Arc::clone(&end.backend),
-                at: clock.wall_of(end.at),
+    pub(super) fn add(&mut self, update: &SuspectUpdate, clock: &TrackerClock) {
+        match update {
+            SuspectUpdate::Crashed(crash) => self.crashes.push(RowCrash {
+                fingerprint: crash.fingerprint.to_string().into(),
+                backend: Arc::clone(&crash.backend),
+                at: clock.wall_of(crash.at),
+            }),
+            SuspectUpdate::Succeeded { fingerprint, at } => self.successes.push(RowSuccess {
+                fingerprint: fingerprint.to_string().into(),
+                at: clock.wall_of(*at),
             }),
-            SuspectUpdate::Succeeded { fingerprint: print, at } => self
-                .whole
-                .push(RowWhole { print: print.to_string().into(), at: clock.wall_of(*at) }),
         }
-        let excess = self.ends.len().saturating_sub(MOST_ENTRIES);
-        self.ends.drain(..excess);
-        let excess = self.whole.len().saturating_sub(MOST_ENTRIES);
-        self.whole.drain(..excess);
+        let excess = self.crashes.len().saturating_sub(MAX_ENTRIES);
+        self.crashes.drain(..excess);
+        let excess = self.successes.len().saturating_sub(MAX_ENTRIES);
+        self.successes.drain(..excess);
     }
 
-    /// Whether it tells of an end.
-    pub(super) fn tells(&self, end: &BackendCrash) -> bool {
-        let print = end.fingerprint.to_string();
-        self.ends.iter().any(|told| *told.print == *print && told.backend == end.backend)
+    /// Returns whether a crash is recorded.
+    pub(super) fn contains(&self, crash: &BackendCrash) -> bool {
+        let fingerprint = crash.fingerprint.to_string();
+        self.crashes.iter().any(|it| *it.fingerprint == *fingerprint && it.backend == crash.backend)
     }
 
-    /// Adds what another row tells and this one does not.
+    /// Adds the entries of another row that are missing here.
     pub(super) fn adopt(&mut self, other: &Self) {
-        for end in &other.ends {
-            let known = |it: &RowEnd| it.print == end.print && it.backend == end.backend;
-            if !self.ends.iter().any(known) {
-                self.ends.push(end.clone());
+        for crash in &other.crashes {
+            let known =
+                |it: &RowCrash| it.fingerprint == crash.fingerprint && it.backend == crash.backend;
+            if !self.crashes.iter().any(known) {
+                self.crashes.push(crash.clone());
             }
         }
-        for whole in &other.whole {
-            if !self.whole.contains(whole) {
-                self.whole.push(whole.clone());
+        for success in &other.successes {
+            if !self.successes.contains(success) {
+                self.successes.push(success.clone());
             }
         }
     }
 
-    /// What it tells, in the words of a desk.
-    pub(super) fn news(&self, clock: &DeskClock) -> Vec<SuspectUpdate> {
-        let ended = self.ends.iter().filter_map(|end| {
-            let print = end.print.parse().ok()?;
-            let backend = Arc::clone(&end.backend);
+    /// The entries as updates for a tracker.
+    pub(super) fn updates(&self, clock: &TrackerClock) -> Vec<SuspectUpdate> {
+        let crashes = self.crashes.iter().filter_map(|crash| {
+            let fingerprint = crash.fingerprint.parse().ok()?;
+            let backend = Arc::clone(&crash.backend);
             Some(SuspectUpdate::Crashed(BackendCrash {
-                fingerprint: print,
+                fingerprint,
                 backend,
-                at: clock.moment_of(end.at),
+                at: clock.moment_of(crash.at),
             }))
         });
-        let whole = self.whole.iter().filter_map(|whole| {
-            let print = whole.print.parse().ok()?;
-            Some(SuspectUpdate::Succeeded { fingerprint: print, at: clock.moment_of(whole.at) })
+        let successes = self.successes.iter().filter_map(|success| {
+            let fingerprint = success.fingerprint.parse().ok()?;
+            Some(SuspectUpdate::Succeeded { fingerprint, at: clock.moment_of(success.at) })
         });
-        ended.chain(whole).collect()
+        crashes.chain(successes).collect()
     }
 
-    /// Drops what stands against nobody any more.
-    pub(super) fn prune(&mut self, desk: &SuspectTracker) {
-        let stands = |print: &Name| {
-            print.parse().is_ok_and(|print| desk.decide(print) != SuspectDecision::Clear)
+    /// Removes entries of requests that are no longer suspect.
+    pub(super) fn prune(&mut self, tracker: &SuspectTracker) {
+        let is_suspect = |fingerprint: &Name| {
+            fingerprint
+                .parse()
+                .is_ok_and(|fingerprint| tracker.decide(fingerprint) != SuspectDecision::Clear)
         };
-        self.ends.retain(|end| stands(&end.print));
-        let told: HashSet<Name> = self.ends.iter().map(|end| Name::clone(&end.print)).collect();
-        self.whole.retain(|whole| told.contains(&whole.print));
+        self.crashes.retain(|crash| is_suspect(&crash.fingerprint));
+        let crashed: HashSet<Name> =
+            self.crashes.iter().map(|crash| Name::clone(&crash.fingerprint)).collect();
+        self.successes.retain(|success| crashed.contains(&success.fingerprint));
     }
 
     pub(super) fn newest(&self) -> UnixMillis {
-        let ends = self.ends.iter().map(|end| end.at);
-        ends.chain(self.whole.iter().map(|whole| whole.at)).max().unwrap_or_default()
+        let crashes = self.crashes.iter().map(|crash| crash.at);
+        crashes.chain(self.successes.iter().map(|success| success.at)).max().unwrap_or_default()
     }
 }
 
-/// Translates between a desk's moments and the time of day, which hosts share well enough: what is told
-/// stands for minutes, and clocks differ by seconds.
-pub(super) struct DeskClock {
-    pub(super) desk: SuspectTracker,
+/// Converts between the tracker's clock and wall-clock time. The wall clocks of hosts agree well
+/// enough: entries are valid for minutes, and clocks differ by seconds.
+pub(super) struct TrackerClock {
+    pub(super) tracker: SuspectTracker,
     pub(super) wall: WallClock,
 }
 
-impl DeskClock {
+impl TrackerClock {
     pub(super) fn wall_of(&self, at: Moment) -> UnixMillis {
-        let age = self.desk.now().since(at);
+        let age = self.tracker.now().since(at);
         let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         UnixMillis(self.wall.now().0.saturating_sub(age))
     }
 
     pub(super) fn moment_of(&self, at: UnixMillis) -> Moment {
-        self.desk.now().saturating_sub(self.wall.now().since(at))
+        self.tracker.now().saturating_sub(self.wall.now().since(at))
     }
 }
--- a/crates/dillspool_router/src/throttle_metrics.rs
+++ b/crates/dillspool_router/src/throttle_metrics.rs
@@ -1,5 +1,5 @@
-//! What backend servers say of themselves in their answers, and the questions about limits, as figures that are read
-//! when they are scraped.
+//! Metrics of what backend servers announce in their responses and of the requests for limits,
+//! updated on each scrape.
 
 use std::sync::atomic::AtomicU64;
 
@@ -10,11 +10,11 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Figures of a host's desks of what backend servers say, and of its questions.
+/// Metrics of a host's throttle and leaving trackers, and of its limit clients.
 #[derive(Clone, Debug)]
 pub(crate) struct ThrottleMetrics {
-    desk: ThrottleTracker,
-    leaving_desk: LeavingTracker,
+    throttle: ThrottleTracker,
+    leaving_tracker: LeavingTracker,
     clients: [LimitClient; 2],
     limited: Gauge,
     resting: Gauge,
@@ -24,15 +24,15 @@
 }
 
 impl ThrottleMetrics {
-    /// Figures of the desks, and of those who ask for the limits of workspaces and of backend servers.
+    /// Creates the metrics; `clients` ask for the limits of workspaces and of backend servers.
     pub(crate) fn new(
-        desk: ThrottleTracker,
-        leaving_desk: LeavingTracker,
+        throttle: ThrottleTracker,
+        leaving_tracker: LeavingTracker,
         clients: [LimitClient; 2],
     ) -> Self {
         Self {
-            desk,
-            leaving_desk,
+            throttle,
+            leaving_tracker,
             clients,
             limited: Gauge::default(),
             resting: Gauge::default(),
@@ -42,7 +42,6 @@
         }
     }
 
-    /// Registers all figures.
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Backend servers that name how many requests a second they take";
         registry.register("limited_backends", help, self.limited.clone());
@@ -56,14 +55,14 @@
         registry.register("limited_sends", help, self.sends.clone());
     }
 
-    /// Takes over what is known now.
+    /// Updates the metrics to the current values.
     pub(crate) fn refresh(&self) {
-        let (limited, sends) = self.desk.counts();
+        let (limited, sends) = self.throttle.counts();
         let questions: usize = self.clients.iter().map(LimitClient::open_questions).sum();
         let set = |gauge: &Gauge, count| gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
         set(&self.limited, limited);
-        set(&self.resting, self.desk.backing_off());
-        set(&self.leaving, self.leaving_desk.count());
+        set(&self.resting, self.throttle.backing_off());
+        set(&self.leaving, self.leaving_tracker.count());
         set(&self.questions, questions);
         self.sends.inner().store(sends, std::sync::atomic::Ordering::Relaxed);
     }
--- a/crates/dillspool_router/src/unreadable_rows.rs
+++ b/crates/dillspool_router/src/unreadable_rows.rs
@@ -1,7 +1,8 @@
-//! Rows of the store that could not be read, each told once.
+//! Reports rows of the store that cannot be decoded, each once.
 //!
-//! Tables may have rows of other writers, or of other versions of this program. One that cannot be read is
-//! as if it were not there; what it costs is bounded: one line a version of a row, and a few numbers.
+//! Tables may contain rows written by others or by other versions of this program. An unreadable
+//! row is treated as missing; its cost is limited to one log line per row version and a small map
+//! entry.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,10 +15,10 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// Rows that are remembered as told; beyond them some are told again.
-const MOST_TOLD: usize = 4096;
+/// Maximum number of rows remembered as reported; beyond that, some are reported again.
+const MAX_REPORTED: usize = 4096;
 
-/// A table of the store.
+/// Name of a table in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct TableLabels {
     pub(crate) table: Name,
@@ -29,12 +30,12 @@
     }
 }
 
-/// What was told of rows that could not be read.
+/// Counts and log records of unreadable rows.
 #[derive(Clone, Debug, Default)]
 pub struct UnreadableRows {
     counts: Family<TableLabels, Counter>,
-    /// Version of each row that was told, by table and key.
-    told: Arc<Mutex<HashMap<(Name, Name), StoreVersion>>>,
+    /// Last reported version of each row, by table and key.
+    reported: Arc<Mutex<HashMap<(Name, Name), StoreVersion>>>,
 }
 
 impl UnreadableRows {
@@ -47,19 +48,19 @@
         );
     }
 
-    /// Versions of rows of a table that could not be read.
+    /// Number of unreadable row versions in a table.
     pub fn count(&self, table: &Name) -> u64 {
         self.counts.get_or_create(&TableLabels { table: Name::clone(table) }).get()
     }
 
-    /// Tells of a row, once for each of its versions.
-    pub(crate) fn note(&self, table: &Name, key: &Name, version: StoreVersion, cause: &str) {
+    /// Logs and counts an unreadable row, once for each of its versions.
+    pub(crate) fn record(&self, table: &Name, key: &Name, version: StoreVersion, cause: &str) {
         {
-            let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-            if told.len() >= MOST_TOLD {
-                told.clear();
+            let mut reported = self.reported.lock().unwrap_or_else(PoisonError::into_inner);
+            if reported.len() >= MAX_REPORTED {
+                reported.clear();
             }
-            let before = told.insert((Name::clone(table), Name::clone(key)), version);
+            let before = reported.insert((Name::clone(table), Name::clone(key)), version);
             if before == Some(version) {
                 return;
             }
