--- a/crates/dillspool_ledger/src/ledger.rs
+++ b/crates/dillspool_ledger/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use dillspool_io::WallClock;
 use dillspool_platform::{
-    MemoryObjects, ObjectStore, PlatformError, RowExpect, RowWrite, TableRow, TableStore,
+    MemoryObjects, ObjectStore, PlatformError, RowPrecondition, RowWrite, TableRow, TableStore,
 };
 use dillspool_schema::Name;
 use dillspool_version::{StoreEra, StoreVersion};
@@ -20,7 +20,7 @@
 use crate::journal::CallJournal;
 use crate::memory::{RowMemory, RowState};
 use crate::recent::RecentKeys;
-use crate::record::{CallRecord, CallState, RecordedAnswer};
+use crate::record::{CallRecord, CallState, RecordedResponse};
 use crate::recovery::LostRows;
 
 /// Pause between two tries to settle what became of an unclear write.
@@ -61,7 +61,7 @@
     /// Send it, once.
     Run(CallTicket),
     /// It ran before; give this answer.
-    Recorded(RecordedAnswer),
+    Recorded(RecordedResponse),
     /// It was begun before, and it is not known whether it ran.
     Unknown {
         /// Whether an answer may still be recorded.
@@ -125,7 +125,7 @@
     /// The era of the table when it began.
     era: StoreEra,
     /// On what condition its intent is written.
-    expect: RowExpect,
+    expect: RowPrecondition,
     /// Whether the journal names it.
     is_journaled: bool,
     /// Whether a write of its intent may have taken effect.
@@ -137,7 +137,7 @@
     /// This attempt's own intent stands.
     Own,
     /// The row may be written on this condition.
-    Free(RowExpect),
+    Free(RowPrecondition),
     /// The attempt ends with this.
     End(BeginOutcome),
 }
@@ -151,12 +151,12 @@
         owner: Name,
         cancel: CancellationToken,
     ) -> Self {
-        Self::journaled(table, MemoryObjects::new().store(), clock, settings, owner, cancel)
+        Self::with_journal(table, MemoryObjects::new().store(), clock, settings, owner, cancel)
     }
 
     /// A ledger whose attempts are in a journal in the object store, where other processes find what this one began
     /// after the table lost it.
-    pub fn journaled(
+    pub fn with_journal(
         table: TableStore,
         objects: ObjectStore,
         clock: WallClock,
@@ -195,8 +195,8 @@
     }
 
     /// How long this host begins no call whose row is absent, since the table was restored.
-    pub fn settle_left(&self) -> Option<Duration> {
-        self.memory().settle_left(Instant::now())
+    pub fn settle_time_left(&self) -> Option<Duration> {
+        self.memory().settle_time_left(Instant::now())
     }
 
     /// The era of the table; `None` while the table has never answered.
@@ -278,7 +278,7 @@
             record,
             begun,
             era,
-            expect: RowExpect::Absent,
+            expect: RowPrecondition::Absent,
             is_journaled: false,
             is_unclear: false,
         })
@@ -286,7 +286,7 @@
 
     async fn enter(&self, attempt: &mut CallAttempt) -> BeginOutcome {
         loop {
-            let judgement = if self.settle_left().is_some() {
+            let judgement = if self.settle_time_left().is_some() {
                 // Nothing is written, so a read without an answer leaves nothing unclear.
                 let was_unclear = attempt.is_unclear;
                 let judgement = self.judge_again(attempt).await;
@@ -301,7 +301,7 @@
                 RowJudgement::Free(next) => attempt.expect = next,
             }
             let is_late = attempt.begun.elapsed() >= self.settings.begin_limit;
-            if is_late || self.settle_left().is_some() {
+            if is_late || self.settle_time_left().is_some() {
                 if attempt.is_unclear {
                     self.close_later(attempt.request.key.clone(), &attempt.record, attempt.era);
                 }
@@ -361,7 +361,7 @@
         match self.read_row(&request.key).await {
             Ok((Some(row), _era)) => self.judge(request, &record.token, &row),
             // Not there: whoever conflicted has gone, or the unclear write has not come yet.
-            Ok((None, _era)) => RowJudgement::Free(RowExpect::Absent),
+            Ok((None, _era)) => RowJudgement::Free(RowPrecondition::Absent),
             Err(_any) => {
                 attempt.is_unclear = true;
                 RowJudgement::Free(attempt.expect)
@@ -393,7 +393,7 @@
             {
                 RowJudgement::End(BeginOutcome::NotRun)
             }
-            CallState::NotRun => RowJudgement::Free(RowExpect::Version(row.version)),
+            CallState::NotRun => RowJudgement::Free(RowPrecondition::Version(row.version)),
             CallState::Answered => {
                 let unknown = BeginOutcome::Unknown { in_progress: false };
                 RowJudgement::End(record.answer.map_or(unknown, BeginOutcome::Recorded))
@@ -401,14 +401,14 @@
             CallState::Expired => RowJudgement::End(BeginOutcome::Unknown { in_progress: false }),
             // Only the process that gave an attempt up knows that it never sent it.
             CallState::Intent if self.has_given_up(&record.token) => {
-                RowJudgement::Free(RowExpect::Version(row.version))
+                RowJudgement::Free(RowPrecondition::Version(row.version))
             }
             CallState::Intent => RowJudgement::End(BeginOutcome::Unknown { in_progress: true }),
         }
     }
 
     /// Records the answer of a call that ran; tries until it stands or the table stays away.
-    pub async fn finish(&self, ticket: CallTicket, answer: RecordedAnswer) {
+    pub async fn finish(&self, ticket: CallTicket, answer: RecordedResponse) {
         let CallTicket { request, token, record, era, .. } = ticket;
         let record = CallRecord { state: CallState::Answered, answer: Some(answer), ..record };
         let stood_in = self.memory().hold_answer(&request.key, &record, era, Instant::now());
@@ -421,7 +421,7 @@
                     // An intent is never superseded, so the row is this ticket's own.
                     let write = RowWrite {
                         key: Name::clone(request.key.row()),
-                        expect: RowExpect::Any,
+                        expect: RowPrecondition::Any,
                         value: record.text(),
                     };
                     match self.writer.write(write, StoreVersion::new(stood_in, 0)).await {
--- a/crates/dillspool_ledger/tests/ledger_interleavings.rs
+++ b/crates/dillspool_ledger/tests/ledger_interleavings.rs
@@ -8,7 +8,7 @@
 use dillspool_cases::{commit_fault, fixed_cases, run_paused};
 use dillspool_io::{UnixMillis, WallClock};
 use dillspool_ledger::{
-    BeginOutcome, CallKey, CallLedger, CallRequest, LedgerSettings, RecordedAnswer,
+    BeginOutcome, CallKey, CallLedger, CallRequest, LedgerSettings, RecordedResponse,
 };
 use dillspool_platform::{MemoryObjects, MemoryTable, StoreFault};
 use proptest::prelude::*;
@@ -112,7 +112,7 @@
         let outage = interleaving.outage.as_mut().map(|outage| &mut outage.fault);
         for fault in interleaving.faults.iter_mut().chain(outage) {
             if matches!(fault, StoreFault::Late(_)) {
-                *fault = StoreFault::LoseCall;
+                *fault = StoreFault::LoseRequest;
             }
         }
         Interleaving { restores, ..interleaving }
@@ -142,10 +142,10 @@
 }
 
 impl Backend {
-    fn run(&self) -> RecordedAnswer {
+    fn run(&self) -> RecordedResponse {
         let mut runs = self.runs.lock().expect("no test panics with the lock");
         *runs += 1;
-        RecordedAnswer::new(201, "text/plain", &[*runs])
+        RecordedResponse::new(201, "text/plain", &[*runs])
     }
 
     fn runs(&self) -> u8 {
@@ -169,7 +169,7 @@
     let ticket = match ledger.begin(request()).await {
         BeginOutcome::Run(ticket) => ticket,
         BeginOutcome::Recorded(answer) => {
-            assert_eq!(answer.bytes(), vec![1], "another answer than the run gave");
+            assert_eq!(answer.body_bytes(), vec![1], "another answer than the run gave");
             return false;
         }
         BeginOutcome::Mismatch => panic!("the calls are the same"),
@@ -204,7 +204,7 @@
         // Only a process that really ends is ended with its ledger.
         let end = if has_ends { cancel.clone() } else { CancellationToken::new() };
         let ledger = if has_ends {
-            CallLedger::journaled(table, objects.store(), clock, settings, owner, cancel)
+            CallLedger::with_journal(table, objects.store(), clock, settings, owner, cancel)
         } else {
             CallLedger::new(table, clock, settings, owner, cancel)
         };
@@ -231,7 +231,7 @@
         let table = table.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(restore.copied_ms)).await;
-            let copy = table.copy();
+            let copy = table.snapshot();
             tokio::time::sleep(Duration::from_millis(restore.after_ms)).await;
             table.restore(&copy);
         });
@@ -243,7 +243,7 @@
     }
     let used: Vec<bool> = attempts.join_all().await;
     assert!(backend.runs() <= 1, "the call ran {} times", backend.runs());
-    table.mend();
+    table.clear_faults();
     tokio::time::sleep(Duration::from_mins(2)).await;
     // A host that has sent nothing and does not end.
     let asked = if interleaving.has_ends { &hosts[3].ledger } else { &hosts[0].ledger };
@@ -293,7 +293,8 @@
 fn a_free_key_was_stuck_by_an_intent_that_came_late() {
     let attempt = |at_ms| Attempt { host: 0, at_ms, after: AfterBegin::Finish };
     let late = StoreFault::Late(Duration::from_millis(1));
-    let faults = [StoreFault::None, StoreFault::LoseCall, StoreFault::None, StoreFault::None, late];
+    let faults =
+        [StoreFault::None, StoreFault::LoseRequest, StoreFault::None, StoreFault::None, late];
     run_paused(play(Interleaving {
         attempts: vec![attempt(3760), attempt(577)],
         faults: faults.into(),
@@ -311,7 +312,7 @@
     let late = StoreFault::Late(Duration::from_millis(2710));
     run_paused(play(Interleaving {
         attempts: vec![attempt(1371, AfterBegin::Abandon), attempt(1472, AfterBegin::Finish)],
-        faults: vec![StoreFault::LoseCall, StoreFault::LoseAnswer, late],
+        faults: vec![StoreFault::LoseRequest, StoreFault::LoseResponse, late],
         outage: None,
         restores: vec![Restore { copied_ms: 458, after_ms: 1074 }],
         has_ends: true,
--- a/crates/dillspool_router/src/held_metrics.rs
+++ b/crates/dillspool_router/src/held_metrics.rs
@@ -54,7 +54,7 @@
     /// Updates the metrics to the current values.
     pub(crate) fn refresh(&self) {
         let Some(budget) = &self.budget else { return };
-        let snapshot = budget.read();
+        let snapshot = budget.snapshot();
         self.held.set(snapshot.held);
         self.limit.set(snapshot.limit);
         for (side, count) in StalledSide::ALL.into_iter().zip(snapshot.stalled) {
--- a/crates/dillspool_router/src/memory_limits.rs
+++ b/crates/dillspool_router/src/memory_limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dillspool_io::HeldTerms;
+use dillspool_io::ByteLimits;
 use dillspool_schema::router::MemorySettings;
 
 use crate::settings::SettingsError;
@@ -28,7 +28,9 @@
 /// # Errors
 ///
 /// [`SettingsError::Field`] with the field and its valid range.
-pub(crate) fn check(settings: Option<&MemorySettings>) -> Result<Option<HeldTerms>, SettingsError> {
+pub(crate) fn check(
+    settings: Option<&MemorySettings>,
+) -> Result<Option<ByteLimits>, SettingsError> {
     let Some(settings) = settings else { return Ok(None) };
     let Some(limit_mb) = settings.limit_mb else { return Ok(None) };
     let limit_mb = check_range("memory.limit_mb", limit_mb, MIN_LIMIT_MB, 1e9)?;
@@ -41,14 +43,14 @@
         let remedy = "give a size of at least 1 KB";
         return Err(field_error("memory.answer_kb", answer_kb.to_string(), remedy));
     }
-    let limit = Duration::from_secs_f64(limit_mb * fraction * BYTES_PER_MB).as_secs();
+    let max_bytes = Duration::from_secs_f64(limit_mb * fraction * BYTES_PER_MB).as_secs();
     let answer_bytes = answer_kb as usize * 1024;
-    if limit < answer_bytes as u64 * 4 {
+    if max_bytes < answer_bytes as u64 * 4 {
         let remedy = "give a size of which at least four fit in held_part of limit_mb";
         return Err(field_error("memory.answer_kb", answer_kb.to_string(), remedy));
     }
-    let stall = Duration::from_secs_f64(stall_s);
-    Ok(Some(HeldTerms { limit, answer_bytes, stall }))
+    let stall_timeout = Duration::from_secs_f64(stall_s);
+    Ok(Some(ByteLimits { max_bytes, max_buffered_response_bytes: answer_bytes, stall_timeout }))
 }
 
 fn check_range(name: &'static str, value: f64, min: f64, max: f64) -> Result<f64, SettingsError> {
--- a/crates/dillspool_router/src/request_body.rs
+++ b/crates/dillspool_router/src/request_body.rs
@@ -26,10 +26,10 @@
     let Some(caller) = extensions.get::<CallerConnection>() else {
         return Ok((ExchangeBytes::default(), body));
     };
-    if !caller.budget().takes_new(body.size_hint().lower()) {
+    if !caller.budget().can_admit(body.size_hint().lower()) {
         return Err(refuse_and_discard(body));
     }
-    Ok((caller.begin(id), body))
+    Ok((caller.begin_exchange(id), body))
 }
 
 /// Receives a complete body of at most `limit` bytes.
@@ -41,7 +41,7 @@
     if body.size_hint().lower() > limit as u64 {
         return Err(Refusal::new(RefusalCause::BodyTooLarge));
     }
-    if held_bytes.terms().is_some() {
+    if held_bytes.limits().is_some() {
         return receive_metered(body, limit, held_bytes).await;
     }
     match read_body(body, limit).await {
@@ -61,7 +61,7 @@
     held_bytes: &ExchangeBytes,
 ) -> Result<Bytes, Refusal> {
     let lost = |_broken| Refusal::new(RefusalCause::BodyLost);
-    let (mut buffer, mut guard) = (BytesMut::new(), held_bytes.guard());
+    let (mut buffer, mut guard) = (BytesMut::new(), held_bytes.empty_guard());
     while let Some(frame) = next_frame(&mut body, held_bytes).await? {
         let frame = frame.map_err(lost)?;
         let Ok(chunk) = frame.into_data() else { continue };
@@ -70,7 +70,7 @@
             return Err(Refusal::new(RefusalCause::BodyTooLarge));
         }
         // The request has not run yet, so the caller can retry on another host at once.
-        if !guard.try_set_new(length as u64) {
+        if !guard.try_resize_for_admission(length as u64) {
             return Err(refuse_and_discard(body));
         }
         buffer.extend_from_slice(&chunk);
@@ -84,9 +84,9 @@
     body: &mut Incoming,
     held_bytes: &ExchangeBytes,
 ) -> Result<Option<BodyFrame>, Refusal> {
-    let Some(terms) = held_bytes.terms() else { return Ok(body.frame().await) };
-    tokio::time::timeout(terms.stall, body.frame()).await.map_err(|_elapsed| {
-        held_bytes.note_stalled(StalledSide::Caller);
+    let Some(limits) = held_bytes.limits() else { return Ok(body.frame().await) };
+    tokio::time::timeout(limits.stall_timeout, body.frame()).await.map_err(|_elapsed| {
+        held_bytes.record_stall(StalledSide::Caller);
         Refusal::new(RefusalCause::BodyLost)
     })
 }
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillspool_forward::BudgetSettings;
-use dillspool_io::HeldTerms;
+use dillspool_io::ByteLimits;
 use dillspool_roles::ShareRule;
 use dillspool_scheduler::{CallTerms, LimitTerms};
 use dillspool_schema::Name;
@@ -102,7 +102,7 @@
     /// How the limits of workspaces are enforced.
     pub limits: LimitTerms,
     /// Limits on bytes held for slow peers; `None` if they are not limited.
-    pub held_bytes: Option<HeldTerms>,
+    pub held_bytes: Option<ByteLimits>,
     /// Key for the fingerprints of requests.
     pub fingerprint_key: FingerprintKey,
     /// Fingerprints of requests that are always allowed to run, whatever backend servers crashed on
--- a/crates/dillspool_router/src/store_replicas.rs
+++ b/crates/dillspool_router/src/store_replicas.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillspool_io::{AwakeWatch, HostClock, NetListener, NetStack};
+use dillspool_io::{HostClock, NetListener, NetStack, StallDetector};
 use dillspool_routing::{DirectoryView, RoutingConfig};
 use dillspool_schema::Name;
 use dillspool_watch::{
@@ -60,13 +60,14 @@
         (peers_listener, host_count): (NetListener, HostCount),
         cancel: &CancellationToken,
     ) -> Self {
-        let awake = AwakeWatch::start(clock.clone(), cancel.clone());
-        let operator = SharedReplica::new(Name::clone(&site.config_row.0), awake.clone());
-        let backends = SharedReplica::new(Name::clone(&site.directory_table), awake.clone())
-            .with_classifier(service_classifier(site));
+        let stall_detector = StallDetector::start(clock.clone(), cancel.clone());
+        let operator = SharedReplica::new(Name::clone(&site.config_row.0), stall_detector.clone());
+        let backends =
+            SharedReplica::new(Name::clone(&site.directory_table), stall_detector.clone())
+                .with_classifier(service_classifier(site));
         let reachability_sender = watch::Sender::new(StoreReachability::unknown());
-        let hosts =
-            SharedReplica::new(Name::clone(&site.own_table), awake).with_max_age(HOSTS_FRESHNESS);
+        let hosts = SharedReplica::new(Name::clone(&site.own_table), stall_detector)
+            .with_max_age(HOSTS_FRESHNESS);
         let settings = FollowSettings {
             first_poll_delay: first_poll_delay(config),
             ..FollowSettings::new(config.watch_wait, config.change_limit)
