--- a/crates/dillspool_router/src/call_metrics.rs
+++ b/crates/dillspool_router/src/call_metrics.rs
@@ -4,7 +4,7 @@
 
 use dillspool_calls::RejectCause;
 use dillspool_metrics::write_labels;
-use dillspool_scheduler::CallDesk;
+use dillspool_scheduler::CallScheduler;
 use dillspool_schema::Name;
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
 use prometheus_client::metrics::counter::Counter;
@@ -39,7 +39,7 @@
 /// Metrics of a host's call queues.
 #[derive(Clone, Debug)]
 pub(crate) struct CallMetrics {
-    desk: CallDesk,
+    scheduler: CallScheduler,
     waiting: Family<ServiceLabels, Gauge>,
     in_flight: Family<ServiceLabels, Gauge>,
     limit: Family<ServiceLabels, Gauge>,
@@ -47,9 +47,9 @@
 }
 
 impl CallMetrics {
-    pub(crate) fn new(desk: CallDesk) -> Self {
+    pub(crate) fn new(scheduler: CallScheduler) -> Self {
         Self {
-            desk,
+            scheduler,
             waiting: Family::default(),
             in_flight: Family::default(),
             limit: Family::default(),
@@ -74,7 +74,7 @@
         self.waiting.clear();
         self.in_flight.clear();
         self.limit.clear();
-        for (service, snapshot) in self.desk.read() {
+        for (service, snapshot) in self.scheduler.snapshots() {
             let labels = ServiceLabels { service: Name::clone(&service) };
             let servers = snapshot.servers.iter();
             let (in_flight, limit) = servers.fold((0_i64, 0_i64), |(in_flight, limit), server| {
--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -16,7 +16,8 @@
 use dillspool_roles::{PoolTargets, ReconcilerSettings, reconcile_stages};
 use dillspool_routing::RoutingConfig;
 use dillspool_scheduler::{
-    CallDesk, FleetNews, LimitClient, LimitDesk, PoolDesk, ScheduleClient, ScheduleDesks,
+    CallScheduler, FleetUpdate, LimitClient, PlacementScheduler, RateLimiter, ScheduleClient,
+    ScheduleServices,
 };
 use dillspool_schema::Name;
 use dillspool_suspects::{SuspectPolicy, SuspectTracker};
@@ -120,20 +121,21 @@
         let metrics = ForwardMetrics::default();
         let suspects = SuspectTracker::new(SuspectPolicy::default(), clock.clone());
         suspects.set_lifted(config.lifted.clone());
-        let limits = LimitDesk::new(config.limits, clock.clone());
-        let backend_limits = LimitDesk::of_backend_servers(config.limits.shares, clock.clone());
+        let limits = RateLimiter::new(config.limits, clock.clone());
+        let backend_limits = RateLimiter::for_backend_servers(config.limits.shares, clock.clone());
         let seed = host_hash(&config.host);
-        let desk = PoolDesk::new(config.policy.admission, seed, demand.clone(), clock.clone());
-        let calls = CallDesk::new(config.calls, seed, clock.clone());
-        let desks = ScheduleDesks {
-            pools: desk,
+        let placements =
+            PlacementScheduler::new(config.policy.admission, seed, demand.clone(), clock.clone());
+        let calls = CallScheduler::new(config.calls, seed, clock.clone());
+        let services = ScheduleServices {
+            pools: placements,
             calls: calls.clone(),
             limits: limits.clone(),
             backend_limits: backend_limits.clone(),
             bus: fleet_bus(&suspects, &site, &clock),
         };
         let schedule =
-            start_schedule(&config, &stack, &replicas, schedule_listener, desks, &background);
+            start_schedule(&config, &stack, &replicas, schedule_listener, services, &background);
         let limits = start_limits(&config, &stack, &replicas, limits, &background);
         let backend_limits = start_backend_limits(
             &config,
@@ -320,8 +322,10 @@
             unreadable: replicas.unreadable.clone(),
             tracker: self.suspects.clone(),
             wall: WallClock::system(),
-            publish: Arc::new(move |update| publisher.tell(&FleetNews::Suspect(update.clone()))),
-            is_scheduler: Arc::new(move || schedule.schedules_any()),
+            publish: Arc::new(move |update| {
+                publisher.publish(&FleetUpdate::Suspect(update.clone()))
+            }),
+            is_scheduler: Arc::new(move || schedule.is_any_scheduler()),
         };
         tokio::spawn(replicator.run(self.background.clone()));
     }
--- a/crates/dillspool_router/src/fleet_tasks.rs
+++ b/crates/dillspool_router/src/fleet_tasks.rs
@@ -10,8 +10,8 @@
 use dillspool_roles::DelayFn;
 use dillspool_routing::RoutingConfig;
 use dillspool_scheduler::{
-    BusHandlers, CallClient, CallDesk, FleetBus, LimitClient, LimitDesk, NoticeHandlers,
-    ScheduleClient, ScheduleDesks, SuspectHandlers, serve_schedule,
+    BusHandlers, CallClient, CallScheduler, FleetBus, LimitClient, NoticeHandlers, RateLimiter,
+    ScheduleClient, ScheduleServices, SuspectHandlers, serve_schedule,
 };
 use dillspool_schema::Name;
 use dillspool_suspects::SuspectTracker;
@@ -61,7 +61,7 @@
     cancel: CancellationToken,
 ) {
     loop {
-        let hosts = schedule.hosts().or_else(|| peers.count_hosts());
+        let hosts = schedule.host_count().or_else(|| peers.count_hosts());
         if let Some(hosts) = hosts {
             budgets.set_host_count(hosts);
             count.set(hosts);
@@ -83,20 +83,20 @@
     let (updater, forwarder) = (suspects.clone(), suspects.clone());
     let (reader, repeat_reader) = (suspects.clone(), suspects.clone());
     let suspects = SuspectHandlers {
-        learn: Arc::new(move |news| updater.apply_update(news)),
-        worth_telling: Arc::new(move |news| forwarder.updates_to_forward(news)),
-        known: Arc::new(move |most| reader.newest_updates(most)),
-        repeated: Arc::new(move |most| repeat_reader.newest_repeated(most)),
+        apply_update: Arc::new(move |update| updater.apply_update(update)),
+        updates_to_forward: Arc::new(move |update| forwarder.updates_to_forward(update)),
+        newest_updates: Arc::new(move |max_updates| reader.newest_updates(max_updates)),
+        newest_repeated: Arc::new(move |max_updates| repeat_reader.newest_repeated(max_updates)),
     };
     let (updater, reader) = (site.throttle.clone(), site.throttle.clone());
     let throttle = NoticeHandlers {
-        learn: Arc::new(move |news| updater.apply_update(news)),
-        known: Arc::new(move |most| reader.newest_updates(most)),
+        apply_update: Arc::new(move |update| updater.apply_update(update)),
+        newest_updates: Arc::new(move |max_updates| reader.newest_updates(max_updates)),
     };
     let (updater, reader) = (site.leaving.clone(), site.leaving.clone());
     let leaving = NoticeHandlers {
-        learn: Arc::new(move |news| updater.apply_update(news)),
-        known: Arc::new(move |most| reader.newest_updates(most)),
+        apply_update: Arc::new(move |update| updater.apply_update(update)),
+        newest_updates: Arc::new(move |max_updates| reader.newest_updates(max_updates)),
     };
     FleetBus::new(BusHandlers { suspects, throttle, leaving }, clock.clone())
 }
@@ -108,14 +108,14 @@
     stack: &NetStack,
     replicas: &StoreReplicas,
     listener: NetListener,
-    desks: ScheduleDesks,
+    services: ScheduleServices,
     cancel: &CancellationToken,
 ) -> ScheduleClient {
-    let (desk, bus) = (desks.pools.clone(), desks.bus.clone());
+    let (scheduler, bus) = (services.pools.clone(), services.bus.clone());
     let (known, directory) = (replicas.config.clone(), replicas.directory.clone());
-    tokio::spawn(desk.clone().run(known.clone(), directory, cancel.clone()));
-    tokio::spawn(serve_schedule(listener, desks, cancel.clone()));
-    let client = ScheduleClient::new(desk, bus);
+    tokio::spawn(scheduler.clone().run(known.clone(), directory, cancel.clone()));
+    tokio::spawn(serve_schedule(listener, services, cancel.clone()));
+    let client = ScheduleClient::new(scheduler, bus);
     log::info!("event=policy {:?}", config.policy);
     if !config.policy.schedule {
         return client;
@@ -132,10 +132,10 @@
     config: &RouterConfig,
     stack: &NetStack,
     replicas: &StoreReplicas,
-    desk: LimitDesk,
+    limiter: RateLimiter,
     cancel: &CancellationToken,
 ) -> LimitClient {
-    let client = LimitClient::new(desk);
+    let client = LimitClient::new(limiter);
     let (peer_list, known) = (replicas.peers.clone(), replicas.config.clone());
     let peers = move |share: &str| peer_list.schedule_peers(share);
     let host = Name::clone(&config.host);
@@ -149,16 +149,16 @@
     config: &RouterConfig,
     stack: &NetStack,
     replicas: &StoreReplicas,
-    desk: LimitDesk,
+    limiter: RateLimiter,
     schedule: ScheduleClient,
     cancel: &CancellationToken,
 ) -> LimitClient {
-    let client = LimitClient::new(desk);
+    let client = LimitClient::new(limiter);
     let (peer_list, counted_hosts) = (replicas.peers.clone(), replicas.peers.clone());
     let peers = move |share: &str| peer_list.schedule_peers(share);
-    let count = move || schedule.hosts().or_else(|| counted_hosts.count_hosts());
+    let count = move || schedule.host_count().or_else(|| counted_hosts.count_hosts());
     let host = Name::clone(&config.host);
-    tokio::spawn(client.clone().run_wanted(stack.clone(), host, peers, count, cancel.clone()));
+    tokio::spawn(client.clone().run_on_demand(stack.clone(), host, peers, count, cancel.clone()));
     client
 }
 
@@ -168,18 +168,18 @@
     config: &RouterConfig,
     stack: &NetStack,
     replicas: &StoreReplicas,
-    desk: CallDesk,
+    scheduler: CallScheduler,
     hosts: HostCount,
     cancel: &CancellationToken,
 ) -> CallClient {
     log::info!("event=policy calls={:?}", config.calls);
-    let client = CallClient::new(desk.clone());
+    let client = CallClient::new(scheduler.clone());
     if config.calls.slots_per_host <= 0.0 || !config.policy.schedule {
         return client;
     }
     let (known, directory) = (replicas.config.clone(), replicas.directory.clone());
     let counted_hosts = hosts.clone();
-    tokio::spawn(desk.run(known, directory, move || counted_hosts.get(), cancel.clone()));
+    tokio::spawn(scheduler.run(known, directory, move || counted_hosts.get(), cancel.clone()));
     let peer_list = replicas.peers.clone();
     let peers = move |service: &str| peer_list.schedule_peers(service);
     let (host, count) = (Name::clone(&config.host), move || hosts.get());
@@ -198,7 +198,7 @@
     Arc::new(move || {
         let known = config.borrow();
         let mut services = known.iter().flat_map(|known| known.services.keys());
-        let is_first = services.any(|service| schedule.schedules(service));
+        let is_first = services.any(|service| schedule.is_scheduler_for(service));
         if is_first { Duration::ZERO } else { NON_SCHEDULER_ORDER_DELAY + spread }
     })
 }
--- a/crates/dillspool_router/src/notice_publisher.rs
+++ b/crates/dillspool_router/src/notice_publisher.rs
@@ -7,7 +7,7 @@
 use dillspool_leaving::LeavingTracker;
 use dillspool_limits::SpendRequest;
 use dillspool_routing::DirectoryView;
-use dillspool_scheduler::{FleetNews, LimitClient, ScheduleClient};
+use dillspool_scheduler::{FleetUpdate, LimitClient, ScheduleClient};
 use dillspool_throttle::ThrottleTracker;
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -45,16 +45,16 @@
 
     fn publish_leaving(&self) {
         for update in self.leaving.take_updates() {
-            self.schedule.tell(&FleetNews::Leaving(update));
+            self.schedule.publish(&FleetUpdate::Leaving(update));
         }
     }
 
     fn publish_limits(&self) {
         for update in self.throttle.take_updates() {
-            self.schedule.tell(&FleetNews::Throttle(update));
+            self.schedule.publish(&FleetUpdate::Throttle(update));
         }
         for update in self.throttle.newest_updates(usize::MAX) {
-            self.limits.want(&update.backend.label());
+            self.limits.ensure_link(&update.backend.label());
         }
         for unreported in self.throttle.take_unreported() {
             tokio::spawn(charge(self.limits.clone(), unreported));
--- a/crates/dillspool_router/src/settings.rs
+++ b/crates/dillspool_router/src/settings.rs
@@ -7,7 +7,7 @@
 use dillspool_forward::BudgetSettings;
 use dillspool_io::ByteLimits;
 use dillspool_roles::ShareRule;
-use dillspool_scheduler::{CallTerms, LimitTerms};
+use dillspool_scheduler::{CallSchedulerSettings, RateLimiterSettings};
 use dillspool_schema::Name;
 use dillspool_schema::router::{CallSettings, LimitSettings, RouterSettings, SuspectSettings};
 use dillspool_suspects::{FingerprintKey, RequestFingerprint};
@@ -100,7 +100,7 @@
     /// Retry budget.
     pub budget: BudgetSettings,
     /// How the limits of workspaces are enforced.
-    pub limits: LimitTerms,
+    pub limits: RateLimiterSettings,
     /// Limits on bytes held for slow peers; `None` if they are not limited.
     pub held_bytes: Option<ByteLimits>,
     /// Key for the fingerprints of requests.
@@ -119,7 +119,7 @@
     /// Admission policy for model requests.
     pub policy: PolicyConfig,
     /// For which services one host schedules the calls of all.
-    pub calls: CallTerms,
+    pub calls: CallSchedulerSettings,
     /// Log level.
     pub log_level: log::LevelFilter,
 }
@@ -194,21 +194,24 @@
 }
 
 /// Settings of limits; by default, a holder grants no more than the limits allow.
-fn check_limits(settings: Option<&LimitSettings>) -> Result<LimitTerms, SettingsError> {
+fn check_limits(settings: Option<&LimitSettings>) -> Result<RateLimiterSettings, SettingsError> {
     let slack = settings.and_then(|settings| settings.slack).unwrap_or_default();
     let shares = settings.map_or(DEFAULT_LIMIT_SHARES, |settings| settings.shares);
     if shares == 0 || shares > MAX_LIMIT_SHARES {
         let remedy = "give a number of shares between 1 and 64, the same on all hosts";
         return FieldSnafu { field: "limits.shares", value: shares.to_string(), remedy }.fail();
     }
-    Ok(LimitTerms { slack: parse_non_negative("limits.slack", slack)?, shares: shares as usize })
+    Ok(RateLimiterSettings {
+        slack: parse_non_negative("limits.slack", slack)?,
+        shares: shares as usize,
+    })
 }
 
 /// Settings of call scheduling; by default, each host decides on its own.
-fn check_calls(settings: Option<&CallSettings>) -> Result<CallTerms, SettingsError> {
+fn check_calls(settings: Option<&CallSettings>) -> Result<CallSchedulerSettings, SettingsError> {
     let slots = settings.and_then(|settings| settings.slots_per_host).unwrap_or_default();
     let slots_per_host = parse_non_negative("calls.slots_per_host", slots)?;
-    Ok(CallTerms { slots_per_host, ..CallTerms::default() })
+    Ok(CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() })
 }
 
 /// Key for fingerprints; the default is the same for all fleets.
--- a/crates/dillspool_router/src/throttle_metrics.rs
+++ b/crates/dillspool_router/src/throttle_metrics.rs
@@ -58,7 +58,7 @@
     /// Updates the metrics to the current values.
     pub(crate) fn refresh(&self) {
         let (limited, sends) = self.throttle.counts();
-        let questions: usize = self.clients.iter().map(LimitClient::open_questions).sum();
+        let questions: usize = self.clients.iter().map(LimitClient::pending_requests).sum();
         let set = |gauge: &Gauge, count| gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
         set(&self.limited, limited);
         set(&self.resting, self.throttle.backing_off());
