--- a/crates/dillspool_io/src/body.rs
+++ b/crates/dillspool_io/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and responses.
+//! HTTP bodies of requests and responses.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -8,18 +8,18 @@
 use hyper::{Response, StatusCode};
 use tokio::sync::mpsc;
 
-/// Any error of a body.
+/// Error of reading or producing a body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Body of a response that a server sends.
 pub type ResponseBody = BoxBody<Bytes, BoxError>;
 
-/// A body that is known whole.
+/// Returns a body of bytes that are already in memory.
 pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
-/// A body fed from a channel; an error in the channel breaks the connection off.
+/// Returns a body that streams the chunks of a channel; an error in the channel aborts the connection.
 pub fn channel_body(receiver: mpsc::Receiver<Result<Bytes, BoxError>>) -> ResponseBody {
     let chunks = futures_util::stream::unfold(receiver, |mut receiver| async move {
         let chunk = receiver.recv().await?;
@@ -28,11 +28,11 @@
     BodyExt::boxed(StreamBody::new(chunks.map(|chunk| chunk.map(Frame::data))))
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Fails when the body is longer than `limit` or breaks off.
+/// Fails when the body is longer than `limit` or ends prematurely.
 pub async fn read_body<B>(body: B, limit: usize) -> Result<Bytes, BoxError>
 where
     B: Body<Data = Bytes>,
@@ -41,25 +41,25 @@
     Ok(Limited::new(body, limit).collect().await?.to_bytes())
 }
 
-/// Reads the whole body of a response of at most `limit` bytes.
+/// Reads the complete body of a response, of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Fails when the body is longer than `limit` or breaks off.
+/// Fails when the body is longer than `limit` or ends prematurely.
 pub async fn read_response_body(mut body: ResponseBody, limit: usize) -> Result<Bytes, BoxError> {
-    let mut whole = BytesMut::new();
+    let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        // Trailers carry nothing that is passed on.
+        // Trailers are not forwarded.
         let Ok(data) = frame?.into_data() else { continue };
-        if whole.len() + data.len() > limit {
-            return Err(format!("the body is over {limit} bytes").into());
+        if collected.len() + data.len() > limit {
+            return Err(format!("body exceeds the limit of {limit} bytes").into());
         }
-        whole.extend_from_slice(&data);
+        collected.extend_from_slice(&data);
     }
-    Ok(whole.freeze())
+    Ok(collected.freeze())
 }
 
-/// A whole response with a content type.
+/// Returns a complete response with a content type.
 pub fn text_response(
     status: StatusCode,
     content_type: &'static str,
--- a/crates/dillspool_io/src/client.rs
+++ b/crates/dillspool_io/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to the platform and to backend servers.
+//! HTTP client for the platform and for backend servers.
 
 use std::fmt;
 use std::io;
@@ -22,40 +22,40 @@
 use crate::body::read_body;
 use crate::stack::{BoxFuture, NetStack, NetStream};
 
-/// Longest reply that is read whole, in bytes.
-const REPLY_LIMIT: usize = 16 * 1024 * 1024;
-/// Idle time after which a kept connection is closed.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Largest response body that [`HttpClient::call`] reads.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
+/// Idle time after which a pooled connection is closed.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How a call failed, by what is known of its effect.
+/// Error of a call; the variant says whether the server may have processed it.
 #[derive(Debug, Snafu)]
 pub enum HttpError {
-    /// No connection was made, so the server saw nothing of the call.
+    /// No connection was made, so the server did not receive the call.
     #[snafu(display(
-        "{address} cannot be reached: {reason}; check that it runs and listens there"
+        "cannot connect to {address}: {reason}; check that the server is running and listening there"
     ))]
     NotSent {
-        /// Address of the call.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the connection attempt met.
+        /// Why the connection attempt failed.
         reason: String,
     },
-    /// The call may have run, but its reply did not arrive.
-    #[snafu(display("{address} gave no whole reply: {reason}; the call may have run"))]
+    /// The server may have processed the call, but no complete response arrived.
+    #[snafu(display("no complete response from {address}: {reason}; the call may have run"))]
     Lost {
-        /// Address of the call.
+        /// Address of the server.
         address: SocketAddr,
-        /// What broke the reply off.
+        /// Why the response is missing or incomplete.
         reason: String,
     },
-    /// The server answered with an error status.
-    #[snafu(display("{address} answered {status}: {text}"))]
+    /// The server responded with an error status.
+    #[snafu(display("{address} responded with status {status}: {text}"))]
     Status {
-        /// Address of the call.
+        /// Address of the server.
         address: SocketAddr,
-        /// Status of the reply.
+        /// Status of the response.
         status: StatusCode,
-        /// Body of the reply.
+        /// Body of the response.
         text: String,
     },
 }
@@ -138,30 +138,30 @@
 }
 
 impl HttpClient {
-    /// A client that keeps connections for the next call.
+    /// Creates a client that keeps connections open and reuses them.
     pub fn pooled(stack: &NetStack) -> Self {
-        Self::with_idle(stack, usize::MAX)
+        Self::with_max_idle(stack, usize::MAX)
     }
 
-    /// A client that opens a connection for each call.
+    /// Creates a client that opens a new connection for each call.
     ///
-    /// A kept connection may close just as a call is written to it, which leaves unclear whether
-    /// the call ran; calls that must not be repeated use a connection of their own.
+    /// The server may close a reused connection while a call is being written to it, which leaves unknown
+    /// whether the call ran. Calls that must not be repeated therefore use new connections.
     pub fn single_use(stack: &NetStack) -> Self {
-        Self::with_idle(stack, 0)
+        Self::with_max_idle(stack, 0)
     }
 
-    fn with_idle(stack: &NetStack, idle: usize) -> Self {
+    fn with_max_idle(stack: &NetStack, max_idle: usize) -> Self {
         let client = Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(idle)
-            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(max_idle)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
             .build(StackConnector { stack: stack.clone() });
         Self { client }
     }
 
-    /// Sends a request whose URI is a path, and returns once the response head is there.
+    /// Sends a request whose URI is a path, and returns once the response headers have arrived.
     ///
     /// # Errors
     ///
@@ -179,24 +179,24 @@
                 return NotSentSnafu { address, reason: error.to_string() }.fail();
             }
         };
-        self.client.request(request).await.map_err(|error| classify(address, &error))
+        self.client.request(request).await.map_err(|error| call_error(address, &error))
     }
 
-    /// Sends a JSON body and reads a JSON reply, all within `limit`.
+    /// Sends a JSON body and reads a JSON response, all within `timeout`.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::send`]; [`HttpError::Status`] when the status is none of 2xx.
+    /// As [`HttpClient::send`]; [`HttpError::Status`] when the status is not 2xx.
     pub async fn call<Q: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: Method,
         address: SocketAddr,
         path: &str,
-        query: &Q,
-        limit: Duration,
+        body: &Q,
+        timeout: Duration,
     ) -> Result<R, HttpError> {
         let lost = |reason: String| HttpError::Lost { address, reason };
-        let body = serde_json::to_vec(query).map_err(|error| lost(error.to_string()))?;
+        let body = serde_json::to_vec(body).map_err(|error| lost(error.to_string()))?;
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -206,7 +206,7 @@
         let exchange = async {
             let response = self.send(address, request).await?;
             let status = response.status();
-            let bytes = read_body(response.into_body(), REPLY_LIMIT)
+            let bytes = read_body(response.into_body(), MAX_RESPONSE_BYTES)
                 .await
                 .map_err(|error| lost(error.to_string()))?;
             if !status.is_success() {
@@ -215,14 +215,14 @@
             }
             serde_json::from_slice(&bytes).map_err(|error| lost(error.to_string()))
         };
-        match tokio::time::timeout(limit, exchange).await {
-            Ok(reply) => reply,
-            Err(_elapsed) => Err(lost(format!("no reply within {limit:?}"))),
+        match tokio::time::timeout(timeout, exchange).await {
+            Ok(response) => response,
+            Err(_elapsed) => Err(lost(format!("no response within {timeout:?}"))),
         }
     }
 }
 
-fn classify(address: SocketAddr, error: &ClientError) -> HttpError {
+fn call_error(address: SocketAddr, error: &ClientError) -> HttpError {
     let mut reason = error.to_string();
     if let Some(source) = std::error::Error::source(error) {
         reason = format!("{reason}: {source}");
--- a/crates/dillspool_io/src/clock.rs
+++ b/crates/dillspool_io/src/clock.rs
@@ -1,4 +1,4 @@
-//! Wall clock time, which outlives a process.
+//! Wall clock time, which unlike a steady clock stays comparable across restarts of the process.
 
 use std::fmt;
 use std::ops::Add;
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of Unix time.
+/// Unix time in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize,
 )]
@@ -15,7 +15,7 @@
 pub struct UnixMillis(pub u64);
 
 impl UnixMillis {
-    /// Time since an earlier moment, zero if that moment lies ahead.
+    /// Returns the time since `earlier`, or zero if `earlier` is in the future.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
@@ -24,8 +24,8 @@
 impl Add<Duration> for UnixMillis {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        let millis = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Self {
+        let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(millis))
     }
 }
@@ -37,26 +37,26 @@
 }
 
 impl WallClock {
-    /// The system's clock.
+    /// Returns the system's wall clock.
     pub fn system() -> Self {
         Self::from_fn(|| {
-            let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            UnixMillis::default() + since
+            let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            UnixMillis::default() + since_epoch
         })
     }
 
-    /// A clock that follows tokio's, which tests pause; it starts at `start`.
+    /// Returns a clock that starts at `start` and follows tokio's clock, which tests can pause.
     pub fn tokio(start: UnixMillis) -> Self {
         let origin = tokio::time::Instant::now();
         Self::from_fn(move || start + origin.elapsed())
     }
 
-    /// A clock read from a closure.
+    /// Returns a clock that reads the time from a closure.
     pub fn from_fn(now: impl Fn() -> UnixMillis + Send + Sync + 'static) -> Self {
         Self { now: Arc::new(now) }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> UnixMillis {
         (self.now)()
     }
--- a/crates/dillspool_io/src/process_look.rs
+++ b/crates/dillspool_io/src/connect_probe.rs
@@ -1,4 +1,4 @@
-//! Whether a process takes connections.
+//! TCP probes: whether a process accepts connections.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -6,24 +6,24 @@
 
 use crate::stack::NetStack;
 
-/// What a connection that is closed at once tells of a process.
+/// Outcome of a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectOutcome {
-    /// It takes connections.
+    /// The connection was accepted.
     Accepted,
-    /// Its machine refuses them: nobody listens.
+    /// The host refused the connection: no process listens on the port.
     Refused,
-    /// Nobody answers.
+    /// The attempt timed out or failed otherwise.
     NoResponse,
 }
 
-/// Looks at the process that listens on an address.
+/// Opens a connection to an address, closes it at once and returns the outcome.
 pub async fn probe_connect(
     stack: &NetStack,
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 ) -> ConnectOutcome {
-    match tokio::time::timeout(limit, stack.connect(address)).await {
+    match tokio::time::timeout(timeout, stack.connect(address)).await {
         Ok(Ok(_connection)) => ConnectOutcome::Accepted,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ConnectOutcome::Refused,
         Ok(Err(_)) | Err(_) => ConnectOutcome::NoResponse,
--- a/crates/dillspool_io/src/exchange.rs
+++ b/crates/dillspool_io/src/exchange.rs
@@ -1,8 +1,8 @@
-//! One HTTP exchange on a connection of its own.
+//! One HTTP exchange on a dedicated connection.
 //!
-//! A pool that resends by itself, or answers that arrive in the place of later ones, would let a
-//! request run twice or give a caller somebody else's answer. A connection that serves one
-//! exchange and closes can do neither; `docs/design/platform_site.md` has its price.
+//! A connection pool that resends a request can run it twice, and a late response on a reused connection
+//! can be taken for the response to a later request and reach the wrong caller. A connection that is closed
+//! after one exchange allows neither. `docs/design/platform_site.md` gives its cost.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,17 +19,18 @@
 use hyper_util::rt::TokioIo;
 use tokio::task::JoinHandle;
 
+use crate::byte_budget::{ExchangeBytes, StalledSide};
 use crate::client::HttpError;
-use crate::held_bytes::{ExchangeBytes, StalledSide};
-use crate::held_stream::HeldStream;
+use crate::metered_stream::MeteredStream;
 use crate::stack::NetStack;
 
-/// Bytes of an exchange's connection that are buffered in either direction at most, where bytes held
-/// are limited; the head of an answer must fit. It is also the largest part in which an answer is
-/// passed on, and a caller that stops reading leaves up to four parts.
-const BUFFER_BYTES: usize = 16 * 1024;
+/// Largest buffer of a connection in each direction if a [`ByteBudget`](crate::ByteBudget) applies.
+///
+/// The response headers must fit into it. It is also the largest chunk in which a response is forwarded; a
+/// caller that stops reading leaves up to four chunks unread.
+const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Closes the connection when the last part of the exchange is dropped.
+/// Closes the connection on drop.
 #[derive(Debug)]
 struct ConnectionGuard {
     task: JoinHandle<()>,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Body of an answer; dropping it closes the connection, which tells the server to stop.
+/// Body of a response; dropping it closes the connection, which tells the server to stop.
 #[derive(Debug)]
 pub struct ExchangeBody {
     incoming: Incoming,
@@ -68,14 +69,14 @@
     }
 }
 
-/// A body in parts of a limited size, so that not all of it is copied into the connection's buffer.
-struct PartsBody {
+/// A body sent in chunks of limited size, so that hyper does not copy all of it into the connection's buffer.
+struct ChunkedBody {
     body: Full<Bytes>,
-    rest: Bytes,
-    part_bytes: usize,
+    remainder: Bytes,
+    max_chunk_bytes: usize,
 }
 
-impl Body for PartsBody {
+impl Body for ChunkedBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -83,45 +84,47 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.rest.is_empty() {
+        if self.remainder.is_empty() {
             match std::task::ready!(Pin::new(&mut self.body).poll_frame(cx)) {
-                Some(Ok(frame)) => self.rest = frame.into_data().unwrap_or_default(),
+                Some(Ok(frame)) => self.remainder = frame.into_data().unwrap_or_default(),
                 end => return Poll::Ready(end),
             }
         }
-        let length = self.rest.len().min(self.part_bytes);
-        Poll::Ready(Some(Ok(Frame::data(self.rest.split_to(length)))))
+        let length = self.remainder.len().min(self.max_chunk_bytes);
+        Poll::Ready(Some(Ok(Frame::data(self.remainder.split_to(length)))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.rest.is_empty() && self.body.is_end_stream()
+        self.remainder.is_empty() && self.body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
         let left = self.body.size_hint().exact().unwrap_or_default();
-        SizeHint::with_exact(left + self.rest.len() as u64)
+        SizeHint::with_exact(left + self.remainder.len() as u64)
     }
 }
 
-/// Sends one request on a new connection and returns once the head of its answer is there.
+/// Sends one request on a new connection and returns once the response headers have arrived.
 ///
-/// The caller bounds the whole wait; dropping the future closes the connection.
+/// There is no timeout for the response: the caller has to set one. Dropping the future closes the connection.
 ///
 /// # Errors
 ///
-/// [`HttpError::NotSent`] when no connection was made within `connect_limit`, so the server saw
-/// nothing; [`HttpError::Lost`] when the request may have run.
+/// [`HttpError::NotSent`] when no connection was made within `connect_timeout`, so the server did not receive
+/// the request; [`HttpError::Lost`] when the request may have run.
 pub async fn exchange_once(
     stack: &NetStack,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    connect_limit: Duration,
+    connect_timeout: Duration,
 ) -> Result<Response<ExchangeBody>, HttpError> {
-    exchange_with_budget(stack, address, request, connect_limit, &ExchangeBytes::default()).await
+    exchange_with_budget(stack, address, request, connect_timeout, &ExchangeBytes::default()).await
 }
 
-/// As [`exchange_once`], as a part of a caller's exchange: what the server does not read of the request
-/// is charged to it, and a server that reads nothing for too long is given up.
+/// As [`exchange_once`], with a byte budget.
+///
+/// Bytes of the request that the server has not read are charged to the caller's exchange. The exchange
+/// fails if the server reads nothing for the stall timeout.
 ///
 /// # Errors
 ///
@@ -130,30 +133,31 @@
     stack: &NetStack,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    connect_limit: Duration,
-    held: &ExchangeBytes,
+    connect_timeout: Duration,
+    exchange_bytes: &ExchangeBytes,
 ) -> Result<Response<ExchangeBody>, HttpError> {
     let not_sent = |reason: String| HttpError::NotSent { address, reason };
-    let stream = match tokio::time::timeout(connect_limit, stack.connect(address)).await {
+    let stream = match tokio::time::timeout(connect_timeout, stack.connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(not_sent(error.to_string())),
-        Err(_elapsed) => return Err(not_sent(format!("no connection within {connect_limit:?}"))),
+        Err(_elapsed) => return Err(not_sent(format!("no connection within {connect_timeout:?}"))),
     };
     let mut builder = http1::Builder::new();
-    let (stream, part_bytes) = if held.limits().is_some() {
-        builder.max_buf_size(BUFFER_BYTES);
-        let exchange = Arc::new(Mutex::new(held.clone()));
-        (HeldStream::wrap(stream, exchange, StalledSide::Backend), BUFFER_BYTES)
+    let (stream, max_chunk_bytes) = if exchange_bytes.limits().is_some() {
+        builder.max_buf_size(MAX_BUFFER_BYTES);
+        let exchange = Arc::new(Mutex::new(exchange_bytes.clone()));
+        (MeteredStream::wrap(stream, exchange, StalledSide::Backend), MAX_BUFFER_BYTES)
     } else {
         (stream, usize::MAX)
     };
-    let request = request.map(|body| PartsBody { body, rest: Bytes::new(), part_bytes });
+    let request =
+        request.map(|body| ChunkedBody { body, remainder: Bytes::new(), max_chunk_bytes });
     let (mut sender, connection) = match builder.handshake(TokioIo::new(stream)).await {
         Ok(parts) => parts,
         Err(error) => return Err(not_sent(error.to_string())),
     };
     let task = tokio::spawn(async move {
-        // The exchange itself reports how the connection failed.
+        // The caller gets the error from the exchange.
         if let Err(error) = connection.await {
             log::debug!("event=exchange_connection_ended address={address} error=\"{error}\"");
         }
@@ -161,11 +165,11 @@
     let guard = ConnectionGuard { task };
     match sender.send_request(request).await {
         Ok(response) => Ok(response.map(|incoming| ExchangeBody { incoming, _guard: guard })),
-        Err(error) => Err(HttpError::Lost { address, reason: describe(&error) }),
+        Err(error) => Err(HttpError::Lost { address, reason: error_chain(&error) }),
     }
 }
 
-fn describe(error: &hyper::Error) -> String {
+fn error_chain(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
--- a/crates/dillspool_io/src/host_clock.rs
+++ b/crates/dillspool_io/src/host_clock.rs
@@ -1,4 +1,4 @@
-//! The clock by which everything ends or grows old on a host.
+//! The clock of a host for deadlines and ages.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,25 +9,25 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Counts the time of a host, that in which it was suspended included.
+/// A monotonic clock that includes the time during which the host was suspended.
 ///
-/// The steady clock of `std` and `tokio` stands still while a machine is suspended: a lease that is over
-/// would still seem to hold, and an old belief fresh. Timers of `tokio` only wake; what is decided after a
-/// wake asks this clock. A timer that was set before a suspension wakes as much later: what is due by then
-/// waits by [`HostClock::sleep_until`]. See `docs/design/clocks.md`.
+/// The monotonic clock of `std` and `tokio` stops while a machine is suspended, so an expired lease would seem
+/// valid and stale data fresh. Timers of `tokio` only wake a task, which then checks its deadline against this
+/// clock. A timer set before a suspension fires late by the duration of the suspension; waits for a deadline
+/// therefore use [`HostClock::sleep_until`]. See `docs/design/clocks.md`.
 #[derive(Clone)]
 pub struct HostClock {
     now: Arc<dyn Fn() -> Moment + Send + Sync>,
-    /// Stalls that were noted by this clock or a clone of it.
+    /// Number of stalls recorded with this clock or a clone of it.
     stalls: Arc<watch::Sender<u64>>,
 }
 
-/// The moment came before what was waited for.
+/// The deadline elapsed before the future was ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeadlineElapsed;
 
 impl HostClock {
-    /// The system's clock since its boot; the steady one where there is none.
+    /// Returns `CLOCK_BOOTTIME`, or the steady clock on systems without it.
     pub fn boot() -> Self {
         let steady = Self::steady();
         Self::from_fn(move || match clock_gettime(ClockId::CLOCK_BOOTTIME) {
@@ -36,58 +36,58 @@
         })
     }
 
-    /// A clock that follows tokio's, which tests pause.
+    /// Returns a clock that follows tokio's clock, which tests can pause.
     pub fn steady() -> Self {
         let origin = Instant::now();
         Self::from_fn(move || Moment::after_origin(origin.elapsed()))
     }
 
-    /// A clock read from a closure.
+    /// Returns a clock that reads the time from a closure.
     pub fn from_fn(now: impl Fn() -> Moment + Send + Sync + 'static) -> Self {
         Self { now: Arc::new(now), stalls: Arc::default() }
     }
 
-    /// The moment now.
+    /// Returns the current time.
     pub fn now(&self) -> Moment {
         (self.now)()
     }
 
-    /// Time since a moment; zero if it lies ahead.
+    /// Returns the time since `moment`, or zero if it is in the future.
     pub fn since(&self, moment: Moment) -> Duration {
         self.now().since(moment)
     }
 
-    /// Time until a moment; zero if it is over.
+    /// Returns the time until `moment`, or zero if it is in the past.
     pub fn until(&self, moment: Moment) -> Duration {
         moment.since(self.now())
     }
 
-    /// Waits until a moment, which a suspension of the host brings nearer.
+    /// Waits until `moment`, counting the time during which the host is suspended.
     ///
-    /// An [`StallDetector`](crate::StallDetector) by this clock, or a clone of it, notes the suspension; without one
-    /// this wakes as much later.
+    /// This needs a [`StallDetector`](crate::StallDetector) on this clock or a clone of it. Without one, a
+    /// suspension delays the wake-up by its duration.
     pub async fn sleep_until(&self, moment: Moment) {
         let mut stalls = self.stalls.subscribe();
         while !self.until(moment).is_zero() {
             tokio::select! {
                 () = tokio::time::sleep_until(self.to_instant(moment)) => {}
                 // The sender lives as long as this clock.
-                _noted = stalls.changed() => {}
+                _changed = stalls.changed() => {}
             }
         }
     }
 
-    /// Waits until the next stall is noted.
+    /// Waits until the next stall is recorded.
     pub async fn next_stall(&self) {
         // The sender lives as long as this clock.
-        let _noted = self.stalls.subscribe().changed().await;
+        let _changed = self.stalls.subscribe().changed().await;
     }
 
-    /// Waits for a future until a moment, as [`HostClock::sleep_until`] does.
+    /// Waits for a future until `moment`, which is observed as in [`HostClock::sleep_until`].
     ///
     /// # Errors
     ///
-    /// [`DeadlineElapsed`] when the moment comes first.
+    /// [`DeadlineElapsed`] when `moment` comes first.
     pub async fn timeout_at<T>(
         &self,
         moment: Moment,
@@ -100,26 +100,27 @@
         }
     }
 
-    /// Waits for a future for so long, as [`HostClock::sleep_until`] does.
+    /// Waits for a future for at most `timeout`, which is observed as in [`HostClock::sleep_until`].
     ///
     /// # Errors
     ///
-    /// [`DeadlineElapsed`] when the time is over first.
+    /// [`DeadlineElapsed`] when `timeout` elapses first.
     pub async fn timeout<T>(
         &self,
-        time: Duration,
+        timeout: Duration,
         future: impl Future<Output = T>,
     ) -> Result<T, DeadlineElapsed> {
-        self.timeout_at(self.now() + time, future).await
+        self.timeout_at(self.now() + timeout, future).await
     }
 
-    /// Wakes what waits by this clock, to look at it once more.
+    /// Wakes the tasks that wait on this clock, so that they check the time again.
     pub(crate) fn record_stall(&self) {
         self.stalls.send_modify(|stalls| *stalls += 1);
     }
 
-    /// When a timer wakes for a moment, if the host is not suspended meanwhile; what is then decided asks
-    /// this clock once more.
+    /// Converts `moment` to the time at which a tokio timer should fire.
+    ///
+    /// A suspension in the meantime makes the timer late, so the task has to check this clock after the wake-up.
     pub fn to_instant(&self, moment: Moment) -> Instant {
         Instant::now() + self.until(moment)
     }
--- a/crates/dillspool_io/src/memory.rs
+++ b/crates/dillspool_io/src/memory.rs
@@ -1,7 +1,7 @@
-//! A network in memory, for tests under paused time.
+//! An in-memory network for tests with paused time.
 //!
-//! Each node has an IP address of its own; links between two nodes are cut or frozen on order,
-//! which stands for a killed process, a partition or a stopped process.
+//! Each node has its own IP address. A test can cut or freeze the link between two nodes to simulate a killed
+//! process, a network partition or a stopped process.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,21 +15,21 @@
 
 use crate::stack::{NetListener, NetStack, NetStream};
 
-/// Bytes in flight in one direction, as a socket buffer holds them.
+/// Size of the buffer in each direction of a connection, as of a socket buffer.
 const BUFFER_BYTES: usize = 64 * 1024;
-/// Connections waiting to be accepted.
-const BACKLOG: usize = 1024;
-/// First port given to a listener that asked for port 0.
-const FIRST_PORT: u16 = 20_000;
+/// Number of connections that can wait to be accepted by a listener.
+const BACKLOG_CONNECTIONS: usize = 1024;
+/// Ports assigned to listeners that ask for port 0 are above this one.
+const EPHEMERAL_PORT_BASE: u16 = 20_000;
 
 /// State of the link between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkMode {
-    /// Traffic flows.
+    /// Data is delivered.
     Open,
-    /// Nothing arrives and nothing fails, as when a process is stopped.
+    /// No data is delivered and no connection fails, as when a process is stopped.
     Frozen,
-    /// Connections break and new ones are refused.
+    /// Open connections are reset and new ones are refused.
     Cut,
 }
 
@@ -44,27 +44,27 @@
     next_port: u16,
 }
 
-/// The network; each node takes its [`NetStack`] from it.
+/// The network, which provides the [`NetStack`] of each node.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryNet {
     state: Arc<Mutex<NetState>>,
 }
 
-fn pair(a: IpAddr, b: IpAddr) -> NodePair {
+fn node_pair(a: IpAddr, b: IpAddr) -> NodePair {
     if a <= b { (a, b) } else { (b, a) }
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl MemoryNet {
-    /// A network without nodes.
+    /// Creates a network.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The stack of the node with this address.
+    /// Returns the stack of the node with address `node`.
     pub fn stack(&self, node: IpAddr) -> NetStack {
         let connecting = self.clone();
         let listening = self.clone();
@@ -80,50 +80,50 @@
         )
     }
 
-    /// Changes the link between two nodes, also for open connections.
+    /// Sets the mode of the link between two nodes, for open connections too.
     pub fn set_link(&self, a: IpAddr, b: IpAddr, mode: LinkMode) {
-        let mut state = locked(&self.state);
-        state.modes.insert(pair(a, b), mode);
+        let mut state = lock(&self.state);
+        state.modes.insert(node_pair(a, b), mode);
         state.links.retain(|(_, link)| link.strong_count() > 0);
         for (nodes, link) in &state.links {
             let Some(link) = link.upgrade() else { continue };
-            if *nodes == pair(a, b) {
-                locked(&link).change(mode);
+            if *nodes == node_pair(a, b) {
+                lock(&link).set_mode(mode);
             }
         }
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<NetListener> {
-        let mut state = locked(&self.state);
+        let mut state = lock(&self.state);
         let mut local = at;
         if at.port() == 0 {
-            state.next_port = state.next_port.max(FIRST_PORT) + 1;
+            state.next_port = state.next_port.max(EPHEMERAL_PORT_BASE) + 1;
             local.set_port(state.next_port);
         }
         let used = state.listeners.get(&local).is_some_and(|sender| !sender.is_closed());
         if used {
             return Err(io::ErrorKind::AddrInUse.into());
         }
-        let (sender, receiver) = mpsc::channel(BACKLOG);
+        let (sender, receiver) = mpsc::channel(BACKLOG_CONNECTIONS);
         state.listeners.insert(local, sender);
         Ok(NetListener::new(local, receiver))
     }
 
     async fn connect(&self, from: IpAddr, to: SocketAddr) -> io::Result<NetStream> {
-        let nodes = pair(from, to.ip());
+        let nodes = node_pair(from, to.ip());
         loop {
-            let mode = locked(&self.state).modes.get(&nodes).copied().unwrap_or(LinkMode::Open);
+            let mode = lock(&self.state).modes.get(&nodes).copied().unwrap_or(LinkMode::Open);
             match mode {
                 LinkMode::Open => break,
                 LinkMode::Cut => return Err(io::ErrorKind::ConnectionRefused.into()),
-                // A frozen node answers no handshake; look again as a retransmission would.
-                LinkMode::Frozen => tokio::time::sleep(CONNECT_RETRY).await,
+                // A frozen node completes no handshake; the wait stands for a SYN retransmission.
+                LinkMode::Frozen => tokio::time::sleep(CONNECT_RETRY_INTERVAL).await,
             }
         }
         let (near, far) = tokio::io::duplex(BUFFER_BYTES);
         let link = Arc::new(Mutex::new(LinkState::default()));
         let accept = {
-            let mut state = locked(&self.state);
+            let mut state = lock(&self.state);
             state.links.push((nodes, Arc::downgrade(&link)));
             state.listeners.get(&to).cloned()
         };
@@ -139,13 +139,13 @@
     }
 }
 
-/// How often a connection attempt to a frozen node is repeated.
-const CONNECT_RETRY: std::time::Duration = std::time::Duration::from_millis(100);
+/// Time between connection attempts to a frozen node.
+const CONNECT_RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(100);
 
 #[derive(Debug)]
 struct LinkState {
     mode: LinkMode,
-    /// Tasks to wake when the mode changes: readers and writers of both sides.
+    /// Wakers of the reader and the writer of each side, called when the mode changes.
     wakers: [Option<Waker>; 4],
 }
 
@@ -156,8 +156,8 @@
 }
 
 impl LinkState {
-    fn change(&mut self, mode: LinkMode) {
-        // A broken connection stays broken when the link is mended.
+    fn set_mode(&mut self, mode: LinkMode) {
+        // A reset connection stays reset when the link is restored.
         if self.mode != LinkMode::Cut {
             self.mode = mode;
         }
@@ -171,13 +171,14 @@
 struct LinkStream {
     inner: DuplexStream,
     link: Arc<Mutex<LinkState>>,
+    /// 0 for the connecting side, 1 for the accepting side.
     side: usize,
 }
 
 impl LinkStream {
-    /// Registers for mode changes; `Ready(Ok)` means that traffic flows.
+    /// Registers for mode changes; `Ready(Ok)` means that the link is open.
     fn poll_open(&self, writer: usize, cx: &Context<'_>) -> Poll<io::Result<()>> {
-        let mut state = locked(&self.link);
+        let mut state = lock(&self.link);
         state.wakers[self.side * 2 + writer] = Some(cx.waker().clone());
         match state.mode {
             LinkMode::Open => Poll::Ready(Ok(())),
--- a/crates/dillspool_io/src/held_stream.rs
+++ b/crates/dillspool_io/src/metered_stream.rs
@@ -1,4 +1,4 @@
-//! Connections whose unread bytes are charged, and which end when their peer stops reading.
+//! Connections that charge unsent bytes to a budget and fail when their peer stops reading.
 
 use std::io;
 use std::pin::Pin;
@@ -9,12 +9,12 @@
 use tokio::time::Sleep;
 use tokio_util::sync::CancellationToken;
 
-use crate::held_bytes::{ByteBudget, ByteGuard, ExchangeBytes, StalledSide};
+use crate::byte_budget::{ByteBudget, ByteGuard, ExchangeBytes, StalledSide};
 use crate::stack::NetStream;
 
-/// A caller's connection and the exchange that it carries now.
+/// A caller's connection and its current exchange.
 ///
-/// The server adds it to each request's extensions; the handler opens the exchange's account with it.
+/// The server adds it to the extensions of each request, and the handler registers the exchange with it.
 #[derive(Clone, Debug)]
 pub struct CallerConnection {
     budget: ByteBudget,
@@ -28,73 +28,73 @@
         Self { budget: budget.clone(), closing, current }
     }
 
-    /// The budget of the host.
+    /// Returns the budget of the host.
     pub fn budget(&self) -> &ByteBudget {
         &self.budget
     }
 
-    /// Opens the account of the exchange that begins now.
+    /// Registers a new exchange, which becomes the connection's current one.
     pub fn begin_exchange(&self, id: &str) -> ExchangeBytes {
         let exchange = self.budget.open_exchange(id, self.closing.clone());
         *self.current.lock().unwrap_or_else(PoisonError::into_inner) = exchange.clone();
         exchange
     }
 
-    /// Waits until the exchange has to end for want of room.
+    /// Waits until the budget aborts the exchange for lack of capacity.
     pub(crate) async fn closing(&self) {
         self.closing.cancelled().await;
     }
 
-    /// The connection with its unread bytes charged.
-    pub(crate) fn watch(&self, stream: NetStream) -> NetStream {
-        HeldStream::wrap(stream, Arc::clone(&self.current), StalledSide::Caller)
+    /// Wraps the connection to charge its unsent bytes to the current exchange.
+    pub(crate) fn meter(&self, stream: NetStream) -> NetStream {
+        MeteredStream::wrap(stream, Arc::clone(&self.current), StalledSide::Caller)
     }
 }
 
-/// A connection whose writer notices when nothing is read at the other end.
-pub(crate) struct HeldStream {
+/// A connection whose writes are charged while they are pending, and time out when the peer reads nothing.
+pub(crate) struct MeteredStream {
     inner: NetStream,
     side: StalledSide,
     exchange: Arc<Mutex<ExchangeBytes>>,
-    /// While the peer has not taken what is to be written.
-    blocked: Option<BlockedWrite>,
+    /// Set while the peer does not accept the bytes to be written.
+    pending: Option<PendingWrite>,
 }
 
-struct BlockedWrite {
+struct PendingWrite {
     exchange: ExchangeBytes,
-    waiting: ByteGuard,
-    limit: Pin<Box<Sleep>>,
+    guard: ByteGuard,
+    timeout: Pin<Box<Sleep>>,
 }
 
-impl HeldStream {
-    /// Charges a connection's unread bytes to the exchange that it carries.
+impl MeteredStream {
+    /// Wraps a connection to charge its unsent bytes to its current exchange.
     pub(crate) fn wrap(
         inner: NetStream,
         exchange: Arc<Mutex<ExchangeBytes>>,
         side: StalledSide,
     ) -> NetStream {
-        NetStream::new(Self { inner, side, exchange, blocked: None })
+        NetStream::new(Self { inner, side, exchange, pending: None })
     }
 
-    /// The peer takes nothing more of `left` bytes; ready with an error once that lasts too long.
-    fn poll_blocked(&mut self, left: usize, cx: &mut Context<'_>) -> Poll<io::Error> {
-        if self.blocked.is_none() {
+    /// Charges the `unsent` bytes of a pending write; ready with an error after the stall timeout.
+    fn poll_write_timeout(&mut self, unsent: usize, cx: &mut Context<'_>) -> Poll<io::Error> {
+        if self.pending.is_none() {
             let exchange = self.exchange.lock().unwrap_or_else(PoisonError::into_inner).clone();
-            let Some(terms) = exchange.limits() else { return Poll::Pending };
-            let (waiting, limit) =
-                (exchange.empty_guard(), Box::pin(tokio::time::sleep(terms.stall_timeout)));
-            self.blocked = Some(BlockedWrite { exchange, waiting, limit });
+            let Some(limits) = exchange.limits() else { return Poll::Pending };
+            let (guard, timeout) =
+                (exchange.empty_guard(), Box::pin(tokio::time::sleep(limits.stall_timeout)));
+            self.pending = Some(PendingWrite { exchange, guard, timeout });
         }
-        let Some(blocked) = &mut self.blocked else { return Poll::Pending };
-        blocked.waiting.resize(left as u64);
-        std::task::ready!(blocked.limit.as_mut().poll(cx));
-        blocked.exchange.record_stall(self.side);
-        let reason = format!("the {} took nothing of what was sent", self.side.name());
+        let Some(pending) = &mut self.pending else { return Poll::Pending };
+        pending.guard.resize(unsent as u64);
+        std::task::ready!(pending.timeout.as_mut().poll(cx));
+        pending.exchange.record_stall(self.side);
+        let reason = format!("the {} read nothing within the stall timeout", self.side.name());
         Poll::Ready(io::Error::new(io::ErrorKind::TimedOut, reason))
     }
 }
 
-impl AsyncRead for HeldStream {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -104,16 +104,16 @@
     }
 }
 
-impl AsyncWrite for HeldStream {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         match Pin::new(&mut self.inner).poll_write(cx, buf) {
-            Poll::Pending => self.poll_blocked(buf.len(), cx).map(Err),
+            Poll::Pending => self.poll_write_timeout(buf.len(), cx).map(Err),
             ready @ Poll::Ready(_) => {
-                self.blocked = None;
+                self.pending = None;
                 ready
             }
         }
--- a/crates/dillspool_io/src/server.rs
+++ b/crates/dillspool_io/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers: one task for each connection.
+//! HTTP servers with one task per connection.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -15,16 +15,16 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::body::ResponseBody;
-use crate::held_bytes::ByteBudget;
-use crate::held_stream::CallerConnection;
+use crate::byte_budget::ByteBudget;
+use crate::metered_stream::CallerConnection;
 use crate::stack::{BoxFuture, NetListener, NetStream};
 
-/// Largest head of a request, in bytes.
-const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Largest connection buffer; it bounds the size of the request headers.
+const MAX_HEADER_BYTES: usize = 32 * 1024;
 
 type HandlerFn = dyn Fn(Request<Incoming>) -> BoxFuture<Response<ResponseBody>> + Send + Sync;
 
-/// What a server does with each request.
+/// Asynchronous function that a server calls for each request.
 #[derive(Clone)]
 pub struct HttpHandler {
     run: Arc<HandlerFn>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Makes a handler of an asynchronous closure.
+/// Creates a handler from an asynchronous closure.
 pub fn handler<F, R>(run: F) -> HttpHandler
 where
     F: Fn(Request<Incoming>) -> R + Send + Sync + 'static,
@@ -48,9 +48,9 @@
 /// Limits that protect a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections served at once; further ones wait in the backlog.
+    /// Maximum number of concurrent connections; others wait in the listen backlog.
     pub max_connections: usize,
-    /// Time to receive a request head, counted from the end of the exchange before it.
+    /// Time to receive the request headers, counted from the end of the previous exchange.
     pub header_timeout: Duration,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Serves until `cancel`; then lets the open connections finish their exchange.
+/// Serves until `cancel`, then waits for the exchanges in progress to finish.
 pub async fn serve_http(
     listener: NetListener,
     limits: ServerLimits,
@@ -71,9 +71,9 @@
     serve_http_reloadable(listener, limits, handler, cancel).await;
 }
 
-/// As [`serve_http`], with limits that may change; each new connection takes those in force.
+/// As [`serve_http`], with limits that can change at run time; a new connection uses the current ones.
 ///
-/// The number of connections is the one of the start.
+/// Changes of [`ServerLimits::max_connections`] have no effect.
 pub async fn serve_http_reloadable(
     listener: NetListener,
     limits: watch::Receiver<ServerLimits>,
@@ -83,10 +83,11 @@
     serve_http_with_budget(listener, limits, handler, None, cancel).await;
 }
 
-/// As [`serve_http_reloadable`], with a budget of bytes held for callers.
+/// As [`serve_http_reloadable`], with a budget for bytes held for callers.
 ///
-/// What a caller leaves unread is charged to the exchange that the handler opens with the request's
-/// [`CallerConnection`], and one that reads nothing for too long is cut off.
+/// Bytes that a caller has not read are charged to the exchange that the handler registers with the
+/// request's [`CallerConnection`]. The connection of a caller that reads nothing for the stall timeout is
+/// closed.
 pub async fn serve_http_with_budget(
     mut listener: NetListener,
     limits: watch::Receiver<ServerLimits>,
@@ -115,11 +116,11 @@
             match caller {
                 None => serve_connection(stream, limits, handler, cancel).await,
                 Some(caller) => {
-                    let stream = caller.watch(stream);
-                    let handler = introduce(caller.clone(), handler);
+                    let stream = caller.meter(stream);
+                    let handler = with_caller_connection(caller.clone(), handler);
                     tokio::select! {
                         () = serve_connection(stream, limits, handler, cancel) => {}
-                        // Dropping the connection ends whatever runs for it.
+                        // Dropping the connection cancels the handler that runs for it.
                         () = caller.closing() => {}
                     }
                 }
@@ -132,8 +133,8 @@
     tracker.wait().await;
 }
 
-/// Adds the connection to the extensions of its requests.
-fn introduce(caller: CallerConnection, handler: HttpHandler) -> HttpHandler {
+/// Wraps a handler to add the connection to the extensions of its requests.
+fn with_caller_connection(caller: CallerConnection, handler: HttpHandler) -> HttpHandler {
     HttpHandler {
         run: Arc::new(move |mut request| {
             request.extensions_mut().insert(caller.clone());
@@ -149,13 +150,13 @@
     cancel: CancellationToken,
 ) {
     let service = service_fn(move |request| {
-        let answer = (handler.run)(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = (handler.run)(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_timeout)
-        .max_buf_size(MAX_HEAD_BYTES)
+        .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let served = tokio::select! {
--- a/crates/dillspool_io/src/stack.rs
+++ b/crates/dillspool_io/src/stack.rs
@@ -1,4 +1,4 @@
-//! How a process opens and accepts connections.
+//! Interface through which a process opens and accepts connections.
 
 use std::fmt;
 use std::future::Future;
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Boxed future, as the closures of the interface structs return it.
+/// Boxed future, as returned by the closures of the interface structs.
 pub type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// Both directions of a connection.
@@ -21,13 +21,13 @@
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Duplex for T {}
 
-/// One connection, whatever carries it.
+/// A connection, independent of its transport.
 pub struct NetStream {
     inner: Box<dyn Duplex>,
 }
 
 impl NetStream {
-    /// Wraps a connection.
+    /// Wraps a bidirectional byte stream.
     pub fn new(inner: impl AsyncRead + AsyncWrite + Send + Unpin + 'static) -> Self {
         Self { inner: Box::new(inner) }
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// Accepted connections of one address; dropping it closes the address.
+/// Listener on one address; dropping it stops listening.
 #[derive(Debug)]
 pub struct NetListener {
     local: SocketAddr,
@@ -81,17 +81,17 @@
 }
 
 impl NetListener {
-    /// Wraps a queue of accepted connections.
+    /// Creates a listener from a channel of accepted connections.
     pub fn new(local: SocketAddr, incoming: mpsc::Receiver<NetStream>) -> Self {
         Self { local, incoming }
     }
 
-    /// Address that callers connect to.
+    /// Returns the address that clients connect to.
     pub fn local_addr(&self) -> SocketAddr {
         self.local
     }
 
-    /// Waits for the next connection; `None` once the address is closed.
+    /// Waits for the next connection; `None` once the channel is closed.
     pub async fn accept(&mut self) -> Option<NetStream> {
         self.incoming.recv().await
     }
@@ -100,7 +100,7 @@
 type ConnectFn = dyn Fn(SocketAddr) -> BoxFuture<io::Result<NetStream>> + Send + Sync;
 type ListenFn = dyn Fn(SocketAddr) -> BoxFuture<io::Result<NetListener>> + Send + Sync;
 
-/// The two things a process does with the network.
+/// Opens connections and listens on addresses.
 #[derive(Clone)]
 pub struct NetStack {
     connect: Arc<ConnectFn>,
@@ -114,7 +114,7 @@
 }
 
 impl NetStack {
-    /// Builds a stack from its two closures.
+    /// Creates a stack from its two operations.
     pub fn new(
         connect: impl Fn(SocketAddr) -> BoxFuture<io::Result<NetStream>> + Send + Sync + 'static,
         listen: impl Fn(SocketAddr) -> BoxFuture<io::Result<NetListener>> + Send + Sync + 'static,
@@ -122,58 +122,61 @@
         Self { connect: Arc::new(connect), listen: Arc::new(listen) }
     }
 
-    /// The system's TCP.
+    /// Returns the TCP stack of the system.
     pub fn tcp() -> Self {
         Self::tcp_with_unsent_limit(None)
     }
 
-    /// The system's TCP; it takes no more of a connection while so many bytes of it are unsent.
+    /// Returns the TCP stack of the system, with a limit on the unsent bytes in the kernel's send buffer
+    /// (`TCP_NOTSENT_LOWAT`).
     ///
-    /// Without a limit it takes megabytes for a peer that reads nothing, and says that there is room
-    /// again only when a third of that was read, so that a slow reader looks like none.
-    pub fn tcp_with_unsent_limit(limit: Option<u32>) -> Self {
+    /// Without a limit, the kernel buffers megabytes for a peer that reads nothing, and reports the socket as
+    /// writable again only after a third of them has been read, so a slow reader looks like
+    /// one that reads nothing.
+    pub fn tcp_with_unsent_limit(limit_bytes: Option<u32>) -> Self {
         Self::new(
-            move |to| Box::pin(connect_tcp(to, limit)),
-            move |at| Box::pin(listen_tcp(at, limit)),
+            move |to| Box::pin(connect_tcp(to, limit_bytes)),
+            move |at| Box::pin(listen_tcp(at, limit_bytes)),
         )
     }
 
-    /// Opens a connection.
+    /// Opens a connection to an address.
     pub async fn connect(&self, to: SocketAddr) -> io::Result<NetStream> {
         (self.connect)(to).await
     }
 
-    /// Listens on an address; port 0 lets the system choose.
+    /// Listens on an address; port 0 lets the system choose a port.
     pub async fn listen(&self, at: SocketAddr) -> io::Result<NetListener> {
         (self.listen)(at).await
     }
 }
 
-async fn connect_tcp(to: SocketAddr, unsent: Option<u32>) -> io::Result<NetStream> {
+async fn connect_tcp(to: SocketAddr, unsent_limit: Option<u32>) -> io::Result<NetStream> {
     let stream = TcpStream::connect(to).await?;
-    set_options(&stream, unsent)?;
+    set_socket_options(&stream, unsent_limit)?;
     Ok(NetStream::new(stream))
 }
 
-/// Sends small writes at once, and notices a peer that fell silent.
-fn set_options(stream: &TcpStream, unsent: Option<u32>) -> io::Result<()> {
+/// Disables Nagle's algorithm, limits unsent bytes, and enables keepalive probes and the user timeout so that
+/// a dead peer is detected.
+fn set_socket_options(stream: &TcpStream, unsent_limit: Option<u32>) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    if let Some(unsent) = unsent {
-        socket.set_tcp_notsent_lowat(unsent)?;
+    if let Some(bytes) = unsent_limit {
+        socket.set_tcp_notsent_lowat(bytes)?;
     }
-    let probes = TcpKeepalive::new()
+    let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_PROBES);
-    socket.set_tcp_keepalive(&probes)?;
+    socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
 }
 
-async fn listen_tcp(at: SocketAddr, unsent: Option<u32>) -> io::Result<NetListener> {
+async fn listen_tcp(at: SocketAddr, unsent_limit: Option<u32>) -> io::Result<NetListener> {
     let listener = TcpListener::bind(at).await?;
     let local = listener.local_addr()?;
-    // A rendezvous of one: the kernel's backlog is the queue.
+    // Capacity 1, so that connections queue in the kernel's listen backlog.
     let (sender, receiver) = mpsc::channel(1);
     tokio::spawn(async move {
         loop {
@@ -185,12 +188,12 @@
                 Ok((stream, _)) => stream,
                 Err(error) => {
                     log::warn!("event=accept_failed address={local} error=\"{error}\"");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            if let Err(error) = set_options(&stream, unsent) {
-                // The peer may have gone already.
+            if let Err(error) = set_socket_options(&stream, unsent_limit) {
+                // The peer may have closed the connection already.
                 log::debug!("event=socket_options_failed address={local} error=\"{error}\"");
                 continue;
             }
@@ -202,14 +205,14 @@
     Ok(NetListener::new(local, receiver))
 }
 
-/// Rest of a connection after which the peer is probed. Probes cost a packet each; a caller's
-/// stream is given up after some seconds of silence, so a dead peer must be noticed before.
+/// Idle time of a connection before the first keepalive probe. Each probe costs a packet, but a caller's stream
+/// is aborted after a few seconds of silence, and a dead peer must be detected before that.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
-/// Time between two probes.
+/// Time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes after which the peer counts as gone.
+/// Number of unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Time that sent bytes may go without an acknowledgement; covers two lost packets in a row.
+/// Time that sent bytes may remain unacknowledged; long enough for two consecutive lost packets.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause after a failed accept, such as one for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed accept, for example when the process has no free file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/crates/dillspool_io/tests/client.rs
+++ b/crates/dillspool_io/tests/client.rs
@@ -1,4 +1,4 @@
-//! What a failed call tells of its effect, by table: over TCP and over the memory network alike.
+//! Tests that the error of a failed call says whether the server may have processed it.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -13,64 +13,65 @@
 const CLIENT: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 2));
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum CallEffect {
+enum CallOutcome {
     Answered,
     NotSent,
     Lost,
     Status,
 }
 
-struct CallRow {
+struct CallCase {
     name: &'static str,
     path: &'static str,
-    /// Link before the call, and 100 ms into it.
+    /// Link mode before the call.
     before: LinkMode,
+    /// Link mode from 100 ms after the start of the call.
     during: LinkMode,
-    effect: CallEffect,
+    outcome: CallOutcome,
 }
 
-const CALLS: [CallRow; 6] = [
-    CallRow {
-        name: "well",
-        path: "/well",
+const CASES: [CallCase; 6] = [
+    CallCase {
+        name: "success",
+        path: "/ok",
         before: LinkMode::Open,
         during: LinkMode::Open,
-        effect: CallEffect::Answered,
+        outcome: CallOutcome::Answered,
     },
-    CallRow {
+    CallCase {
         name: "no connection",
-        path: "/well",
+        path: "/ok",
         before: LinkMode::Cut,
         during: LinkMode::Cut,
-        effect: CallEffect::NotSent,
+        outcome: CallOutcome::NotSent,
     },
-    CallRow {
+    CallCase {
         name: "cut while the server works",
         path: "/slow",
         before: LinkMode::Open,
         during: LinkMode::Cut,
-        effect: CallEffect::Lost,
+        outcome: CallOutcome::Lost,
     },
-    CallRow {
+    CallCase {
         name: "frozen while the server works",
         path: "/slow",
         before: LinkMode::Open,
         during: LinkMode::Frozen,
-        effect: CallEffect::Lost,
+        outcome: CallOutcome::Lost,
     },
-    CallRow {
-        name: "answer that is not what was asked for",
+    CallCase {
+        name: "response of the wrong type",
         path: "/text",
         before: LinkMode::Open,
         during: LinkMode::Open,
-        effect: CallEffect::Lost,
+        outcome: CallOutcome::Lost,
     },
-    CallRow {
-        name: "refused by the server",
+    CallCase {
+        name: "error status",
         path: "/none",
         before: LinkMode::Open,
         during: LinkMode::Open,
-        effect: CallEffect::Status,
+        outcome: CallOutcome::Status,
     },
 ];
 
@@ -78,10 +79,10 @@
     let listener =
         net.stack(SERVER).listen(SocketAddr::new(SERVER, 0)).await.expect("the port is free");
     let address = listener.local_addr();
-    let answers = handler(|request: hyper::Request<hyper::body::Incoming>| async move {
+    let test_handler = handler(|request: hyper::Request<hyper::body::Incoming>| async move {
         let json = |text: &'static str| text_response(StatusCode::OK, "application/json", text);
         match request.uri().path() {
-            "/well" => json("7"),
+            "/ok" => json("7"),
             "/slow" => {
                 tokio::time::sleep(Duration::from_secs(1)).await;
                 json("7")
@@ -90,37 +91,42 @@
             _ => text_response(StatusCode::NOT_FOUND, "text/plain", "no"),
         }
     });
-    tokio::spawn(serve_http(listener, ServerLimits::default(), answers, CancellationToken::new()));
+    tokio::spawn(serve_http(
+        listener,
+        ServerLimits::default(),
+        test_handler,
+        CancellationToken::new(),
+    ));
     address
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_failure_tells_what_is_known_of_the_effect() {
-    for row in &CALLS {
+async fn errors_say_whether_a_call_may_have_run() {
+    for case in &CASES {
         let net = MemoryNet::new();
         let address = serve(&net).await;
-        net.set_link(SERVER, CLIENT, row.before);
+        net.set_link(SERVER, CLIENT, case.before);
         let client = HttpClient::pooled(&net.stack(CLIENT));
         let call =
-            client.call::<_, u32>(Method::POST, address, row.path, &(), Duration::from_secs(5));
+            client.call::<_, u32>(Method::POST, address, case.path, &(), Duration::from_secs(5));
         let change = async {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            net.set_link(SERVER, CLIENT, row.during);
+            net.set_link(SERVER, CLIENT, case.during);
         };
-        let (reply, ()) = tokio::join!(call, change);
-        let effect = match reply {
-            Ok(7) => CallEffect::Answered,
-            Ok(other) => panic!("{}: {other}", row.name),
-            Err(HttpError::NotSent { .. }) => CallEffect::NotSent,
-            Err(HttpError::Lost { .. }) => CallEffect::Lost,
-            Err(HttpError::Status { .. }) => CallEffect::Status,
+        let (response, ()) = tokio::join!(call, change);
+        let outcome = match response {
+            Ok(7) => CallOutcome::Answered,
+            Ok(other) => panic!("{}: {other}", case.name),
+            Err(HttpError::NotSent { .. }) => CallOutcome::NotSent,
+            Err(HttpError::Lost { .. }) => CallOutcome::Lost,
+            Err(HttpError::Status { .. }) => CallOutcome::Status,
         };
-        assert_eq!(effect, row.effect, "{}", row.name);
+        assert_eq!(outcome, case.outcome, "{}", case.name);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_server_that_is_cancelled_finishes_what_it_has() {
+async fn a_cancelled_server_finishes_exchanges_in_progress() {
     let net = MemoryNet::new();
     let stack = net.stack(SERVER);
     let listener = stack.listen(SocketAddr::new(SERVER, 0)).await.expect("the port is free");
@@ -138,8 +144,8 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         cancel.cancel();
     };
-    let (reply, ()) = tokio::join!(call, end);
-    assert_eq!(reply.expect("the exchange is finished"), 7);
+    let (response, ()) = tokio::join!(call, end);
+    assert_eq!(response.expect("the exchange is finished"), 7);
     served.await.expect("the server ends");
     let after = client.call::<_, u32>(Method::POST, address, "/", &(), limit).await;
     assert!(matches!(after, Err(HttpError::NotSent { .. })), "{after:?}");
