--- a/crates/dillspool_router/src/peer_list.rs
+++ b/crates/dillspool_router/src/peer_list.rs
@@ -91,7 +91,7 @@
         };
         let hosts: Vec<_> = self
             .with_rows(|rows| full_replica_hosts(rows).into_iter().filter_map(candidate).collect());
-        SchedulePeers { own: self.own.schedule, ranked: rank_candidates(service, &hosts) }
+        SchedulePeers { own_address: self.own.schedule, ranked: rank_candidates(service, &hosts) }
     }
 
     /// Whose questions to the store this host's beliefs come from.
