--- a/crates/dillspool_ledger/tests/lost_owners.rs
+++ b/crates/dillspool_ledger/tests/lost_owners.rs
@@ -78,7 +78,7 @@
     Finish,
     /// The owner frees the key.
     Abandon,
-    /// The owner begins and finishes this many other calls.
+    /// The owner begins this many other calls.
     BeginOthers(usize),
     SaveSnapshot,
     Restore,
--- a/crates/dillspool_ledger/tests/restored_failures.rs
+++ b/crates/dillspool_ledger/tests/restored_failures.rs
@@ -391,5 +391,5 @@
     assert_eq!(count(CallState::Intent), ROWS - RESPONSES);
     assert_eq!(count(CallState::Answered) + count(CallState::Expired), RESPONSES);
     let bytes: usize = records.iter().filter_map(|it| Some(it.response.as_ref()?.body.len())).sum();
-    assert!((1..8 * 1024 * 1024).contains(&bytes), "{bytes} bytes of answers");
+    assert!((1..8 * 1024 * 1024).contains(&bytes), "{bytes} bytes of responses");
 }
