--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -313,7 +313,7 @@
         site: &SiteProtocol,
         schedule: ScheduleClient,
     ) {
-        let publisher = schedule.clone();
+        let client = schedule.clone();
         let replicator = SuspectReplicator {
             host: Name::clone(&self.config.host),
             table: Name::clone(&site.own_table),
@@ -322,9 +322,7 @@
             unreadable: replicas.unreadable.clone(),
             tracker: self.suspects.clone(),
             wall: WallClock::system(),
-            publish: Arc::new(move |update| {
-                publisher.publish(&FleetUpdate::Suspect(update.clone()))
-            }),
+            publish: Arc::new(move |update| client.publish(&FleetUpdate::Suspect(update.clone()))),
             is_scheduler: Arc::new(move || schedule.is_any_scheduler()),
         };
         tokio::spawn(replicator.run(self.background.clone()));
--- a/crates/dillspool_router/tests/common/mod.rs
+++ b/crates/dillspool_router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A site without a wire: rows are single words, backend servers are closures.
+//! A site without a wire format: rows are single words, and backend servers are closures.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod tracked;
@@ -27,12 +27,12 @@
 use dillspool_throttle::ThrottleTracker;
 use hyper::{HeaderMap, StatusCode};
 
-/// Where the host takes callers.
+/// Address on which the host accepts callers.
 pub const CALLERS: &str = "10.0.0.1:8144";
-/// Where it says whether it is ready.
+/// Address of the readiness endpoint.
 pub const READINESS: &str = "10.0.0.1:8140";
 
-/// The settings of a host.
+/// Settings of a host.
 pub fn config() -> RouterConfig {
     let address = |text: &str| text.parse().expect("an address");
     RouterConfig {
@@ -65,17 +65,17 @@
     }
 }
 
-/// What the store holds and what reached the backend server.
+/// Content of the store, and the requests that reached the backend server.
 #[derive(Clone, Default)]
 pub struct TestSite {
-    /// Configuration row and its version; empty before the first.
+    /// Version and text of the configuration row; empty before the first write.
     pub config: Arc<Mutex<(u64, String)>>,
     pub arrivals: Arc<Mutex<Vec<String>>>,
-    /// How long the backend server works.
+    /// How long the backend server takes per request.
     pub work: Arc<Mutex<Duration>>,
     pub table: MemoryTable,
-    /// Whether the store turns this host away.
-    pub store_away: Arc<AtomicBool>,
+    /// Whether the store refuses this host's calls.
+    pub is_store_unavailable: Arc<AtomicBool>,
 }
 
 impl TestSite {
@@ -84,8 +84,8 @@
         *config = (config.0 + 1, text.to_owned());
     }
 
-    fn is_away(&self) -> Result<(), PlatformError> {
-        if self.store_away.load(Ordering::Relaxed) {
+    fn check_available(&self) -> Result<(), PlatformError> {
+        if self.is_store_unavailable.load(Ordering::Relaxed) {
             return Err(PlatformError::NotDone { reason: "turned away".to_owned() });
         }
         Ok(())
@@ -103,7 +103,7 @@
     headers.insert("x-id", id.parse().expect("a header value"));
 }
 
-/// Workspaces as NAME:KEY,KEY words; `keyless` is none of them.
+/// Workspaces in the form NAME:KEY,KEY; the word `keyless` is not one of them.
 fn workspaces(words: &[&str]) -> Option<WorkspaceTable> {
     let words: Vec<_> = words.iter().filter_map(|word| word.split_once(':')).collect();
     let entry = |(name, keys): (&str, &str)| {
@@ -113,7 +113,7 @@
     (!words.is_empty()).then(|| WorkspaceTable::new(words.into_iter().map(entry)))
 }
 
-/// A configuration is its version, the prefix of its only route, and the workspaces.
+/// A configuration consists of its version, the path prefix of its only route, and the workspaces.
 pub fn decode_config(text: &str) -> Result<RoutingConfig, String> {
     let words: Vec<_> = text.split(' ').collect();
     let [version, prefix, rest @ ..] = words.as_slice() else {
@@ -179,7 +179,7 @@
         return TableDelta { full: true, version: 1.into(), rows: vec![row] };
     }
     let (written, text) = site.config.lock().unwrap().clone();
-    // The store's version counts the empty table too.
+    // The version of the store includes the empty table.
     let version = written + 1;
     let row =
         ChangedRow { key: "config".into(), version: version.into(), value: Some(text.into()) };
@@ -219,7 +219,7 @@
     }
 }
 
-/// The site's protocol.
+/// Protocol of the test site.
 pub fn site(site: &TestSite) -> SiteProtocol {
     let (for_snapshot, for_changes) = (site.clone(), site.clone());
     SiteProtocol {
@@ -238,14 +238,14 @@
             snapshot: Arc::new(move |table| {
                 let site = for_snapshot.clone();
                 Box::pin(async move {
-                    site.is_away()?;
+                    site.check_available()?;
                     Ok::<_, PlatformError>(rows(&site, &table))
                 })
             }),
             changes: Arc::new(move |table, after, wait| {
                 let site = for_changes.clone();
                 Box::pin(async move {
-                    site.is_away().map_err(|source| WatchError::Store { source })?;
+                    site.check_available().map_err(|source| WatchError::Store { source })?;
                     let mut delta = rows(&site, &table);
                     if delta.version <= after {
                         tokio::time::sleep(wait).await;
--- a/crates/dillspool_router/tests/common/tracked.rs
+++ b/crates/dillspool_router/tests/common/tracked.rs
@@ -1,4 +1,4 @@
-//! A directory that a test writes.
+//! A directory tracker whose tables are written by the test.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// An address of the host itself.
+/// One of the host's own addresses.
 pub const OWN: &str = "10.0.0.1:80";
 
 pub struct TrackedDirectory {
-    pub belief: SharedReplica,
+    pub replica: SharedReplica,
     pub operator: SharedReplica,
     pub unreadable: UnreadableRows,
-    pub reach: watch::Sender<StoreReachability>,
+    pub reachability: watch::Sender<StoreReachability>,
     pub leaving: LeavingTracker,
     pub view: watch::Receiver<Arc<DirectoryView>>,
 }
 
 impl TrackedDirectory {
     pub fn start() -> Self {
-        let belief = SharedReplica::new("servers".into(), awake());
-        let operator = SharedReplica::new("op".into(), awake());
-        let reach =
+        let replica = SharedReplica::new("servers".into(), stall_detector());
+        let operator = SharedReplica::new("op".into(), stall_detector());
+        let reachability =
             watch::Sender::new(StoreReachability { direct: true, ..StoreReachability::unknown() });
         let (sender, view) = watch::channel(Arc::default());
         let settings = DirectorySettings {
@@ -39,17 +39,17 @@
         let unreadable = UnreadableRows::default();
         let leaving = LeavingTracker::new(HostClock::steady());
         let sources = DirectorySources {
-            backends: belief.subscribe(),
+            backends: replica.subscribe(),
             operator: operator.subscribe(),
-            reachability: reach.subscribe(),
+            reachability: reachability.subscribe(),
             leaving: leaving.subscribe(),
         };
         tokio::spawn(track_directory(site, settings, unreadable.clone(), sources, sender));
-        Self { belief, operator, unreadable, reach, leaving, view }
+        Self { replica, operator, unreadable, reachability, leaving, view }
     }
 
-    /// A start of the backend server says in an answer that it leaves.
-    pub fn say_leaving(&self, start: Option<u64>) {
+    /// A start of the backend server announces in a response that it is leaving.
+    pub fn announce_leaving(&self, start: Option<u64>) {
         self.leaving
             .record_response(&BackendInstance { id: "i-1".into(), start: start.map(BackendStart) });
     }
@@ -57,15 +57,15 @@
     pub fn write(&self, version: u64, text: Option<&str>) {
         let row =
             ChangedRow { key: "i-1".into(), version: version.into(), value: text.map(Into::into) };
-        self.belief.merge(&TableDelta { full: false, version: version.into(), rows: vec![row] });
+        self.replica.merge(&TableDelta { full: false, version: version.into(), rows: vec![row] });
     }
 
-    /// The store comes back from a copy with this row of the backend server, at a version of its second era.
+    /// Restores the store from a backup with this row, at a version of the second era.
     pub fn restore(&self, number: u64, text: Option<&str>) {
         self.merge_restored(true, number, text);
     }
 
-    /// The row is written in the second era.
+    /// Writes the row in the second era.
     pub fn write_restored(&self, number: u64, text: Option<&str>) {
         self.merge_restored(false, number, text);
     }
@@ -74,12 +74,12 @@
         let version = StoreVersion::new(StoreEra::new(2), number);
         let value = text.map(Into::into);
         let row = ChangedRow { key: "i-1".into(), version, value };
-        // A whole read does not show deleted rows.
+        // A snapshot does not contain deleted rows.
         let rows = (text.is_some() || !full).then_some(row).into_iter().collect();
-        self.belief.merge(&TableDelta { full, version, rows });
+        self.replica.merge(&TableDelta { full, version, rows });
     }
 
-    /// The operator's rows are read whole in an era, these drain failure domains.
+    /// Replaces all operator rows with these drains, in the given era.
     pub fn read_operator(&self, era: u64, number: u64, keys: &[&str]) {
         let version = StoreVersion::new(StoreEra::new(era), number);
         let row = |key: &&str| ChangedRow { key: (*key).into(), version, value: Some("{}".into()) };
@@ -93,8 +93,8 @@
         self.operator.merge(&TableDelta { full: false, version: version.into(), rows: vec![row] });
     }
 
-    pub fn reach(&self, reachable: bool) {
-        self.reach
+    pub fn set_reachable(&self, reachable: bool) {
+        self.reachability
             .send_replace(StoreReachability { direct: reachable, ..StoreReachability::unknown() });
     }
 
@@ -107,12 +107,11 @@
     }
 }
 
-/// A watch by tokio's clock.
-fn awake() -> StallDetector {
+/// Detector on tokio's clock.
+fn stall_detector() -> StallDetector {
     StallDetector::start(HostClock::steady(), CancellationToken::new())
 }
 
-/// Lets time pass.
-pub async fn pass(millis: u64) {
+pub async fn sleep_ms(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
--- a/crates/dillspool_router/tests/daemon.rs
+++ b/crates/dillspool_router/tests/daemon.rs
@@ -1,4 +1,5 @@
-//! A whole host over the network in memory: readiness, refusals, configuration, stop.
+//! Tests of a whole host over an in-memory network: readiness, refusals, configuration and graceful
+//! stop.
 
 mod common;
 
@@ -31,7 +32,7 @@
         let daemon =
             RouterDaemon::start(config(), stack, protocol, clock).await.expect("it starts");
         let client = HttpClient::pooled(&net.stack("10.0.0.2".parse().expect("an address")));
-        pass(100).await;
+        sleep_ms(100).await;
         Self { site, daemon, client }
     }
 
@@ -54,7 +55,7 @@
     }
 }
 
-async fn pass(millis: u64) {
+async fn sleep_ms(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
@@ -64,7 +65,7 @@
     assert!(!host.is_ready().await);
     assert_eq!(host.get(CALLERS, "/x/1", "", true).await.0, 503);
     host.site.write_config("1 /x/");
-    pass(4000).await;
+    sleep_ms(4000).await;
     assert!(host.is_ready().await);
     assert_eq!(host.get(CALLERS, "/x/1", "body", true).await, (200, "body".to_owned()));
 }
@@ -78,7 +79,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn odd_requests_are_refused_and_nothing_is_forwarded() {
+async fn invalid_requests_are_refused_and_not_forwarded() {
     let site = TestSite::default();
     site.write_config("1 /x/");
     let host = TestHost::start(site).await;
@@ -97,16 +98,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn configurations_take_force_and_never_fall() {
+async fn newer_configurations_are_applied_and_older_ones_ignored() {
     let site = TestSite::default();
     site.write_config("5 /x/");
     let host = TestHost::start(site).await;
     host.site.write_config("7 /y/");
-    pass(3000).await;
+    sleep_ms(3000).await;
     assert_eq!(host.get(CALLERS, "/y/1", "", true).await.0, 200);
     for ignored in ["6 /x/", "malformed", "x /z/"] {
         host.site.write_config(ignored);
-        pass(3000).await;
+        sleep_ms(3000).await;
         assert_eq!(host.get(CALLERS, "/y/1", "", true).await.0, 200, "{ignored}");
         assert_eq!(host.get(CALLERS, "/x/1", "", true).await.0, 404, "{ignored}");
     }
@@ -122,7 +123,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stop_cuts_no_answer_and_takes_what_still_comes() {
+async fn a_stop_completes_open_and_new_requests() {
     let site = TestSite::default();
     site.write_config("1 /x/");
     *site.work.lock().unwrap() = Duration::from_secs(4);
@@ -139,10 +140,10 @@
         client.send(CALLERS.parse().expect("an address"), request).await
     };
     let before = tokio::spawn(send(client.clone()));
-    pass(100).await;
+    sleep_ms(100).await;
     let stopping = tokio::spawn(daemon.stop());
-    pass(1000).await;
-    // The platform still sends connections for a while.
+    sleep_ms(1000).await;
+    // The platform keeps sending connections for a while.
     let after = tokio::spawn(send(client));
     for answer in [before, after] {
         let answer = answer.await.expect("no panic").expect("an answer");
@@ -152,9 +153,10 @@
     assert_eq!(site.arrivals.lock().unwrap().len(), 2);
 }
 
-/// The platform counts the grace by a clock of its own, also while the host is suspended.
+/// The platform measures the grace period by its own clock, which also runs while the host is
+/// suspended.
 #[tokio::test(start_paused = true)]
-async fn a_stop_ends_within_the_grace() {
+async fn a_stop_completes_within_the_grace_period() {
     for suspended in [Duration::ZERO, Duration::from_secs(2), Duration::from_secs(5)] {
         let site = TestSite::default();
         site.write_config("1 /x/");
@@ -172,10 +174,10 @@
         let _hanging = tokio::spawn(async move {
             client.send(CALLERS.parse().expect("an address"), request).await
         });
-        pass(100).await;
+        sleep_ms(100).await;
         let started = clock.now();
         let suspending = async {
-            pass(1000).await;
+            sleep_ms(1000).await;
             jumps.suspend(suspended);
         };
         tokio::join!(host.daemon.stop(), suspending);
@@ -184,7 +186,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn metrics_show_what_the_host_believes() {
+async fn metrics_show_the_replicated_state() {
     let site = TestSite::default();
     site.write_config("7 /x/");
     let host = TestHost::start(site).await;
--- a/crates/dillspool_router/tests/directory.rs
+++ b/crates/dillspool_router/tests/directory.rs
@@ -1,71 +1,73 @@
-//! Backend servers appear, leave, and lapse around outages.
+//! Tests how backend servers appear, leave, and lapse around outages.
 
 mod common;
 
-use common::tracked::{TrackedDirectory, pass};
+use common::tracked::{TrackedDirectory, sleep_ms};
 use dillspool_platform::{ChangedRow, TableDelta};
 
 #[tokio::test(start_paused = true)]
-async fn draining_and_gone_count_at_once_while_the_store_is_there() {
+async fn draining_and_deletion_apply_at_once_while_the_store_is_reachable() {
     let directory = TrackedDirectory::start();
-    pass(5000).await;
+    sleep_ms(5000).await;
     directory.write(1, Some("ready"));
-    pass(1).await;
+    sleep_ms(1).await;
     assert!(directory.is_ready());
     directory.write(2, Some("draining"));
-    pass(1).await;
+    sleep_ms(1).await;
     assert!(directory.is_known() && !directory.is_ready());
     directory.write(3, Some("ready"));
-    pass(1).await;
+    sleep_ms(1).await;
     directory.write(4, None);
-    pass(1).await;
+    sleep_ms(1).await;
     assert!(!directory.is_known());
 }
 
-/// What an operator asked of failure domains.
+/// Operator rows for failure domains.
 struct DrainedCase {
     name: &'static str,
-    /// Rows of the operator in their order: version, key, and whether the row exists from then on.
-    asked: Vec<(u64, &'static str, bool)>,
-    /// Whether the backend server takes new requests after each row.
-    takes_new: Vec<bool>,
+    /// Operator rows in order: version, key, and whether the row exists.
+    rows: Vec<(u64, &'static str, bool)>,
+    /// Whether the backend server accepts requests after each row.
+    accepts_requests: Vec<bool>,
 }
 
-/// An operator emptied a failure domain, and hosts went on to send requests there: 3,605 in the eight seconds after
-/// the store had taken the operator's row, since nothing read it.
+/// Guards against drains being ignored: hosts went on sending requests to a drained failure domain,
+/// 3,605 in the eight seconds after the operator's row was in the store, because nothing read it.
 #[tokio::test(start_paused = true)]
-async fn a_drained_failure_domain_gets_nothing_new_until_it_is_taken_back() {
+async fn a_drained_failure_domain_gets_no_new_requests_until_restored() {
     let cases = [
         DrainedCase {
-            name: "drained and taken back",
-            asked: vec![(2, "drained/domain", true), (3, "drained/domain", false)],
-            takes_new: vec![false, true],
+            name: "drained and restored",
+            rows: vec![(2, "drained/domain", true), (3, "drained/domain", false)],
+            accepts_requests: vec![false, true],
         },
         DrainedCase {
-            name: "another one",
-            asked: vec![(2, "drained/elsewhere", true), (3, "drained/domain-2", true)],
-            takes_new: vec![true, true],
+            name: "another domain",
+            rows: vec![(2, "drained/elsewhere", true), (3, "drained/domain-2", true)],
+            accepts_requests: vec![true, true],
         },
         DrainedCase {
-            name: "an older word of a peer changes nothing",
-            asked: vec![(3, "drained/domain", true), (2, "drained/domain", false)],
-            takes_new: vec![false, false],
+            name: "an older update from a peer is ignored",
+            rows: vec![(3, "drained/domain", true), (2, "drained/domain", false)],
+            accepts_requests: vec![false, false],
         },
         DrainedCase {
             name: "other rows of the operator",
-            asked: vec![(2, "config", true), (3, "drained/", true)],
-            takes_new: vec![true, true],
+            rows: vec![(2, "config", true), (3, "drained/", true)],
+            accepts_requests: vec![true, true],
         },
     ];
     for case in cases {
         let directory = TrackedDirectory::start();
         directory.write(1, Some("ready"));
-        pass(5000).await;
+        sleep_ms(5000).await;
         assert!(directory.is_ready(), "{}", case.name);
-        for ((version, key, exists), takes_new) in case.asked.into_iter().zip(case.takes_new) {
+        for ((version, key, exists), accepts_requests) in
+            case.rows.into_iter().zip(case.accepts_requests)
+        {
             directory.write_operator(version, key, exists);
-            pass(1).await;
-            assert_eq!(directory.is_ready(), takes_new, "{}: {key}", case.name);
+            sleep_ms(1).await;
+            assert_eq!(directory.is_ready(), accepts_requests, "{}: {key}", case.name);
             assert!(directory.is_known(), "{}: what runs there goes on", case.name);
         }
     }
@@ -73,70 +75,70 @@
 
 /// A host that starts while a failure domain is drained never sees its backend servers as ready.
 #[tokio::test(start_paused = true)]
-async fn a_drain_that_is_known_before_the_backend_server_holds_for_it() {
+async fn a_drain_applies_to_backend_servers_that_register_later() {
     let directory = TrackedDirectory::start();
     directory.write_operator(1, "drained/domain", true);
-    pass(1).await;
+    sleep_ms(1).await;
     directory.write(2, Some("ready"));
-    pass(1).await;
+    sleep_ms(1).await;
     assert!(directory.is_known() && !directory.is_ready());
-    // Its row lapses in an outage as that of any ready one does.
-    directory.reach(false);
+    // Its row lapses in an outage like that of any ready backend server.
+    directory.set_reachable(false);
     directory.write(3, None);
-    pass(1).await;
+    sleep_ms(1).await;
     assert!(directory.is_known() && !directory.is_ready());
 }
 
-/// What another writer put in place of a row.
-struct ForeignCase {
+/// Rows that another writer put in place of a valid one.
+struct InvalidRowCase {
     name: &'static str,
-    /// Rows in their order, by their text; `None` when the row was deleted.
+    /// Text of the rows in order; `None` if the row was deleted.
     rows: Vec<Option<&'static str>>,
-    /// Whether the store is in reach.
+    /// Whether the store is reachable.
     reachable: bool,
     /// Whether the backend server is in use after each row.
     used: Vec<bool>,
 }
 
-/// An entry that another writer had spoiled stayed in use as it was before: an unreadable one was left out of the
-/// change, a malformed one kept the entry before it. Requests went on to an engine that might long be gone
-/// or be another one's, a line about it came again at every change of the table, and a host that read
-/// the table whole did not know the engine.
+/// Guards against an invalid row leaving the previous entry in use: an unreadable one was omitted
+/// from the change, and a malformed one kept the entry before it. Requests went on to an engine
+/// that might be gone or belong to someone else, the row was logged at every change of the table,
+/// and a host that read the whole table did not know the engine.
 #[tokio::test(start_paused = true)]
-async fn a_row_that_names_no_backend_server_takes_it_out_of_use() {
+async fn an_invalid_row_takes_the_backend_server_out_of_use() {
     let cases = [
-        ForeignCase {
-            name: "spoiled, then good again",
+        InvalidRowCase {
+            name: "invalid, then valid again",
             rows: vec![Some("ready"), Some("malformed"), Some("ready")],
             reachable: true,
             used: vec![true, false, true],
         },
-        ForeignCase {
-            name: "never good",
+        InvalidRowCase {
+            name: "never valid",
             rows: vec![Some("malformed"), Some("{"), Some("")],
             reachable: true,
             used: vec![false, false, false],
         },
-        ForeignCase {
+        InvalidRowCase {
             name: "unreadable",
             rows: vec![Some("ready"), Some("")],
             reachable: true,
             used: vec![true, false],
         },
-        ForeignCase {
-            name: "it claims this host's own address",
+        InvalidRowCase {
+            name: "with this host's own address",
             rows: vec![Some("ready"), Some("at 10.0.0.1:80"), Some("at 10.0.0.1:81")],
             reachable: true,
             used: vec![true, false, true],
         },
-        ForeignCase {
-            name: "spoiled in an outage, which is no lapse",
+        InvalidRowCase {
+            name: "invalid during an outage, which is not a lapse",
             rows: vec![Some("ready"), Some("malformed")],
             reachable: false,
             used: vec![true, false],
         },
-        ForeignCase {
-            name: "spoiled, then lapsed in an outage",
+        InvalidRowCase {
+            name: "invalid, then lapsed during an outage",
             rows: vec![Some("ready"), Some("malformed"), None],
             reachable: false,
             used: vec![true, false, false],
@@ -144,211 +146,217 @@
     ];
     for case in cases {
         let directory = TrackedDirectory::start();
-        pass(5000).await;
-        directory.reach(case.reachable);
+        sleep_ms(5000).await;
+        directory.set_reachable(case.reachable);
         let mut used = Vec::new();
         for (text, version) in case.rows.iter().zip(1..) {
             directory.write(version, *text);
-            pass(1).await;
+            sleep_ms(1).await;
             used.push(directory.is_ready());
         }
         assert_eq!(used, case.used, "{}", case.name);
     }
 }
 
-/// Each version of a spoiled row is told once, however often its table changes, and also where it comes again by
-/// a whole read.
+/// Each version of an invalid row is reported once, however often its table changes, and also if a
+/// snapshot contains it again.
 #[tokio::test(start_paused = true)]
-async fn a_spoiled_row_is_told_once_a_version() {
+async fn an_invalid_row_is_reported_once_per_version() {
     let directory = TrackedDirectory::start();
-    let told = || directory.unreadable.count(&"servers".into());
+    let reported = || directory.unreadable.count(&"servers".into());
     directory.write(1, Some("malformed"));
-    pass(1).await;
+    sleep_ms(1).await;
     for version in 2..50 {
-        let other =
+        let valid =
             ChangedRow { key: "i-2".into(), version: version.into(), value: Some("ready".into()) };
-        let spoiled =
+        let invalid =
             ChangedRow { key: "i-1".into(), version: 1.into(), value: Some("malformed".into()) };
-        let (full, rows) = (version % 2 == 0, vec![other, spoiled]);
-        directory.belief.merge(&TableDelta { full, version: version.into(), rows });
-        pass(1).await;
+        let (full, rows) = (version % 2 == 0, vec![valid, invalid]);
+        directory.replica.merge(&TableDelta { full, version: version.into(), rows });
+        sleep_ms(1).await;
     }
-    assert_eq!(told(), 1);
+    assert_eq!(reported(), 1);
     directory.write(50, Some("malformed in another way"));
-    pass(1).await;
-    assert_eq!(told(), 2);
+    sleep_ms(1).await;
+    assert_eq!(reported(), 2);
 }
 
-/// What is heard of a backend server.
+/// An event that affects a backend server.
 #[derive(Clone, Copy)]
-enum Heard {
-    /// Its row changes; `None` when it is deleted.
+enum Event {
+    /// Its row changes; `None` if it is deleted.
     Row(Option<&'static str>),
-    /// A start says in an answer that it leaves.
+    /// A start announces in a response that it is leaving.
     Leaves(Option<u64>),
-    /// The store is reached, or not.
+    /// The store becomes reachable or unreachable.
     Reach(bool),
 }
 
-use Heard::{Leaves, Reach, Row};
+use Event::{Leaves, Reach, Row};
 
 struct LeavingCase {
     name: &'static str,
-    heard: &'static [Heard],
-    /// Whether it takes new requests after each.
-    takes_new: &'static [bool],
+    events: &'static [Event],
+    /// Whether it accepts requests after each event.
+    accepts_requests: &'static [bool],
 }
 
 const LEAVING: [LeavingCase; 7] = [
     LeavingCase {
-        name: "the row still says that it is ready",
-        heard: &[Row(Some("ready")), Leaves(None)],
-        takes_new: &[true, false],
+        name: "the row is still in state ready",
+        events: &[Row(Some("ready")), Leaves(None)],
+        accepts_requests: &[true, false],
     },
     LeavingCase {
-        name: "its row changes and says so again",
-        heard: &[Row(Some("ready")), Leaves(None), Row(Some("at 10.0.0.9:80"))],
-        takes_new: &[true, false, false],
+        name: "the row changes and is still in state ready",
+        events: &[Row(Some("ready")), Leaves(None), Row(Some("at 10.0.0.9:80"))],
+        accepts_requests: &[true, false, false],
     },
     LeavingCase {
-        name: "it is heard before the row",
-        heard: &[Leaves(Some(7)), Row(Some("ready since 7"))],
-        takes_new: &[false, false],
+        name: "announced before the row appears",
+        events: &[Leaves(Some(7)), Row(Some("ready since 7"))],
+        accepts_requests: &[false, false],
     },
     LeavingCase {
-        name: "it starts again",
-        heard: &[Row(Some("ready since 7")), Leaves(Some(7)), Row(Some("ready since 9"))],
-        takes_new: &[true, false, true],
+        name: "restarted",
+        events: &[Row(Some("ready since 7")), Leaves(Some(7)), Row(Some("ready since 9"))],
+        accepts_requests: &[true, false, true],
     },
     LeavingCase {
-        name: "a late answer of the start before",
-        heard: &[Row(Some("ready since 9")), Leaves(Some(7))],
-        takes_new: &[true, true],
+        name: "a late response from the previous start",
+        events: &[Row(Some("ready since 9")), Leaves(Some(7))],
+        accepts_requests: &[true, true],
     },
     LeavingCase {
-        name: "the store is away and its row lapses",
-        heard: &[Row(Some("ready")), Reach(false), Leaves(None), Row(None), Reach(true)],
-        takes_new: &[true, true, false, false, false],
+        name: "the store is unavailable and the row lapses",
+        events: &[Row(Some("ready")), Reach(false), Leaves(None), Row(None), Reach(true)],
+        accepts_requests: &[true, true, false, false, false],
     },
     LeavingCase {
-        name: "its row comes back after an outage",
-        heard: &[Row(Some("ready")), Reach(false), Leaves(None), Row(None), Row(Some("ready"))],
-        takes_new: &[true, true, false, false, false],
+        name: "the row returns after an outage",
+        events: &[Row(Some("ready")), Reach(false), Leaves(None), Row(None), Row(Some("ready"))],
+        accepts_requests: &[true, true, false, false, false],
     },
 ];
 
 #[tokio::test(start_paused = true)]
-async fn a_backend_server_that_says_it_leaves_is_believed_whatever_its_row_says() {
+async fn an_announcement_of_leaving_overrides_the_row() {
     for case in &LEAVING {
         let directory = TrackedDirectory::start();
-        pass(5000).await;
-        let mut takes_new = Vec::new();
-        for (heard, version) in case.heard.iter().zip(1..) {
-            match *heard {
+        sleep_ms(5000).await;
+        let mut accepts_requests = Vec::new();
+        for (event, version) in case.events.iter().zip(1..) {
+            match *event {
                 Row(text) => directory.write(version, text),
-                Leaves(start) => directory.say_leaving(start),
-                Reach(reachable) => directory.reach(reachable),
+                Leaves(start) => directory.announce_leaving(start),
+                Reach(reachable) => directory.set_reachable(reachable),
             }
-            pass(1).await;
-            takes_new.push(directory.is_ready());
+            sleep_ms(1).await;
+            accepts_requests.push(directory.is_ready());
         }
-        assert_eq!(takes_new, case.takes_new, "{}", case.name);
+        assert_eq!(accepts_requests, case.accepts_requests, "{}", case.name);
     }
 }
 
 struct LapseCase {
     name: &'static str,
-    /// State when the row goes missing in the outage.
+    /// State of the row when it goes missing during the outage.
     state: &'static str,
-    /// Milliseconds after the return of the store at which the row is back, if it is.
-    back_after: Option<u64>,
-    /// Whether it may be used in the outage, one second and three seconds after its end.
+    /// Milliseconds after the end of the outage at which the row returns, if it does.
+    returns_after_ms: Option<u64>,
+    /// Whether the backend server is in use during the outage, and one and three seconds after its
+    /// end.
     used: [bool; 3],
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_removes_no_living_backend_server() {
+async fn an_outage_removes_no_running_backend_server() {
     let cases = [
         LapseCase {
-            name: "back in time",
+            name: "returns in time",
             state: "ready",
-            back_after: Some(900),
+            returns_after_ms: Some(900),
             used: [true, true, true],
         },
-        LapseCase { name: "not back", state: "ready", back_after: None, used: [true, true, false] },
         LapseCase {
-            name: "it was leaving",
+            name: "does not return",
+            state: "ready",
+            returns_after_ms: None,
+            used: [true, true, false],
+        },
+        LapseCase {
+            name: "was leaving",
             state: "draining",
-            back_after: None,
+            returns_after_ms: None,
             used: [false, false, false],
         },
     ];
     for case in cases {
         let directory = TrackedDirectory::start();
-        pass(5000).await;
+        sleep_ms(5000).await;
         directory.write(1, Some(case.state));
-        pass(1).await;
-        directory.reach(false);
-        pass(1).await;
+        sleep_ms(1).await;
+        directory.set_reachable(false);
+        sleep_ms(1).await;
         directory.write(2, None);
-        pass(4000).await;
+        sleep_ms(4000).await;
         let during = directory.is_ready();
-        directory.reach(true);
-        pass(900).await;
-        if case.back_after.is_some() {
+        directory.set_reachable(true);
+        sleep_ms(900).await;
+        if case.returns_after_ms.is_some() {
             directory.write(3, Some("ready"));
         }
-        pass(100).await;
+        sleep_ms(100).await;
         let soon_after = directory.is_ready();
-        pass(2000).await;
+        sleep_ms(2000).await;
         assert_eq!([during, soon_after, directory.is_ready()], case.used, "{}", case.name);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_row_that_lapses_just_after_the_return_counts_too() {
+async fn a_row_that_lapses_just_after_an_outage_is_retained_for_the_grace_period() {
     let directory = TrackedDirectory::start();
     directory.write(1, Some("ready"));
-    directory.reach(false);
-    pass(4000).await;
-    directory.reach(true);
-    pass(300).await;
+    directory.set_reachable(false);
+    sleep_ms(4000).await;
+    directory.set_reachable(true);
+    sleep_ms(300).await;
     directory.write(2, None);
-    pass(1).await;
+    sleep_ms(1).await;
     assert!(directory.is_ready());
-    pass(1800).await;
+    sleep_ms(1800).await;
     assert!(!directory.is_known());
 }
 
-/// Rows of one id, each as the next change of the table or, if it is a whole read, as all of it.
+/// Rows of one id, each applied as a change of the table or as a snapshot.
 struct StartCase {
     name: &'static str,
-    /// Version, text, whether it is a whole read.
+    /// Version, text, and whether it is a snapshot.
     rows: Vec<(u64, Option<&'static str>, bool)>,
-    /// Start that is in use at the end, if it takes requests.
+    /// Start in use at the end, if it accepts requests.
     used: Option<u64>,
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_row_of_the_newest_version_tells_the_start() {
+async fn the_newest_row_version_determines_the_start() {
     let cases = [
         StartCase {
-            name: "it was leaving and starts again",
+            name: "leaving, then restarted",
             rows: vec![(1, Some("draining since 7"), false), (2, Some("ready since 9"), false)],
             used: Some(9),
         },
         StartCase {
-            name: "its clock went back",
+            name: "its clock was set back",
             rows: vec![(1, Some("ready since 9"), false), (2, Some("ready since 7"), false)],
             used: Some(7),
         },
         StartCase {
-            name: "the older row comes later, as by a relay",
+            name: "the older row arrives later, for example by a relay",
             rows: vec![(2, Some("ready since 9"), false), (1, Some("ready since 7"), false)],
             used: Some(9),
         },
         StartCase {
-            name: "a whole read between two starts",
+            name: "a snapshot between two starts",
             rows: vec![
                 (1, Some("draining since 7"), false),
                 (3, Some("ready since 9"), true),
@@ -357,12 +365,12 @@
             used: Some(9),
         },
         StartCase {
-            name: "twice within one heartbeat, the first of which was not seen",
+            name: "two restarts within one heartbeat, of which the first was not seen",
             rows: vec![(1, Some("ready since 7"), false), (4, Some("ready since 11"), false)],
             used: Some(11),
         },
         StartCase {
-            name: "it lapses and comes back as another",
+            name: "lapsed and returned as another start",
             rows: vec![
                 (1, Some("ready since 7"), false),
                 (2, None, false),
@@ -371,7 +379,7 @@
             used: Some(9),
         },
         StartCase {
-            name: "the next start leaves",
+            name: "the next start is leaving",
             rows: vec![(1, Some("ready since 7"), false), (2, Some("draining since 9"), false)],
             used: None,
         },
@@ -379,14 +387,14 @@
     for case in cases {
         for reachable in [true, false] {
             let directory = TrackedDirectory::start();
-            pass(5000).await;
-            directory.reach(reachable);
+            sleep_ms(5000).await;
+            directory.set_reachable(reachable);
             for (version, text, full) in &case.rows {
                 let value = text.map(Into::into);
                 let row = ChangedRow { key: "i-1".into(), version: (*version).into(), value };
                 let delta = TableDelta { full: *full, version: (*version).into(), rows: vec![row] };
-                directory.belief.merge(&delta);
-                pass(1).await;
+                directory.replica.merge(&delta);
+                sleep_ms(1).await;
             }
             let view = directory.view.borrow();
             let entry = view.entries.get("i-1").filter(|entry| entry.is_ready());
--- a/crates/dillspool_router/tests/keys.rs
+++ b/crates/dillspool_router/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Who gets in: keys that are known, unknown, taken away, and a host that may not know.
+//! Tests authorization: known, unknown and revoked keys, and a host with a stale configuration.
 
 mod common;
 
@@ -17,7 +17,7 @@
 struct TestHost {
     site: TestSite,
     _daemon: RouterDaemon,
-    /// Keeps its connections.
+    /// Client with pooled connections.
     client: HttpClient,
 }
 
@@ -32,11 +32,11 @@
             .await
             .expect("it starts");
         let client = HttpClient::pooled(&net.stack("10.0.0.2".parse().expect("an address")));
-        pass(100).await;
+        sleep_ms(100).await;
         Self { site, _daemon: daemon, client }
     }
 
-    /// Status, and whether a time to come back is named.
+    /// Returns the status, and whether the response has a Retry-After header.
     async fn send(&self, path: &str, key: &str) -> (u16, bool) {
         let address: SocketAddr = CALLERS.parse().expect("an address");
         let builder = Request::builder().method("POST").uri(path).header("host", "a.example");
@@ -44,10 +44,10 @@
         let builder = if key.is_empty() { builder } else { builder.header("x-key", key) };
         let request = builder.body(Full::new(Bytes::from("body"))).expect("a request");
         let response = self.client.send(address, request).await.expect("an answer");
-        let (status, comes_back) =
+        let (status, has_retry_after) =
             (response.status().as_u16(), response.headers().contains_key(RETRY_AFTER));
         let _body = read_body(response.into_body(), 10_000).await.expect("a whole body");
-        (status, comes_back)
+        (status, has_retry_after)
     }
 
     fn arrivals(&self) -> Vec<String> {
@@ -55,7 +55,7 @@
     }
 }
 
-async fn pass(millis: u64) {
+async fn sleep_ms(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
@@ -65,12 +65,12 @@
     path: &'static str,
     key: &'static str,
     status: u16,
-    /// What reached the backend server: the path and the workspace that was named.
+    /// Path and workspace that reached the backend server.
     arrived: Option<&'static str>,
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_key_opens_the_routes_for_its_workspace() {
+async fn a_key_authorizes_requests_of_its_workspace() {
     let known = "1 /x/ county:k1,k2 clinic:k3";
     let keyless = "1 /x/ keyless county:k1";
     let case = |name, config, path, key, status, arrived| KeyCase {
@@ -86,8 +86,8 @@
         case("second key", known, "/x/", "k2", 200, Some("/x/county")),
         case("another workspace", known, "/x/", "k3", 200, Some("/x/clinic")),
         case("unknown", known, "/x/", "k4", 401, None),
-        case("a name for a key", known, "/x/", "county", 401, None),
-        case("none", known, "/x/", "", 401, None),
+        case("workspace name instead of a key", known, "/x/", "county", 401, None),
+        case("no key", known, "/x/", "", 401, None),
         case("no route", known, "/y/", "k1", 404, None),
         case("keyless route", keyless, "/x/", "", 200, Some("/x/")),
         case("keyless route, a key", keyless, "/x/", "k1", 200, Some("/x/")),
@@ -103,46 +103,46 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_key_that_is_taken_away_opens_nothing_more_on_an_open_connection() {
+async fn a_revoked_key_is_refused_on_an_open_connection() {
     let host = TestHost::start("1 /x/ county:k1 clinic:k2").await;
     assert_eq!(host.send("/x/", "k1").await, (200, false));
     host.site.write_config("2 /x/ clinic:k2");
-    pass(3000).await;
+    sleep_ms(3000).await;
     assert_eq!(host.send("/x/", "k1").await, (401, false));
     assert_eq!(host.send("/x/", "k2").await, (200, false));
     host.site.write_config("3 /x/ clinic:k1,k2");
-    pass(3000).await;
+    sleep_ms(3000).await;
     host.arrivals();
     assert_eq!(host.send("/x/", "k1").await, (200, false));
     assert_eq!(host.arrivals(), ["/x/clinic"], "it belongs to another workspace now");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_host_with_an_old_configuration_does_not_say_that_a_key_or_route_is_unknown() {
+async fn a_host_with_a_stale_configuration_asks_to_retry_unknown_keys_and_routes() {
     let host = TestHost::start("1 /x/ county:k1").await;
     assert_eq!(host.send("/x/", "k2").await, (401, false));
     assert_eq!(host.send("/y/", "k1").await, (404, false));
-    host.site.store_away.store(true, Ordering::Relaxed);
+    host.site.is_store_unavailable.store(true, Ordering::Relaxed);
     host.site.write_config("2 /x/ county:k2");
-    pass(10_000).await;
-    // It may have been added meanwhile; another host knows.
+    sleep_ms(10_000).await;
+    // The key or route may have been added since; another host may know it.
     assert_eq!(host.send("/x/", "k2").await, (503, true));
     assert_eq!(host.send("/y/", "k1").await, (503, true));
-    // No configuration could know this one.
+    // No configuration could contain this one.
     assert_eq!(host.send("/x/", "").await, (401, false));
-    // Service goes on for as long as an outage lasts.
+    // Known keys work for as long as an outage lasts.
     assert_eq!(host.send("/x/", "k1").await, (200, false));
-    host.site.store_away.store(false, Ordering::Relaxed);
-    pass(3000).await;
+    host.site.is_store_unavailable.store(false, Ordering::Relaxed);
+    sleep_ms(3000).await;
     assert_eq!(host.send("/x/", "k2").await, (200, false));
     assert_eq!(host.send("/x/", "k1").await, (401, false));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_host_that_asks_a_quiet_store_alone_always_knows_what_is_unknown() {
+async fn a_host_that_polls_an_unchanging_store_rejects_unknown_keys_and_routes() {
     let host = TestHost::start("1 /x/ county:k1").await;
     for turn in 0..100 {
-        pass(100).await;
+        sleep_ms(100).await;
         assert_eq!(host.send("/x/", "k2").await, (401, false), "turn {turn}");
         assert_eq!(host.send("/y/", "k1").await, (404, false), "turn {turn}");
     }
--- a/crates/dillspool_router/tests/restored_directory.rs
+++ b/crates/dillspool_router/tests/restored_directory.rs
@@ -1,237 +1,242 @@
-//! The store comes back from a copy, which shows backend servers as they were some seconds ago.
+//! Tests a store that is restored from a backup, which shows backend servers as they were some
+//! seconds ago.
 
 mod common;
 
-use common::tracked::{TrackedDirectory, pass};
+use common::tracked::{TrackedDirectory, sleep_ms};
 
-/// What a row says: `None` where it is missing or deleted.
+/// Text of a row: `None` if it is missing or deleted.
 type RowText = Option<&'static str>;
 
-struct CopyCase {
+struct RestoreCase {
     name: &'static str,
-    /// What the row says before the restoration, one after the other.
+    /// Rows before the restore, in order.
     before: &'static [RowText],
-    copy: RowText,
-    /// What is written after it, with the moment in milliseconds since the restoration.
-    then: &'static [(u64, RowText)],
-    /// Whether the backend server takes new requests at each moment.
-    takes_new: &'static [(u64, bool)],
+    restored: RowText,
+    /// Rows written after the restore, with the time in milliseconds since then.
+    later: &'static [(u64, RowText)],
+    /// Whether the backend server accepts requests at each time.
+    accepts_requests: &'static [(u64, bool)],
 }
 
 const READY: RowText = Some("ready since 7");
-const LEAVES: RowText = Some("draining since 7");
-const NEXT_START: RowText = Some("ready since 9");
+const LEAVING: RowText = Some("draining since 7");
+const RESTARTED: RowText = Some("ready since 9");
 
-const CASES: [CopyCase; 12] = [
-    CopyCase {
-        name: "nothing has changed since the copy",
+const CASES: [RestoreCase; 12] = [
+    RestoreCase {
+        name: "unchanged since the backup",
         before: &[READY],
-        copy: READY,
-        then: &[],
-        takes_new: &[(1, true), (1_900, true), (11_000, true)],
-    },
-    CopyCase {
-        name: "it said that it leaves since the copy",
-        before: &[READY, LEAVES],
-        copy: READY,
-        then: &[],
-        takes_new: &[(1, false), (1_900, false), (11_000, false)],
-    },
-    CopyCase {
-        name: "it says so again",
-        before: &[READY, LEAVES],
-        copy: READY,
-        then: &[(500, LEAVES), (900, None)],
-        takes_new: &[(1, false), (600, false), (1_000, false)],
-    },
-    CopyCase {
-        name: "it writes that it is ready",
-        before: &[READY, LEAVES],
-        copy: READY,
-        then: &[(500, READY)],
-        takes_new: &[(1, false), (600, true)],
-    },
-    CopyCase {
-        name: "it starts again",
-        before: &[READY, LEAVES],
-        copy: NEXT_START,
-        then: &[],
-        takes_new: &[(1, true)],
-    },
-    CopyCase {
-        name: "it was gone",
+        restored: READY,
+        later: &[],
+        accepts_requests: &[(1, true), (1_900, true), (11_000, true)],
+    },
+    RestoreCase {
+        name: "started leaving after the backup",
+        before: &[READY, LEAVING],
+        restored: READY,
+        later: &[],
+        accepts_requests: &[(1, false), (1_900, false), (11_000, false)],
+    },
+    RestoreCase {
+        name: "writes again that it is leaving",
+        before: &[READY, LEAVING],
+        restored: READY,
+        later: &[(500, LEAVING), (900, None)],
+        accepts_requests: &[(1, false), (600, false), (1_000, false)],
+    },
+    RestoreCase {
+        name: "writes that it is ready",
+        before: &[READY, LEAVING],
+        restored: READY,
+        later: &[(500, READY)],
+        accepts_requests: &[(1, false), (600, true)],
+    },
+    RestoreCase {
+        name: "restarted",
+        before: &[READY, LEAVING],
+        restored: RESTARTED,
+        later: &[],
+        accepts_requests: &[(1, true)],
+    },
+    RestoreCase {
+        name: "gone",
         before: &[READY, None],
-        copy: READY,
-        then: &[(4_000, None)],
-        takes_new: &[(1, false), (1_900, false), (3_900, false), (4_100, false)],
+        restored: READY,
+        later: &[(4_000, None)],
+        accepts_requests: &[(1, false), (1_900, false), (3_900, false), (4_100, false)],
     },
-    CopyCase {
-        name: "its row had lapsed, and it goes on",
+    RestoreCase {
+        name: "lapsed before, and still running",
         before: &[READY, None],
-        copy: READY,
-        then: &[],
-        takes_new: &[(1, false), (9_900, false), (10_100, true)],
+        restored: READY,
+        later: &[],
+        accepts_requests: &[(1, false), (9_900, false), (10_100, true)],
     },
-    CopyCase {
-        name: "it writes again after its row had lapsed",
+    RestoreCase {
+        name: "lapsed before, and writes again",
         before: &[READY, None],
-        copy: READY,
-        then: &[(500, READY)],
-        takes_new: &[(1, false), (600, true)],
+        restored: READY,
+        later: &[(500, READY)],
+        accepts_requests: &[(1, false), (600, true)],
     },
-    CopyCase {
-        name: "it was gone and has started again",
+    RestoreCase {
+        name: "gone, then restarted",
         before: &[READY, None],
-        copy: NEXT_START,
-        then: &[],
-        takes_new: &[(1, true)],
+        restored: RESTARTED,
+        later: &[],
+        accepts_requests: &[(1, true)],
     },
-    CopyCase {
-        name: "it was recorded since the copy",
+    RestoreCase {
+        name: "registered after the backup",
         before: &[READY],
-        copy: None,
-        then: &[(1_500, READY)],
-        takes_new: &[(1, true), (1_400, true), (1_600, true), (11_000, true)],
+        restored: None,
+        later: &[(1_500, READY)],
+        accepts_requests: &[(1, true), (1_400, true), (1_600, true), (11_000, true)],
     },
-    CopyCase {
-        name: "it was recorded since the copy, and has crashed",
+    RestoreCase {
+        name: "registered after the backup, then crashed",
         before: &[READY],
-        copy: None,
-        then: &[],
-        takes_new: &[(1, true), (1_900, true), (2_100, false)],
+        restored: None,
+        later: &[],
+        accepts_requests: &[(1, true), (1_900, true), (2_100, false)],
     },
-    CopyCase {
-        name: "it was recorded since the copy, and leaves",
-        before: &[READY, LEAVES],
-        copy: None,
-        then: &[],
-        takes_new: &[(1, false)],
+    RestoreCase {
+        name: "registered after the backup, then leaving",
+        before: &[READY, LEAVING],
+        restored: None,
+        later: &[],
+        accepts_requests: &[(1, false)],
     },
 ];
 
-async fn play(case: &CopyCase) -> Vec<String> {
+async fn replay(case: &RestoreCase) -> Vec<String> {
     let directory = TrackedDirectory::start();
-    // The store was in reach for long, and nobody notices that it is away.
-    pass(60_000).await;
+    // The store was reachable for a long time, and its outage is not detected.
+    sleep_ms(60_000).await;
     for (text, version) in case.before.iter().zip(100..) {
         directory.write(version, *text);
-        pass(1).await;
+        sleep_ms(1).await;
     }
-    directory.restore(50, case.copy);
+    directory.restore(50, case.restored);
     let mut faults = Vec::new();
-    let mut writes = case.then.iter().zip(51..).peekable();
+    let mut writes = case.later.iter().zip(51..).peekable();
     let mut now = 0;
-    for (at, takes_new) in case.takes_new {
+    for (at, accepts_requests) in case.accepts_requests {
         while let Some(((written_at, text), number)) = writes.next_if(|write| write.0.0 < *at) {
-            pass(written_at - now).await;
+            sleep_ms(written_at - now).await;
             now = *written_at;
             directory.write_restored(number, *text);
         }
-        pass(at - now).await;
+        sleep_ms(at - now).await;
         now = *at;
-        if directory.is_ready() != *takes_new {
-            faults.push(format!("{}: after {at} ms it is {takes_new} that it is used", case.name));
+        if directory.is_ready() != *accepts_requests {
+            faults.push(format!(
+                "{}: after {at} ms it is {accepts_requests} that it is used",
+                case.name
+            ));
         }
     }
     faults
 }
 
-/// A backend server that had said that it leaves, or was gone, got requests again, and one that had been recorded
-/// lately got none, since the copy shows them so.
+/// Guards against trusting outdated rows: backend servers that were leaving or gone got requests
+/// again, and ones registered after the backup got none.
 #[tokio::test(start_paused = true)]
-async fn a_copy_of_the_store_brought_backend_servers_back_that_had_left() {
+async fn a_restored_store_does_not_revive_departed_backend_servers() {
     let mut faults = Vec::new();
     for case in &CASES {
-        faults.extend(play(case).await);
+        faults.extend(replay(case).await);
     }
     assert_eq!(faults, [""; 0]);
 }
 
 struct DrainedCase {
     name: &'static str,
-    /// Whether the failure domain is drained before the restoration, and in the copy.
+    /// Whether the failure domain is drained before the restore, and in the backup.
     before: bool,
-    copy: bool,
-    /// Whether it is drained later, with the moment in milliseconds since the restoration.
-    then: &'static [(u64, bool)],
-    /// Whether the backend server takes new requests at each moment.
-    takes_new: &'static [(u64, bool)],
+    restored: bool,
+    /// Whether it is drained later, with the time in milliseconds since the restore.
+    later: &'static [(u64, bool)],
+    /// Whether the backend server accepts requests at each time.
+    accepts_requests: &'static [(u64, bool)],
 }
 
 const DRAINED: [DrainedCase; 6] = [
     DrainedCase {
-        name: "drained since the copy",
+        name: "drained after the backup",
         before: true,
-        copy: false,
-        then: &[(1_000, true)],
-        takes_new: &[(1, false), (900, false), (1_100, false), (4_000, false)],
+        restored: false,
+        later: &[(1_000, true)],
+        accepts_requests: &[(1, false), (900, false), (1_100, false), (4_000, false)],
     },
     DrainedCase {
-        name: "drained since the copy, and taken back",
+        name: "drained after the backup, then restored",
         before: true,
-        copy: false,
-        then: &[(1_000, true), (1_200, false)],
-        takes_new: &[(1, false), (1_100, false), (1_300, true)],
+        restored: false,
+        later: &[(1_000, true), (1_200, false)],
+        accepts_requests: &[(1, false), (1_100, false), (1_300, true)],
     },
     DrainedCase {
-        name: "drained since the copy, and not again",
+        name: "drained after the backup, and not again",
         before: true,
-        copy: false,
-        then: &[],
-        takes_new: &[(1, false), (1_900, false), (2_100, true)],
+        restored: false,
+        later: &[],
+        accepts_requests: &[(1, false), (1_900, false), (2_100, true)],
     },
     DrainedCase {
-        name: "taken back since the copy",
+        name: "restored after the backup",
         before: false,
-        copy: true,
-        then: &[(1_000, false)],
-        takes_new: &[(1, false), (1_100, true)],
+        restored: true,
+        later: &[(1_000, false)],
+        accepts_requests: &[(1, false), (1_100, true)],
     },
     DrainedCase {
-        name: "drained all the time",
+        name: "drained throughout",
         before: true,
-        copy: true,
-        then: &[],
-        takes_new: &[(1, false), (4_000, false)],
+        restored: true,
+        later: &[],
+        accepts_requests: &[(1, false), (4_000, false)],
     },
     DrainedCase {
-        name: "drained first after the restoration",
+        name: "first drained after the restore",
         before: false,
-        copy: false,
-        then: &[(1_000, true)],
-        takes_new: &[(1, true), (1_100, false)],
+        restored: false,
+        later: &[(1_000, true)],
+        accepts_requests: &[(1, true), (1_100, false)],
     },
 ];
 
-/// A failure domain that was drained since the copy got requests, until the operator drained it again.
+/// Guards against a drain after the backup being lost: the failure domain got requests until the
+/// operator drained it again.
 #[tokio::test(start_paused = true)]
-async fn a_copy_of_the_store_took_back_a_drained_failure_domain() {
+async fn a_restored_store_does_not_undo_a_drain() {
     let mut faults = Vec::new();
     for case in &DRAINED {
         let directory = TrackedDirectory::start();
-        pass(60_000).await;
+        sleep_ms(60_000).await;
         directory.write(100, READY);
         let rows = |drained| if drained { &["drained/domain"][..] } else { &[] };
         directory.read_operator(1, 100, rows(case.before));
-        pass(1).await;
-        directory.read_operator(2, 50, rows(case.copy));
-        let takes_new = || {
+        sleep_ms(1).await;
+        directory.read_operator(2, 50, rows(case.restored));
+        let accepts_requests = || {
             let view = directory.view.borrow();
             view.entries.values().any(|entry| view.accepts_requests(entry))
         };
-        let mut changes = case.then.iter().zip(51..).peekable();
+        let mut changes = case.later.iter().zip(51..).peekable();
         let mut now = 0;
-        for (at, expected) in case.takes_new {
+        for (at, expected) in case.accepts_requests {
             while let Some(((changed_at, drained), number)) =
                 changes.next_if(|change| change.0.0 < *at)
             {
-                pass(changed_at - now).await;
+                sleep_ms(changed_at - now).await;
                 now = *changed_at;
                 directory.read_operator(2, number, rows(*drained));
             }
-            pass(at - now).await;
+            sleep_ms(at - now).await;
             now = *at;
-            if takes_new() != *expected {
+            if accepts_requests() != *expected {
                 faults.push(format!("{}: after {at} ms it is {expected}", case.name));
             }
         }
--- a/crates/dillspool_router/tests/settings.rs
+++ b/crates/dillspool_router/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked, and a file that changes is noticed.
+//! Tests validation of settings and detection of a changed file.
 
 use std::path::PathBuf;
 
@@ -36,12 +36,12 @@
     name: &'static str,
     from: &'static str,
     to: &'static str,
-    /// What the message names, empty when the settings are good.
+    /// Parts of the error message; empty if the settings are valid.
     names: &'static [&'static str],
 }
 
 #[test]
-fn a_bad_field_is_named_with_its_remedy() {
+fn an_invalid_field_is_reported_with_its_remedy() {
     let case = |name, from, to, names| SettingsCase { name, from, to, names };
     let cases = [
         case("good", "", "", &[]),
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_replaced_file_is_noticed_once() {
+fn a_replaced_file_is_detected_once() {
     let path = write("watched.toml", GOOD);
     let mut watch = SettingsWatch::new(&path);
     assert!(!watch.has_changed());
