--- a/crates/dillspool_explain/src/lib.rs
+++ b/crates/dillspool_explain/src/lib.rs
@@ -1,19 +1,19 @@
-//! The story of one request, from the logs of several hosts.
+//! Log analysis: a report on one request, and tables of outcomes, limits, calls and suspects.
 //!
-//! `docs/OPERATIONS.md` shows how it is used.
+//! The input is the logs of one or more hosts. `docs/OPERATIONS.md` shows how it is used.
 
 mod backend_limits;
 mod calls;
-mod late;
 mod limits;
-mod line;
-mod story;
+mod log_line;
+mod outcomes;
+mod report;
 mod suspects;
 
 pub use backend_limits::{BackendLimitStats, BackendLimitTable};
 pub use calls::{CallStats, CallTable};
-pub use late::{OutcomeTable, RequestOutcome};
 pub use limits::{LimitTable, WorkspaceStats};
-pub use line::LogLine;
-pub use story::{RequestReport, explain};
+pub use log_line::LogLine;
+pub use outcomes::{OutcomeTable, RequestOutcome};
+pub use report::{RequestReport, explain};
 pub use suspects::{SuspectStats, SuspectTable};
--- a/crates/dillspool_explain/src/limits.rs
+++ b/crates/dillspool_explain/src/limits.rs
@@ -1,36 +1,36 @@
-//! How the requests of each workspace fared against its limit, as one table.
+//! Table of the requests of each workspace against its rate limit.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::line::LogLine;
+use crate::log_line::LogLine;
 
-/// One workspace, by the logs.
+/// Counts for one workspace.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkspaceStats {
-    /// Requests that were answered, failures of backend servers included.
+    /// Requests that got a response, including errors of backend servers.
     pub answered: u64,
-    /// Requests beyond the limit.
+    /// Requests refused because they exceeded the limit.
     pub over_limit: u64,
-    /// Requests for which nobody could be asked.
-    pub unknown: u64,
-    /// Requests that were refused, or ended, for other causes.
+    /// Requests refused because no limit holder could be asked.
+    pub limit_unknown: u64,
+    /// Requests that were refused or ended for another reason.
     pub other: u64,
-    /// The limit a second, of the newest configuration that a refusal names; 0 before the first.
+    /// Limit per second, from the refusal with the newest configuration; 0 if there is no refusal.
     pub per_s: f64,
     /// Version of that configuration.
     config: u64,
 }
 
-/// The use of all workspaces.
+/// Counts for all workspaces.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LimitTable {
-    /// By workspace.
+    /// Statistics by workspace.
     pub workspaces: BTreeMap<String, WorkspaceStats>,
 }
 
 impl LimitTable {
-    /// Counts the requests of some logs.
+    /// Builds the table from log lines.
     pub fn from_lines<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for line in lines.into_iter().filter_map(LogLine::parse) {
@@ -39,31 +39,31 @@
                 continue;
             }
             match line.field("event") {
-                "request_ended" => table.of_workspace(workspace).note_end(&line),
-                "over_limit" => table.of_workspace(workspace).note_limit(&line),
+                "request_ended" => table.entry(workspace).record_outcome(&line),
+                "over_limit" => table.entry(workspace).record_limit(&line),
                 _ => {}
             }
         }
         table
     }
 
-    fn of_workspace(&mut self, workspace: &str) -> &mut WorkspaceStats {
+    fn entry(&mut self, workspace: &str) -> &mut WorkspaceStats {
         self.workspaces.entry(workspace.to_owned()).or_default()
     }
 }
 
 impl WorkspaceStats {
-    fn note_end(&mut self, line: &LogLine) {
+    fn record_outcome(&mut self, line: &LogLine) {
         let count = match (line.field("outcome"), line.field("cause")) {
             ("answered" | "failed", _) => &mut self.answered,
             (_, "over_limit") => &mut self.over_limit,
-            (_, "limit_unknown") => &mut self.unknown,
+            (_, "limit_unknown") => &mut self.limit_unknown,
             _ => &mut self.other,
         };
         *count += 1;
     }
 
-    fn note_limit(&mut self, line: &LogLine) {
+    fn record_limit(&mut self, line: &LogLine) {
         let config = line.field("config").parse().unwrap_or(0);
         if config >= self.config {
             self.config = config;
@@ -77,12 +77,12 @@
         writeln!(f, "answered  over limit  unknown    other  limit a second  workspace")?;
         let mut rows: Vec<_> = self.workspaces.iter().collect();
         rows.sort_by(|a, b| b.1.over_limit.cmp(&a.1.over_limit).then(a.0.cmp(b.0)));
-        for (name, used) in rows {
-            let WorkspaceStats { answered, over_limit, unknown, other, per_s, .. } = used;
+        for (name, stats) in rows {
+            let WorkspaceStats { answered, over_limit, limit_unknown, other, per_s, .. } = stats;
             let limit = if *per_s > 0.0 { format!("{per_s}") } else { "-".to_owned() };
             writeln!(
                 f,
-                "{answered:>8}  {over_limit:>10}  {unknown:>7}  {other:>7}  {limit:>14}  {name}"
+                "{answered:>8}  {over_limit:>10}  {limit_unknown:>7}  {other:>7}  {limit:>14}  {name}"
             )?;
         }
         Ok(())
--- a/crates/dillspool_explain/src/line.rs
+++ b/crates/dillspool_explain/src/log_line.rs
@@ -1,19 +1,19 @@
-//! One line of a host's log.
+//! Parser for lines of a host's log.
 
-/// A line of `key=value` words, values with blanks in double quotes.
+/// A line of `key=value` fields; values that contain spaces are in double quotes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// Wall clock time in milliseconds; 0 when the line has none.
+    /// Wall clock time in milliseconds; 0 if the line has none.
     pub time_ms: u64,
-    /// The line as it was written.
+    /// The original line without surrounding whitespace.
     pub text: String,
     fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; `None` when it names no event.
+    /// Parses a line; `None` if it has no `event` field.
     pub fn parse(text: &str) -> Option<Self> {
-        let fields = fields(text);
+        let fields = parse_fields(text);
         let find = |key: &str| {
             fields.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_str())
         };
@@ -22,14 +22,14 @@
         Some(Self { time_ms, text: text.trim().to_owned(), fields })
     }
 
-    /// The value of a field, empty when the line does not have it.
+    /// Returns the value of a field, or an empty string if the line does not have it.
     pub fn field(&self, key: &str) -> &str {
         let found = self.fields.iter().find(|(name, _)| name == key);
         found.map_or("", |(_, value)| value)
     }
 }
 
-fn fields(text: &str) -> Vec<(String, String)> {
+fn parse_fields(text: &str) -> Vec<(String, String)> {
     let mut fields = Vec::new();
     let mut rest = text.trim();
     while let Some((key, after)) = rest.split_once('=') {
--- a/crates/dillspool_explain/src/suspects.rs
+++ b/crates/dillspool_explain/src/suspects.rs
@@ -1,59 +1,59 @@
-//! Requests under which backend servers ended, as one table.
+//! Table of requests during which backend servers crashed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use crate::line::LogLine;
+use crate::log_line::LogLine;
 
-/// One request, by the logs.
+/// Counts for one request and its copies.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectStats {
-    /// Starts of backend servers that ended while it ran.
-    pub ended: BTreeSet<String>,
+    /// Instances of backend servers that crashed while they ran it.
+    pub crashed: BTreeSet<String>,
     /// Copies that were refused.
     pub refused: u64,
-    /// Copies that came to a good end.
-    pub whole: u64,
-    /// Its route.
+    /// Copies that succeeded.
+    pub succeeded: u64,
+    /// Route of the last copy.
     pub route: String,
-    /// Its workspace.
+    /// Workspace of the last copy.
     pub workspace: String,
-    /// When a copy came last, in ms of Unix time.
+    /// Unix time at which the last copy ended, in ms.
     pub last_ms: u64,
 }
 
-/// All requests under which backend servers ended.
+/// All requests during which backend servers crashed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectTable {
-    /// By print.
+    /// Statistics by fingerprint.
     pub suspects: BTreeMap<String, SuspectStats>,
 }
 
 impl SuspectTable {
-    /// Collects the requests of some logs.
+    /// Builds the table from log lines.
     pub fn from_lines<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for line in lines.into_iter().filter_map(LogLine::parse) {
-            let print = line.field("print");
-            if print.is_empty() {
+            let fingerprint = line.field("print");
+            if fingerprint.is_empty() {
                 continue;
             }
-            table.suspects.entry(print.to_owned()).or_default().note(&line);
+            table.suspects.entry(fingerprint.to_owned()).or_default().record(&line);
         }
-        table.suspects.retain(|_print, used| !used.ended.is_empty());
+        table.suspects.retain(|_fingerprint, stats| !stats.crashed.is_empty());
         table
     }
 }
 
 impl SuspectStats {
-    fn note(&mut self, line: &LogLine) {
+    fn record(&mut self, line: &LogLine) {
         match line.field("event") {
             "break_traced" if line.field("found") == "ended" => {
-                self.ended.insert(format!("{} {}", line.field("backend"), line.field("start")));
+                self.crashed.insert(format!("{} {}", line.field("backend"), line.field("start")));
             }
             "request_ended" => {
                 self.refused += u64::from(line.field("cause") == "deadly");
-                self.whole += u64::from(line.field("outcome") == "answered");
+                self.succeeded += u64::from(line.field("outcome") == "answered");
                 line.field("route").clone_into(&mut self.route);
                 line.field("workspace").clone_into(&mut self.workspace);
                 self.last_ms = self.last_ms.max(line.time_ms);
@@ -70,15 +70,15 @@
             "ended  refused    whole  print                             last copy      route, workspace"
         )?;
         let mut rows: Vec<_> = self.suspects.iter().collect();
-        rows.sort_by_key(|(_print, used)| {
-            (std::cmp::Reverse((used.ended.len(), used.refused)), used.last_ms)
+        rows.sort_by_key(|(_fingerprint, stats)| {
+            (std::cmp::Reverse((stats.crashed.len(), stats.refused)), stats.last_ms)
         });
-        for (print, used) in rows {
-            let SuspectStats { ended, refused, whole, route, workspace, last_ms } = used;
+        for (fingerprint, stats) in rows {
+            let SuspectStats { crashed, refused, succeeded, route, workspace, last_ms } = stats;
             writeln!(
                 f,
-                "{:>5}  {refused:>7}  {whole:>7}  {print:<32}  {last_ms:<13}  {route} {workspace}",
-                ended.len(),
+                "{:>5}  {refused:>7}  {succeeded:>7}  {fingerprint:<32}  {last_ms:<13}  {route} {workspace}",
+                crashed.len(),
             )?;
         }
         Ok(())
--- a/crates/dillspool_explain/tests/calls.rs
+++ b/crates/dillspool_explain/tests/calls.rs
@@ -1,4 +1,4 @@
-//! The table of calls counts waits, rejections and decisions that were not followed under their service.
+//! Tests that waits, rejections and overruled decisions are counted for their service.
 
 use dillspool_explain::CallTable;
 
@@ -24,6 +24,6 @@
 ";
 
 #[test]
-fn calls_are_counted_under_their_service() {
+fn calls_are_counted_by_service() {
     assert_eq!(CallTable::from_lines(LOG.lines()).to_string(), TABLE);
 }
--- a/crates/dillspool_explain/tests/explain.rs
+++ b/crates/dillspool_explain/tests/explain.rs
@@ -1,4 +1,4 @@
-//! For each kind of failed request the logs alone name the cause.
+//! Tests that the report names the cause of each kind of failure from the logs alone.
 
 use dillspool_explain::explain;
 
@@ -10,67 +10,68 @@
 time_ms=6001 host=h1 level=INFO event=request_ended id=r2 route=a service=s config=3 outcome=broken cause= after_ms=1001 detail="connection reset; not resumed: unknown"
 time_ms=6500 host=h1 level=INFO event=backend_gone backend=i-2 version=9
 time_ms=7001 host=h2 level=INFO event=request_ended id=r3 route=b service=p config=3 outcome=refused cause=unknown after_ms=62 status=502 retry_after_ms=0
-time_ms=7000 host=h2 level=INFO event=send_failed id=r3 backend=i-7 after_ms=61 cause="10.0.0.1:1 gave no whole reply: reset"
+time_ms=7000 host=h2 level=INFO event=send_failed id=r3 backend=i-7 after_ms=61 cause="no complete response from 10.0.0.1:1: reset"
 time_ms=7200 host=h1 level=INFO event=store_lost after_ms=6000 cause="silent for 3.2s"
 time_ms=9000 host=h1 level=INFO event=request_refused id=r4 cause=no_route
 time_ms=9100 host=h1 level=INFO event=stream_placed id=r5 backend=i-2 prefill=none after_ms=20 resume_after=0
-not a line of ours
+not a log line of a host
 "#;
 
-struct StoryCase {
+struct ReportCase {
     id: &'static str,
-    verdict: &'static str,
+    summary: &'static str,
     lines: usize,
-    beliefs: &'static [&'static str],
+    state_changes: &'static [&'static str],
 }
 
 #[test]
-fn the_cause_is_named() {
+fn reports_name_the_cause() {
     let cases = [
-        StoryCase {
+        ReportCase {
             id: "r1",
-            verdict: "r1: refused after 11 ms (no_memory: no decode engine had memory for its answer; it did not run)",
+            summary: "r1: refused after 11 ms (no_memory: no decode engine had enough memory for its response; it did not run)",
             lines: 1,
-            beliefs: &["started", "store_lost"],
+            state_changes: &["started", "store_lost"],
         },
-        StoryCase {
+        ReportCase {
             id: "r2",
-            verdict: "r2: broken after 1001 ms; before that backend server i-2: connection reset",
+            summary: "r2: broken after 1001 ms; earlier failure at backend server i-2: connection reset",
             lines: 3,
-            beliefs: &["started", "backend_seen", "backend_gone", "store_lost"],
+            state_changes: &["started", "backend_seen", "backend_gone", "store_lost"],
         },
-        StoryCase {
+        ReportCase {
             id: "r3",
-            verdict: "r3: refused after 62 ms (unknown: the backend server's answer was lost; it may have run); before that backend server i-7: 10.0.0.1:1 gave no whole reply: reset",
+            summary: "r3: refused after 62 ms (unknown: the backend server's response was lost; it may have run); earlier failure at backend server i-7: no complete response from 10.0.0.1:1: reset",
             lines: 2,
-            beliefs: &[],
+            state_changes: &[],
         },
-        StoryCase {
+        ReportCase {
             id: "r4",
-            verdict: "r4: refused at once (no_route: no route of the configuration in force takes it)",
+            summary: "r4: refused immediately (no_route: no route of the active configuration matches it)",
             lines: 1,
-            beliefs: &["backend_seen", "backend_gone", "store_lost"],
+            state_changes: &["backend_seen", "backend_gone", "store_lost"],
         },
-        StoryCase {
+        ReportCase {
             id: "r5",
-            verdict: "r5: its end is not in these logs; the host may have died",
+            summary: "r5: no outcome in these logs; the host may have crashed",
             lines: 1,
-            beliefs: &["backend_gone", "store_lost"],
+            state_changes: &["backend_gone", "store_lost"],
         },
     ];
     for case in cases {
-        let story = explain(case.id, LOG.lines()).expect("its lines are there");
-        assert_eq!(story.verdict, case.verdict);
-        assert_eq!(story.lines.len(), case.lines, "{}", case.id);
-        assert!(story.lines.is_sorted_by_key(|line| line.time_ms), "{}", case.id);
-        let events: Vec<&str> = story.beliefs.iter().map(|line| line.field("event")).collect();
+        let report = explain(case.id, LOG.lines()).expect("its lines are there");
+        assert_eq!(report.summary, case.summary);
+        assert_eq!(report.lines.len(), case.lines, "{}", case.id);
+        assert!(report.lines.is_sorted_by_key(|line| line.time_ms), "{}", case.id);
+        let events: Vec<&str> =
+            report.state_changes.iter().map(|line| line.field("event")).collect();
         if case.id != "r4" {
-            assert_eq!(events, case.beliefs, "{}", case.id);
+            assert_eq!(events, case.state_changes, "{}", case.id);
         }
     }
 }
 
 #[test]
-fn an_unknown_request_has_no_story() {
+fn an_unknown_request_has_no_report() {
     assert_eq!(explain("r", LOG.lines()), None);
 }
--- a/crates/dillspool_explain/tests/limits.rs
+++ b/crates/dillspool_explain/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The table of limits counts each request once, under its workspace.
+//! Tests of the tables of workspace limits and of backend server limits.
 
 use dillspool_explain::{BackendLimitTable, LimitTable};
 
@@ -21,7 +21,7 @@
 ";
 
 #[test]
-fn each_request_is_counted_under_its_workspace_and_the_newest_limit_is_shown() {
+fn requests_are_counted_by_workspace_with_the_newest_limit() {
     assert_eq!(LimitTable::from_lines(LOG.lines()).to_string(), TABLE);
 }
 
@@ -44,6 +44,6 @@
 ";
 
 #[test]
-fn backend_servers_are_listed_with_their_newest_word() {
+fn backend_servers_are_listed_with_their_newest_limit() {
     assert_eq!(BackendLimitTable::from_lines(BACKEND_LOG.lines()).to_string(), BACKEND_TABLE);
 }
--- a/crates/dillspool_explain/tests/late.rs
+++ b/crates/dillspool_explain/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! The table of ends counts each request once, under the cause that its last line names.
+//! Tests that each request is counted once, by outcome and cause.
 
 use dillspool_explain::OutcomeTable;
 
@@ -20,14 +20,14 @@
 ";
 
 #[test]
-fn each_request_is_counted_under_its_cause() {
+fn requests_are_counted_by_outcome_and_cause() {
     assert_eq!(OutcomeTable::from_lines(LOG.lines()).to_string(), TABLE);
 }
 
 #[test]
 fn logs_without_requests_give_an_empty_table() {
     assert_eq!(
-        OutcomeTable::from_lines(["not a line of ours"]).to_string(),
+        OutcomeTable::from_lines(["not a log line of a host"]).to_string(),
         "       0  requests\n"
     );
 }
--- a/crates/dillspool_explain/tests/suspects.rs
+++ b/crates/dillspool_explain/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! The table of suspects, and the story of a copy that is refused.
+//! Tests of the table of suspects, and of the report on a refused copy.
 
 use dillspool_explain::{SuspectTable, explain};
 
@@ -21,15 +21,15 @@
 ";
 
 #[test]
-fn each_request_is_listed_with_what_ended_under_it() {
+fn requests_are_listed_with_the_crashes_during_them() {
     assert_eq!(SuspectTable::from_lines(LOG.lines()).to_string(), TABLE);
 }
 
 #[test]
-fn the_story_of_a_refused_copy_shows_the_ends_under_the_others() {
-    let story = explain("d", LOG.lines()).expect("its lines");
-    assert_eq!(story.copies.len(), 4, "{story}");
-    assert!(story.verdict.contains("backend servers end under it"), "{story}");
+fn the_report_on_a_refused_copy_shows_crashes_during_other_copies() {
+    let report = explain("d", LOG.lines()).expect("its lines");
+    assert_eq!(report.copies.len(), 4, "{report}");
+    assert!(report.summary.contains("backend servers crash while they run it"), "{report}");
     let other = explain("z", LOG.lines()).expect("its lines");
     assert_eq!(other.copies.len(), 1, "{other}");
 }
--- a/crates/dillspool_io/src/byte_budget.rs
+++ b/crates/dillspool_io/src/byte_budget.rs
@@ -361,8 +361,8 @@
         self.change(bytes, |budget| budget.limits().max_bytes)
     }
 
-    /// As [`ByteGuard::try_resize`], for a request that has not run: it leaves the capacity that is reserved for
-    /// exchanges in progress.
+    /// As [`ByteGuard::try_resize`], for a request that has not run: it leaves the capacity that is
+    /// reserved for exchanges in progress.
     #[must_use]
     pub fn try_resize_for_admission(&mut self, bytes: u64) -> bool {
         self.change(bytes, ByteBudget::admission_limit)
--- a/crates/dillspool_io/src/exchange.rs
+++ b/crates/dillspool_io/src/exchange.rs
@@ -106,7 +106,8 @@
 
 /// Sends one request on a new connection and returns once the response headers have arrived.
 ///
-/// There is no timeout for the response: the caller has to set one. Dropping the future closes the connection.
+/// There is no timeout for the response: the caller has to set one. Dropping the future closes the
+/// connection.
 ///
 /// # Errors
 ///
--- a/crates/dillspool_io/src/host_clock.rs
+++ b/crates/dillspool_io/src/host_clock.rs
@@ -11,10 +11,10 @@
 
 /// A monotonic clock that includes the time during which the host was suspended.
 ///
-/// The monotonic clock of `std` and `tokio` stops while a machine is suspended, so an expired lease would seem
-/// valid and stale data fresh. Timers of `tokio` only wake a task, which then checks its deadline against this
-/// clock. A timer set before a suspension fires late by the duration of the suspension; waits for a deadline
-/// therefore use [`HostClock::sleep_until`]. See `docs/design/clocks.md`.
+/// The monotonic clock of `std` and `tokio` stops while a machine is suspended, so an expired lease would
+/// seem valid and stale data fresh. Timers of `tokio` only wake a task, which then checks its deadline
+/// against this clock. A timer set before a suspension fires late by the duration of the suspension; waits
+/// for a deadline therefore use [`HostClock::sleep_until`]. See `docs/design/clocks.md`.
 #[derive(Clone)]
 pub struct HostClock {
     now: Arc<dyn Fn() -> Moment + Send + Sync>,
@@ -120,7 +120,8 @@
 
     /// Converts `moment` to the time at which a tokio timer should fire.
     ///
-    /// A suspension in the meantime makes the timer late, so the task has to check this clock after the wake-up.
+    /// A suspension in the meantime makes the timer late, so the task has to check this clock after the
+    /// wake-up.
     pub fn to_instant(&self, moment: Moment) -> Instant {
         Instant::now() + self.until(moment)
     }
--- a/crates/dillspool_io/src/stack.rs
+++ b/crates/dillspool_io/src/stack.rs
@@ -130,9 +130,9 @@
     /// Returns the TCP stack of the system, with a limit on the unsent bytes in the kernel's send buffer
     /// (`TCP_NOTSENT_LOWAT`).
     ///
-    /// Without a limit, the kernel buffers megabytes for a peer that reads nothing, and reports the socket as
-    /// writable again only after a third of them has been read, so a slow reader looks like
-    /// one that reads nothing.
+    /// Without a limit, the kernel buffers megabytes for a peer that reads nothing, and reports the socket
+    /// as writable again only after a third of them has been read, so a slow reader looks like one that
+    /// reads nothing.
     pub fn tcp_with_unsent_limit(limit_bytes: Option<u32>) -> Self {
         Self::new(
             move |to| Box::pin(connect_tcp(to, limit_bytes)),
@@ -205,8 +205,8 @@
     Ok(NetListener::new(local, receiver))
 }
 
-/// Idle time of a connection before the first keepalive probe. Each probe costs a packet, but a caller's stream
-/// is aborted after a few seconds of silence, and a dead peer must be detected before that.
+/// Idle time of a connection before the first keepalive probe. Each probe costs a packet, but a caller's
+/// stream is aborted after a few seconds of silence, and a dead peer must be detected before that.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
 /// Time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/dillspool_io/tests/byte_budget.rs
+++ b/crates/dillspool_io/tests/byte_budget.rs
@@ -196,8 +196,8 @@
     SERVER.parse().expect("an address")
 }
 
-/// Without the stall timeout, a caller that never reads its response would keep the response and the connection
-/// forever.
+/// Without the stall timeout, a caller that never reads its response would keep the response and the
+/// connection forever.
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_reads_nothing_is_disconnected() {
     for (name, response_bytes, stalls) in [("read immediately", 1000, 0), ("unread", 200_000, 1)] {
@@ -230,8 +230,8 @@
     }
 }
 
-/// Without the stall timeout, a server that never reads the request body would keep it in memory until the request
-/// times out.
+/// Without the stall timeout, a server that never reads the request body would keep it in memory until the
+/// request times out.
 #[tokio::test(start_paused = true)]
 async fn an_exchange_fails_if_the_server_reads_no_body() {
     let net = MemoryNet::new();
