--- a/crates/dillspool_bench/src/policy.rs
+++ b/crates/dillspool_bench/src/policy.rs
@@ -8,7 +8,7 @@
 use clap::ValueEnum;
 use dillspool_config::ConfigSnapshot;
 use dillspool_engine::{EngineClient, LoadReport};
-use dillspool_entry::{PlacementDesk, ReserveReply};
+use dillspool_entry::{PlacementClient, ReserveReply};
 use dillspool_host::DeskChoice;
 use dillspool_schema::Name;
 use dillspool_schema::configuration::{BackendEntry, BackendRole};
@@ -76,7 +76,7 @@
     seed: u64,
     config: ConfigWatch,
     engines: EngineClient,
-) -> PlacementDesk {
+) -> PlacementClient {
     let state = Arc::new(BaselineState {
         policy,
         turn: AtomicUsize::new(0),
@@ -86,7 +86,7 @@
     if policy != PolicyName::RoundRobin {
         tokio::spawn(read_reports(Arc::clone(&state), config.clone(), engines));
     }
-    PlacementDesk {
+    PlacementClient {
         reserve: Arc::new(move |message| {
             let (state, config) = (Arc::clone(&state), config.clone());
             Box::pin(async move { state.place(&config, &message) })
--- a/crates/dillspool_entry/src/context.rs
+++ b/crates/dillspool_entry/src/context.rs
@@ -34,14 +34,14 @@
 
 /// Where placements are asked for and given back.
 #[derive(Clone)]
-pub struct PlacementDesk {
+pub struct PlacementClient {
     /// Asks the host that schedules the pool; falls back to this host's own scheduler.
     pub reserve: Arc<ReserveFn>,
     /// Gives a placement back to the host that granted it, `None` for any that may know it.
     pub release: Arc<dyn Fn(Option<Name>, ReleaseMessage) + Send + Sync>,
 }
 
-impl fmt::Debug for PlacementDesk {
+impl fmt::Debug for PlacementClient {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("PlacementDesk")
     }
@@ -49,14 +49,14 @@
 
 /// What a request must know of the host it came to.
 #[derive(Clone)]
-pub struct HostChecks {
+pub struct HostStatus {
     /// Why the host takes no new requests now, `None` while it does.
     pub closed_reason: Arc<dyn Fn() -> Option<&'static str> + Send + Sync>,
     /// Whether the host list shows a backend server as leaving.
     pub is_leaving: Arc<dyn Fn(&str) -> bool + Send + Sync>,
 }
 
-impl fmt::Debug for HostChecks {
+impl fmt::Debug for HostStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("HostChecks")
     }
@@ -70,11 +70,11 @@
     /// Calls engines.
     pub engines: EngineClient,
     /// Calls plain services, a connection for each call.
-    pub plain: HttpClient,
+    pub plain_client: HttpClient,
     /// Asks schedulers.
-    pub desk: PlacementDesk,
+    pub placement_client: PlacementClient,
     /// Placements held by this host.
-    pub registry: PlacementRegistry,
+    pub placements: PlacementRegistry,
     /// Ledger of unrepeatable calls.
     pub ledger: CallLedger,
     /// Wall clock.
@@ -87,9 +87,9 @@
     /// pool is scheduled.
     pub suspects: SuspectTracker,
     /// The fleet's key for what names a request whichever copy of it this is.
-    pub print_key: FingerprintKey,
+    pub fingerprint_key: FingerprintKey,
     /// Budget of retries.
-    pub retries: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Counters.
     pub metrics: EntryMetrics,
     /// Requests that may be in flight.
@@ -101,7 +101,7 @@
     /// Work that goes on when its connection is gone, such as cancels and recorded answers.
     pub tasks: TaskTracker,
     /// State of the host.
-    pub checks: HostChecks,
+    pub host_status: HostStatus,
     /// Ends all answers when the host's drain time is over.
     pub cancel: CancellationToken,
 }
--- a/crates/dillspool_entry/src/lib.rs
+++ b/crates/dillspool_entry/src/lib.rs
@@ -16,7 +16,7 @@
 mod router;
 mod stream;
 
-pub use context::{EntryContext, HostChecks, PlacementDesk, ReserveReply};
+pub use context::{EntryContext, HostStatus, PlacementClient, ReserveReply};
 pub use ids::StreamIds;
 pub use metrics::EntryMetrics;
 pub use placement::PlacementRegistry;
--- a/crates/dillspool_entry/src/placement.rs
+++ b/crates/dillspool_entry/src/placement.rs
@@ -159,7 +159,7 @@
     /// Asks the pool's scheduler and notes what it granted.
     pub(crate) async fn reserve(&mut self, message: ReserveMessage) -> ReserveEnd {
         let output = message.output;
-        let reply = (self.context.desk.reserve)(message).await;
+        let reply = (self.context.placement_client.reserve)(message).await;
         self.scheduler = Some(reply.scheduler);
         if let Some(grant) = reply.answer.grant {
             let held = HeldPlacement {
@@ -170,7 +170,7 @@
                 output,
             };
             let registered = RegisteredPlacement { pool: Name::clone(&self.pool), held };
-            self.context.registry.lock().insert(self.stream.clone(), registered);
+            self.context.placements.lock().insert(self.stream.clone(), registered);
             return ReserveEnd::Granted(grant);
         }
         // Nothing is held: the scheduler answered a refusal.
@@ -204,7 +204,7 @@
                 self.stream,
                 self.print,
             );
-            self.context.registry.note_end(&self.pool, &self.print, engine);
+            self.context.placements.note_end(&self.pool, &self.print, engine);
         }
         self.give_back(cause, ended);
     }
@@ -214,7 +214,7 @@
             return;
         }
         self.ended = true;
-        self.context.registry.lock().remove(&self.stream);
+        self.context.placements.lock().remove(&self.stream);
         let message = ReleaseMessage {
             stream: self.stream.clone(),
             pool: Name::clone(&self.pool),
@@ -224,7 +224,7 @@
             print: Some(Name::clone(&self.print)),
             ended,
         };
-        let release = Arc::clone(&self.context.desk.release);
+        let release = Arc::clone(&self.context.placement_client.release);
         let scheduler = self.scheduler.take();
         // A stream that was read to its end holds nothing, and neither does a process that has ended.
         let holds = cause != ReleaseCause::Done && message.ended.is_none();
--- a/crates/dillspool_entry/src/plain.rs
+++ b/crates/dillspool_entry/src/plain.rs
@@ -195,7 +195,7 @@
     let mut servers: Vec<EngineRef> = call
         .snapshot
         .backends(&call.route.service, BackendRole::Plain)
-        .filter(|entry| !entry.leaving && !(context.checks.is_leaving)(&entry.name))
+        .filter(|entry| !entry.leaving && !(context.host_status.is_leaving)(&entry.name))
         .filter_map(|entry| {
             let address = entry.address.parse().ok()?;
             Some(EngineRef { name: Name::clone(&entry.name), address })
@@ -250,7 +250,9 @@
     for server in backends(context, call) {
         match send(context, call, &server).await {
             Ok(answer) => {
-                context.retries.note_success(call.snapshot.configuration.policy.retry_percent);
+                context
+                    .retry_budget
+                    .record_success(call.snapshot.configuration.policy.retry_percent);
                 return Ok(answer);
             }
             Err(HttpError::NotSent { .. }) => {}
@@ -259,7 +261,7 @@
                 note_break(context, call, &server).await;
                 let decision = context.suspects.decide(call.print);
                 let is_deadly = matches!(decision, SuspectDecision::Refused { .. });
-                if is_deadly || !context.retries.take() {
+                if is_deadly || !context.retry_budget.try_withdraw() {
                     break;
                 }
                 context.metrics.count_retry();
@@ -298,7 +300,7 @@
         request.headers_mut().insert(IDEMPOTENCY_KEY, key.clone());
     }
     let exchange = async {
-        let response = context.plain.send(address, request).await?;
+        let response = context.plain_client.send(address, request).await?;
         let status = response.status();
         let content_type = response.headers().get(CONTENT_TYPE).cloned();
         let body = read_body(response.into_body(), ANSWER_LIMIT)
--- a/crates/dillspool_entry/src/retry.rs
+++ b/crates/dillspool_entry/src/retry.rs
@@ -23,14 +23,14 @@
 
 impl RetryBudget {
     /// Notes a success, which earns `percent` hundredths of a retry.
-    pub fn note_success(&self, percent: u32) {
+    pub fn record_success(&self, percent: u32) {
         let mut saved = self.saved.lock().unwrap_or_else(PoisonError::into_inner);
         *saved = (*saved + u64::from(percent)).min(MOST_SAVED);
     }
 
     /// Takes a retry from the budget, if there is one.
     #[must_use]
-    pub fn take(&self) -> bool {
+    pub fn try_withdraw(&self) -> bool {
         let mut saved = self.saved.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(rest) = saved.checked_sub(WHOLE_RETRY) else {
             return false;
--- a/crates/dillspool_entry/src/router.rs
+++ b/crates/dillspool_entry/src/router.rs
@@ -44,7 +44,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, RequestProblem> {
     let arrived = Instant::now();
-    if let Some(reason) = (context.checks.closed_reason)() {
+    if let Some(reason) = (context.host_status.closed_reason)() {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         let problem = RequestProblem::not_run(status, "host_closed", reason);
         return Err(problem.retry_after(CLOSED_RETRY));
@@ -160,7 +160,7 @@
     body: &Bytes,
 ) -> RequestFingerprint {
     RequestFingerprint::of(
-        &context.print_key,
+        &context.fingerprint_key,
         &FingerprintInput { caller: &group.name, host: "", path, body },
     )
 }
--- a/crates/dillspool_entry/src/stream.rs
+++ b/crates/dillspool_entry/src/stream.rs
@@ -149,7 +149,7 @@
             open.placement.end(ReleaseCause::Done);
         }
         let percent = self.terms.snapshot.configuration.policy.retry_percent;
-        self.context.retries.note_success(percent);
+        self.context.retry_budget.record_success(percent);
         let outcome = if self.met_targets() { "good" } else { "late" };
         let group = &self.terms.group.name;
         self.context.metrics.count_request(group, outcome, "");
@@ -235,7 +235,7 @@
         code: &'static str,
         error: &EngineError,
     ) -> Result<(), RequestProblem> {
-        if self.attempts < MOST_ATTEMPTS && self.context.retries.take() {
+        if self.attempts < MOST_ATTEMPTS && self.context.retry_budget.try_withdraw() {
             self.context.metrics.count_retry();
             return Ok(());
         }
--- a/crates/dillspool_host/src/desk.rs
+++ b/crates/dillspool_host/src/desk.rs
@@ -6,7 +6,7 @@
 
 use dillspool_config::ConfigSnapshot;
 use dillspool_engine::EngineClient;
-use dillspool_entry::{PlacementDesk, ReserveReply};
+use dillspool_entry::{PlacementClient, ReserveReply};
 use dillspool_peer::{HostView, PeerLinks};
 use dillspool_schema::Name;
 use dillspool_schema::messages::{
@@ -29,7 +29,7 @@
     pub build: Arc<DeskBuilder>,
 }
 
-type DeskBuilder = dyn Fn(watch::Receiver<Option<Arc<ConfigSnapshot>>>, EngineClient) -> PlacementDesk
+type DeskBuilder = dyn Fn(watch::Receiver<Option<Arc<ConfigSnapshot>>>, EngineClient) -> PlacementClient
     + Send
     + Sync;
 
@@ -44,9 +44,9 @@
     view: HostView,
     links: PeerLinks,
     directory: PoolDirectory,
-) -> PlacementDesk {
+) -> PlacementClient {
     let releasing = (view.clone(), links.clone(), directory.clone());
-    PlacementDesk {
+    PlacementClient {
         reserve: Arc::new(move |message| {
             let (view, links, directory) = (view.clone(), links.clone(), directory.clone());
             Box::pin(async move { reserve(&view, &links, &directory, message).await })
--- a/crates/dillspool_host/src/parts.rs
+++ b/crates/dillspool_host/src/parts.rs
@@ -7,7 +7,7 @@
 use dillspool_config::{ConfigStore, HostAddresses};
 use dillspool_engine::EngineClient;
 use dillspool_entry::{
-    EntryContext, EntryMetrics, HostChecks, PlacementDesk, PlacementRegistry, RetryBudget,
+    EntryContext, EntryMetrics, HostStatus, PlacementClient, PlacementRegistry, RetryBudget,
     StreamIds,
 };
 use dillspool_io::HttpClient;
@@ -125,7 +125,7 @@
         }
     }
 
-    fn placement_desk(&self) -> PlacementDesk {
+    fn placement_desk(&self) -> PlacementClient {
         match &self.environment.desk {
             Some(choice) => (choice.build)(self.keeper.subscribe(), self.engines.clone()),
             None => placement_desk(self.view.clone(), self.links.clone(), self.directory.clone()),
@@ -148,23 +148,23 @@
         EntryContext {
             config: self.keeper.subscribe(),
             engines: self.engines.clone(),
-            plain: HttpClient::single_use(&self.environment.stack),
-            desk: self.placement_desk(),
-            registry: self.registry.clone(),
+            plain_client: HttpClient::single_use(&self.environment.stack),
+            placement_client: self.placement_desk(),
+            placements: self.registry.clone(),
             ledger,
             clock: self.environment.clock.clone(),
             next_backend: Arc::default(),
             ids: StreamIds::new(Name::clone(&self.settings.host), self.incarnation),
             suspects: self.suspects.clone(),
-            print_key: FingerprintKey::new(self.settings.keys.peer_key.expose()),
-            retries: RetryBudget::default(),
+            fingerprint_key: FingerprintKey::new(self.settings.keys.peer_key.expose()),
+            retry_budget: RetryBudget::default(),
             metrics: self.metrics.clone(),
             in_flight: Arc::new(Semaphore::new(limits.max_in_flight as usize)),
             max_body_bytes: usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX),
             body_timeout: Duration::from_millis(limits.body_timeout_ms.into()),
             tasks: self.tasks.clone(),
             cancel: self.answers.clone(),
-            checks: HostChecks {
+            host_status: HostStatus {
                 closed_reason: Arc::new(move || isolated.is_isolated().then_some(ISOLATED)),
                 is_leaving: Arc::new(move |backend| leaving.is_leaving(backend)),
             },
