--- a/crates/dillspool/src/apply.rs
+++ b/crates/dillspool/src/apply.rs
@@ -24,7 +24,7 @@
     if delta.is_empty() {
         println!("no change to version {}", current.version);
     }
-    for line in delta.lines() {
+    for line in delta.summary_lines() {
         println!("{line}");
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/dillspool_config/src/delta.rs
+++ b/crates/dillspool_config/src/delta.rs
@@ -104,7 +104,7 @@
     }
 
     /// One line for each change, for `dillspool diff` and the audit trail.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn summary_lines(&self) -> Vec<String> {
         let mut lines = Vec::new();
         if self.policy.is_some() {
             lines.push("~ policy".to_owned());
--- a/crates/dillspool_config/src/store.rs
+++ b/crates/dillspool_config/src/store.rs
@@ -229,7 +229,7 @@
         let digest = digest_configuration(next);
         self.put_objects(from, &digest, next, delta.as_ref()).await?;
         let to = ConfigVersion(from.0 + 1);
-        let changes = delta.map_or_else(|| vec!["+ first version".to_owned()], |it| it.lines());
+        let changes = delta.map_or_else(|| vec!["+ first version".to_owned()], |it| it.summary_lines());
         let head = ConfigHead {
             version: to,
             digest,
@@ -251,7 +251,7 @@
     /// # Errors
     ///
     /// [`ApplyError`] when the store does not answer, or an operator's change came first.
-    pub async fn write_again(&self, current: &ConfigSnapshot) -> Result<bool, ApplyError> {
+    pub async fn restore(&self, current: &ConfigSnapshot) -> Result<bool, ApplyError> {
         let before = self.head_row().await?;
         let from = before.as_ref().map_or(ConfigVersion(0), |row| row.head.version);
         if from >= current.version {
--- a/crates/dillspool_host/src/config_keeper.rs
+++ b/crates/dillspool_host/src/config_keeper.rs
@@ -120,7 +120,7 @@
 
     async fn write_again(&self, current: &ConfigSnapshot) {
         let version = current.version;
-        match self.store.write_again(current).await {
+        match self.store.restore(current).await {
             Ok(true) => log::warn!("event=config_written_again version={version}"),
             Ok(false) => {}
             Err(error) => {
