--- a/crates/dillspool_log/src/lib.rs
+++ b/crates/dillspool_log/src/lib.rs
@@ -7,4 +7,4 @@
 mod log_setup;
 
 pub use line_queue::{LineQueue, LogDrain, QUEUE_LINES, start_writer};
-pub use log_setup::{LineForm, LogSetup, LogSetupError, set_up_log};
+pub use log_setup::{LineFormat, LogSetup, LogSetupError, set_up_log};
--- a/crates/dillspool_log/src/log_setup.rs
+++ b/crates/dillspool_log/src/log_setup.rs
@@ -23,12 +23,12 @@
     },
     /// A logger was there already.
     #[snafu(display("the log was set up before; set it up once in a process"))]
-    Twice,
+    AlreadySet,
 }
 
 /// Form of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LineForm {
+pub enum LineFormat {
     /// `name=value` pairs.
     #[default]
     Text,
@@ -44,7 +44,7 @@
     /// Least urgent level that is logged.
     pub level: LevelFilter,
     /// Form of the lines.
-    pub form: LineForm,
+    pub format: LineFormat,
 }
 
 /// Sends the log to standard output; returns what lets the last lines out.
@@ -64,7 +64,7 @@
             out.finish(format_args!("{line}"));
         })
         .chain(Box::new(queue) as Box<dyn Write + Send>);
-    dispatch.apply().map_err(|_set| LogSetupError::Twice)?;
+    dispatch.apply().map_err(|_set| LogSetupError::AlreadySet)?;
     Ok(drain)
 }
 
@@ -72,9 +72,9 @@
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let time_ms = now.map_or(0, |since| u64::try_from(since.as_millis()).unwrap_or(u64::MAX));
     let (host, level) = (&setup.host, record.level());
-    match setup.form {
-        LineForm::Text => format!("time_ms={time_ms} host={host} level={level} {message}"),
-        LineForm::Json => serde_json::json!({
+    match setup.format {
+        LineFormat::Text => format!("time_ms={time_ms} host={host} level={level} {message}"),
+        LineFormat::Json => serde_json::json!({
             "time_ms": time_ms,
             "host": &**host,
             "level": level.as_str(),
--- a/crates/dillspool_routerd/src/main.rs
+++ b/crates/dillspool_routerd/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::Parser;
 use dillspool_io::{HostClock, NetStack};
-use dillspool_log::{LineForm, LogSetup, set_up_log};
+use dillspool_log::{LineFormat, LogSetup, set_up_log};
 use dillspool_router::{RouterConfig, RouterDaemon, SettingsWatch, load_settings};
 use dillspool_routerd::prepared_platform;
 use tokio::signal::unix::{SignalKind, signal};
@@ -55,7 +55,7 @@
         return Ok(());
     }
     let host = std::sync::Arc::clone(&config.host);
-    let drain = set_up_log(LogSetup { host, level: config.log_level, form: LineForm::Text })
+    let drain = set_up_log(LogSetup { host, level: config.log_level, format: LineFormat::Text })
         .map_err(|error| error.to_string())?;
     // A host has a part of one core: more threads cost wake-ups and bring nothing.
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/dillspoold/src/main.rs
+++ b/crates/dillspoold/src/main.rs
@@ -9,7 +9,7 @@
 use dillspool_config::load_settings;
 use dillspool_host::{HostDaemon, HostEnvironment};
 use dillspool_io::{HostClock, NetStack, WallClock};
-use dillspool_log::{LineForm, LogSetup, set_up_log};
+use dillspool_log::{LineFormat, LogSetup, set_up_log};
 use dillspool_schema::settings::{HostSettings, LogFormat};
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -71,9 +71,9 @@
     Ok(LogSetup {
         host: std::sync::Arc::clone(&settings.host),
         level: level.parse().map_err(|_none| format!("log.level is `{level}`: {remedy}"))?,
-        form: match log.map(|log| log.format) {
-            None | Some(LogFormat::Text) => LineForm::Text,
-            Some(LogFormat::Json) => LineForm::Json,
+        format: match log.map(|log| log.format) {
+            None | Some(LogFormat::Text) => LineFormat::Text,
+            Some(LogFormat::Json) => LineFormat::Json,
         },
     })
 }
