--- a/crates/dillspool_host/src/metrics.rs
+++ b/crates/dillspool_host/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use dillspool_entry::EntryMetrics;
 use dillspool_io::ResponseBody;
-use dillspool_metrics::metrics_page;
+use dillspool_metrics::metrics_response;
 use hyper::Response;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
@@ -82,6 +82,6 @@
         raise(&self.orphans, readings.orphans);
         raise(&self.granted, readings.granted);
         raise(&self.refused, readings.refused);
-        metrics_page(&self.registry)
+        metrics_response(&self.registry)
     }
 }
--- a/crates/dillspool_metrics/src/page.rs
+++ b/crates/dillspool_metrics/src/exposition.rs
@@ -22,7 +22,7 @@
 }
 
 /// The answer to a scrape.
-pub fn metrics_page(registry: &Registry) -> Response<ResponseBody> {
+pub fn metrics_response(registry: &Registry) -> Response<ResponseBody> {
     match metrics_text(registry) {
         Ok(text) => text_response(StatusCode::OK, METRICS_TYPE, text),
         Err(error) => {
--- a/crates/dillspool_metrics/tests/page.rs
+++ b/crates/dillspool_metrics/tests/exposition.rs
@@ -1,6 +1,6 @@
 //! Labels and the page of metrics.
 
-use dillspool_metrics::{metrics_page, metrics_text, write_labels};
+use dillspool_metrics::{metrics_response, metrics_text, write_labels};
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -43,6 +43,6 @@
         family.get_or_create(&TestLabels { pairs: case.pairs }).inc();
         let text = metrics_text(&registry).expect("text");
         assert!(text.lines().any(|line| line == case.line), "{text}");
-        assert_eq!(metrics_page(&registry).status().as_u16(), 200);
+        assert_eq!(metrics_response(&registry).status().as_u16(), 200);
     }
 }
--- a/crates/dillspool_router/src/status.rs
+++ b/crates/dillspool_router/src/status.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use dillspool_io::{HttpHandler, handler, text_response};
-use dillspool_metrics::metrics_page;
+use dillspool_metrics::metrics_response;
 use hyper::StatusCode;
 use prometheus_client::registry::Registry;
 
@@ -31,7 +31,7 @@
     let registry = Arc::new(registry);
     handler(move |_request| {
         refresh();
-        let page = metrics_page(&registry);
+        let page = metrics_response(&registry);
         async move { page }
     })
 }
