--- a/crates/dillspool_keys/src/lib.rs
+++ b/crates/dillspool_keys/src/lib.rs
@@ -17,7 +17,7 @@
 
 /// The hash of a key, in hexadecimal, as configuration and settings hold it.
 pub fn hash_key(key: &str) -> Name {
-    hex::encode(KeyDigest::of(key).0).into()
+    hex::encode(KeyDigest::from_key(key).0).into()
 }
 
 /// The SHA-256 of a key.
@@ -26,7 +26,7 @@
 
 impl KeyDigest {
     /// The digest of a key's text.
-    pub fn of(key: &str) -> Self {
+    pub fn from_key(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
@@ -53,7 +53,7 @@
 impl CallerKey {
     /// Takes the key from its text; `None` if it is empty.
     pub fn new(text: &str) -> Option<Self> {
-        (!text.is_empty()).then(|| Self { digest: KeyDigest::of(text) })
+        (!text.is_empty()).then(|| Self { digest: KeyDigest::from_key(text) })
     }
 
     /// Takes the key from an `Authorization: Bearer` value.
