--- a/crates/dillspool_config/src/store.rs
+++ b/crates/dillspool_config/src/store.rs
@@ -229,7 +229,8 @@
         let digest = digest_configuration(next);
         self.put_objects(from, &digest, next, delta.as_ref()).await?;
         let to = ConfigVersion(from.0 + 1);
-        let changes = delta.map_or_else(|| vec!["+ first version".to_owned()], |it| it.summary_lines());
+        let changes =
+            delta.map_or_else(|| vec!["+ first version".to_owned()], |it| it.summary_lines());
         let head = ConfigHead {
             version: to,
             digest,
--- a/crates/dillspool_metrics/src/lib.rs
+++ b/crates/dillspool_metrics/src/lib.rs
@@ -1,7 +1,7 @@
 //! What all daemons need to show metrics: labels and the page in the text form of Prometheus.
 
-mod labels;
 mod exposition;
+mod labels;
 
-pub use labels::write_labels;
 pub use exposition::{metrics_response, metrics_text};
+pub use labels::write_labels;
