--- a/crates/dillspool_engine/src/client.rs
+++ b/crates/dillspool_engine/src/client.rs
@@ -44,7 +44,7 @@
     /// Whether nobody listens at an engine's address; one that is cut off or silent may live on.
     ///
     /// Boxed, since it is rare and would make each answer's future larger.
-    pub fn has_ended(&self, engine: SocketAddr) -> BoxFuture<bool> {
+    pub fn refuses_connections(&self, engine: SocketAddr) -> BoxFuture<bool> {
         let stack = self.stack.clone();
         Box::pin(async move {
             probe_connect(&stack, engine, LOOK_LIMIT).await == ConnectOutcome::Refused
@@ -176,7 +176,7 @@
     ///
     /// # Errors
     ///
-    /// [`EngineError::BrokenOff`] when the order may have been carried out.
+    /// [`EngineError::Interrupted`] when the order may have been carried out.
     pub async fn order(
         &self,
         engine: SocketAddr,
--- a/crates/dillspool_engine/src/error.rs
+++ b/crates/dillspool_engine/src/error.rs
@@ -16,13 +16,13 @@
     },
     /// The engine cannot be reached.
     #[snafu(display("the engine is out of reach: {reason}; place the request on another engine"))]
-    OutOfReach {
+    Unreachable {
         /// What the connection met.
         reason: String,
     },
     /// The call or stream broke off, and the engine may still hold memory for it.
     #[snafu(display("the engine's answer broke off: {reason}; resume or cancel the stream"))]
-    BrokenOff {
+    Interrupted {
         /// What broke off.
         reason: String,
     },
@@ -36,7 +36,7 @@
     },
     /// The engine sent something that belongs to another request or to no protocol.
     #[snafu(display("the engine sent a wrong answer: {reason}; the stream is given up"))]
-    Wrong {
+    InvalidResponse {
         /// What was wrong.
         reason: String,
     },
@@ -46,13 +46,13 @@
     fn from(error: HttpError) -> Self {
         let reason = error.to_string();
         match error {
-            HttpError::NotSent { .. } => Self::OutOfReach { reason },
+            HttpError::NotSent { .. } => Self::Unreachable { reason },
             HttpError::Status { status, text, .. }
                 if status != StatusCode::INTERNAL_SERVER_ERROR =>
             {
                 Self::Refused { text }
             }
-            HttpError::Status { .. } | HttpError::Lost { .. } => Self::BrokenOff { reason },
+            HttpError::Status { .. } | HttpError::Lost { .. } => Self::Interrupted { reason },
         }
     }
 }
--- a/crates/dillspool_engine/src/tokens.rs
+++ b/crates/dillspool_engine/src/tokens.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use crate::EngineError;
-use crate::error::{BrokenOffSnafu, StalledSnafu, WrongSnafu};
+use crate::error::{InterruptedSnafu, InvalidResponseSnafu, StalledSnafu};
 use crate::lines::LineBuffer;
 
 /// Reads token events, checking that each belongs to the stream and comes in order.
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// [`EngineError::BrokenOff`] when the stream ends early or stalls, [`EngineError::Wrong`]
+    /// [`EngineError::Interrupted`] when the stream ends early or stalls, [`EngineError::InvalidResponse`]
     /// when an event belongs to another stream or index.
     pub async fn next(&mut self) -> Result<TokenEvent, EngineError> {
         loop {
@@ -50,10 +50,10 @@
                     return StalledSnafu { limit }.fail();
                 }
                 Ok(None) => {
-                    return BrokenOffSnafu { reason: "the stream ended early" }.fail();
+                    return InterruptedSnafu { reason: "the stream ended early" }.fail();
                 }
                 Ok(Some(Err(error))) => {
-                    return BrokenOffSnafu { reason: error.to_string() }.fail();
+                    return InterruptedSnafu { reason: error.to_string() }.fail();
                 }
                 Ok(Some(Ok(frame))) => frame,
             };
@@ -61,7 +61,7 @@
                 continue;
             };
             if !self.lines.push(chunk) {
-                return WrongSnafu { reason: "a line without end" }.fail();
+                return InvalidResponseSnafu { reason: "a line without end" }.fail();
             }
         }
     }
@@ -70,16 +70,16 @@
         let event = match serde_json::from_slice::<TokenEvent>(line) {
             Ok(event) => event,
             Err(error) => {
-                return WrongSnafu { reason: error.to_string() }.fail();
+                return InvalidResponseSnafu { reason: error.to_string() }.fail();
             }
         };
         if event.stream != self.stream {
             let reason = format!("event of {} on {}", event.stream, self.stream);
-            return WrongSnafu { reason }.fail();
+            return InvalidResponseSnafu { reason }.fail();
         }
         if event.index != self.next_index {
             let reason = format!("token {} in place of {}", event.index, self.next_index);
-            return WrongSnafu { reason }.fail();
+            return InvalidResponseSnafu { reason }.fail();
         }
         if event.finish.is_none() {
             self.next_index += 1;
--- a/crates/dillspool_entry/src/plain.rs
+++ b/crates/dillspool_entry/src/plain.rs
@@ -273,7 +273,7 @@
 
 /// Holds it against the call if the process that ran it has ended.
 async fn note_break(context: &EntryContext, call: &PlainCall, server: &EngineRef) {
-    if context.engines.has_ended(server.address).await {
+    if context.engines.refuses_connections(server.address).await {
         log::info!("event=backend_ended print={} backend={}", call.print, server.name);
         context.suspects.record_unidentified_crash(call.print, &server.name, Duration::ZERO);
     }
--- a/crates/dillspool_entry/src/stream.rs
+++ b/crates/dillspool_entry/src/stream.rs
@@ -187,7 +187,7 @@
             self.terms.id,
             open.placement.stream()
         );
-        if matches!(error, EngineError::BrokenOff { .. })
+        if matches!(error, EngineError::Interrupted { .. })
             && let Some(tokens) = self.reopen(&open.placement).await
         {
             open.tokens = tokens;
@@ -211,12 +211,12 @@
     ) -> Option<Name> {
         let engine = engine?;
         match error {
-            EngineError::BrokenOff { .. } | EngineError::Stalled { .. } => {}
+            EngineError::Interrupted { .. } | EngineError::Stalled { .. } => {}
             EngineError::Refused { .. }
-            | EngineError::OutOfReach { .. }
-            | EngineError::Wrong { .. } => return None,
+            | EngineError::Unreachable { .. }
+            | EngineError::InvalidResponse { .. } => return None,
         }
-        let ended = self.context.engines.has_ended(engine.address).await;
+        let ended = self.context.engines.refuses_connections(engine.address).await;
         ended.then(|| Name::clone(&engine.name))
     }
 
--- a/crates/dillspool_entry/src/stream/placing.rs
+++ b/crates/dillspool_entry/src/stream/placing.rs
@@ -116,7 +116,7 @@
         let Some((prefill, decode)) = engines else {
             placement.end(ReleaseCause::Cancelled);
             let reason = "the grant names an engine that is not declared".to_owned();
-            let error = EngineError::OutOfReach { reason };
+            let error = EngineError::Unreachable { reason };
             return Err(OpenFailure::Failed { code: "unknown_engine", error });
         };
         if export.is_none() {
@@ -205,7 +205,7 @@
             export.as_ref().and_then(|it| it.kv.clone()),
             export.as_ref().map(|it| it.engine.address),
         ) else {
-            let error = EngineError::BrokenOff { reason: "no exported KV cache".to_owned() };
+            let error = EngineError::Interrupted { reason: "no exported KV cache".to_owned() };
             return Err((OpenFailure::Failed { code: "prefill_failed", error }, None));
         };
         let request = DecodeRequest {
--- a/crates/dillspool_standin/tests/engine_contract.rs
+++ b/crates/dillspool_standin/tests/engine_contract.rs
@@ -121,5 +121,5 @@
     let export = pair.export(1).await;
     pair.decode.set_fault(EngineFault::WrongStream);
     let mut tokens = pair.open(1, &export).await.expect("the stream opens");
-    assert_matches!(tokens.next().await, Err(EngineError::Wrong { .. }));
+    assert_matches!(tokens.next().await, Err(EngineError::InvalidResponse { .. }));
 }
