--- a/crates/dillspool_router/src/daemon.rs
+++ b/crates/dillspool_router/src/daemon.rs
@@ -85,7 +85,7 @@
     peers: PeerList,
     suspects: SuspectTracker,
     /// Budget for bytes held for slow peers; `None` if they are not limited.
-    held: Option<ByteBudget>,
+    byte_budget: Option<ByteBudget>,
     clock: HostClock,
 }
 
@@ -166,7 +166,7 @@
         };
         let stopping = Arc::new(AtomicBool::new(false));
         let daemon = Self {
-            held: config.held_bytes.map(ByteBudget::new),
+            byte_budget: config.held_bytes.map(ByteBudget::new),
             config,
             stopping,
             callers,
@@ -181,8 +181,8 @@
             site.leaving.clone(),
             [context.limits.clone(), backend_limits.clone()],
         );
-        let figures = (throttle_metrics, call_metrics);
-        daemon.start_status(&replicas, figures, &metrics, readiness_listener, metrics_listener);
+        let own_metrics = (throttle_metrics, call_metrics);
+        daemon.start_status(&replicas, own_metrics, &metrics, readiness_listener, metrics_listener);
         daemon.start_suspect_replicator(&replicas, &site, schedule.clone());
         daemon.start_notice_publisher(&replicas, &site, backend_limits, schedule.clone());
         daemon.start_maintenance(&replicas, &site, (budgets, host_count), demand, schedule, &clock);
@@ -199,23 +199,23 @@
     fn start_status(
         &self,
         replicas: &StoreReplicas,
-        (throttle_metrics, calls): (ThrottleMetrics, CallMetrics),
+        (throttle_metrics, call_metrics): (ThrottleMetrics, CallMetrics),
         metrics: &ForwardMetrics,
-        readiness: NetListener,
-        figures: NetListener,
+        readiness_listener: NetListener,
+        metrics_listener: NetListener,
     ) {
         let limits =
             ServerLimits { max_connections: MAX_STATUS_CONNECTIONS, ..ServerLimits::default() };
         let (config, directory) = (replicas.config.clone(), replicas.directory.clone());
         let stopping = Arc::clone(&self.stopping);
-        let held = self.held.clone();
+        let byte_budget = self.byte_budget.clone();
         let is_ready = move || {
             let known = config.borrow().is_some() && !directory.borrow().entries.is_empty();
-            let has_capacity = held.as_ref().is_none_or(ByteBudget::is_ready);
+            let has_capacity = byte_budget.as_ref().is_none_or(ByteBudget::is_ready);
             known && has_capacity && !stopping.load(Ordering::Relaxed)
         };
         let handler = readiness_handler(is_ready);
-        tokio::spawn(serve_http(readiness, limits, handler, self.background.clone()));
+        tokio::spawn(serve_http(readiness_listener, limits, handler, self.background.clone()));
         let mut registry = Registry::with_prefix("dillspool");
         metrics.register(&mut registry);
         let store_metrics = StoreMetrics::new(
@@ -229,18 +229,18 @@
         let suspect_metrics = SuspectMetrics::new(self.suspects.clone());
         suspect_metrics.register(&mut registry);
         throttle_metrics.register(&mut registry);
-        calls.register(&mut registry);
-        let held = HeldMetrics::new(self.held.clone());
-        held.register(&mut registry);
+        call_metrics.register(&mut registry);
+        let held_metrics = HeldMetrics::new(self.byte_budget.clone());
+        held_metrics.register(&mut registry);
         let refresh = move || {
-            held.refresh();
+            held_metrics.refresh();
             store_metrics.refresh();
             suspect_metrics.refresh();
             throttle_metrics.refresh();
-            calls.refresh();
+            call_metrics.refresh();
         };
         let handler = metrics_handler(registry, refresh);
-        tokio::spawn(serve_http(figures, limits, handler, self.background.clone()));
+        tokio::spawn(serve_http(metrics_listener, limits, handler, self.background.clone()));
     }
 
     fn start_maintenance(
@@ -351,8 +351,8 @@
             clock,
         );
         let limits = caller_limits(replicas.config.clone(), &self.background);
-        let (held, cancel) = (self.held.clone(), self.callers.clone());
-        let serve = serve_http_with_budget(listener, limits, state.handler(), held, cancel);
+        let (byte_budget, cancel) = (self.byte_budget.clone(), self.callers.clone());
+        let serve = serve_http_with_budget(listener, limits, state.handler(), byte_budget, cancel);
         self.serving.spawn(serve);
     }
 
--- a/crates/dillspool_router/src/peer_list.rs
+++ b/crates/dillspool_router/src/peer_list.rs
@@ -141,9 +141,9 @@
     /// charged.
     fn addresses(&self) -> Vec<SocketAddr> {
         let registered = self.with_rows(|rows| rows.clone());
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (same_domain, others): (Vec<_>, Vec<_>) =
             registered.into_iter().partition(|row| row.failure_domain == self.own.failure_domain);
-        let all = near.into_iter().chain(far).map(|row| row.peers).chain(self.seeds());
+        let all = same_domain.into_iter().chain(others).map(|row| row.peers).chain(self.seeds());
         let mut addresses = Vec::new();
         for address in all {
             if address != self.own.peers && !addresses.contains(&address) {
--- a/crates/dillspool_router/src/store_metrics.rs
+++ b/crates/dillspool_router/src/store_metrics.rs
@@ -20,26 +20,26 @@
 struct BackendLabels {
     service: Name,
     /// `prefill`, `decode` or `plain`.
-    part: &'static str,
+    role: &'static str,
     /// `ready` or `draining`.
     state: &'static str,
 }
 
 impl BackendLabels {
     fn of(entry: &BackendEntry, view: &DirectoryView) -> Self {
-        let part = match entry.stage {
+        let role = match entry.stage {
             Some(EngineStage::Prefill) => "prefill",
             Some(EngineStage::Decode) => "decode",
             None => "plain",
         };
         let state = if view.accepts_requests(entry) { "ready" } else { "draining" };
-        Self { service: Name::clone(&entry.service), part, state }
+        Self { service: Name::clone(&entry.service), role, state }
     }
 }
 
 impl EncodeLabelSet for BackendLabels {
     fn encode(&self, encoder: &mut LabelSetEncoder<'_>) -> Result<(), std::fmt::Error> {
-        let labels = [("service", &*self.service), ("part", self.part), ("state", self.state)];
+        let labels = [("service", &*self.service), ("part", self.role), ("state", self.state)];
         write_labels(encoder, &labels)
     }
 }
@@ -49,12 +49,12 @@
 pub(crate) struct StoreMetrics {
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     directory: watch::Receiver<Arc<DirectoryView>>,
-    reach: watch::Receiver<StoreReachability>,
+    reachability: watch::Receiver<StoreReachability>,
     tables: Vec<SharedReplica>,
     table_ages: Family<TableLabels, Gauge<f64, AtomicU64>>,
     backends: Family<BackendLabels, Gauge>,
     config_version: Gauge,
-    store_in_reach: Gauge,
+    store_reachable: Gauge,
     store_era: Gauge,
 }
 
@@ -62,18 +62,18 @@
     pub(crate) fn new(
         config: watch::Receiver<Option<Arc<RoutingConfig>>>,
         directory: watch::Receiver<Arc<DirectoryView>>,
-        reach: watch::Receiver<StoreReachability>,
+        reachability: watch::Receiver<StoreReachability>,
         tables: Vec<SharedReplica>,
     ) -> Self {
         Self {
             config,
             directory,
-            reach,
+            reachability,
             tables,
             table_ages: Family::default(),
             backends: Family::default(),
             config_version: Gauge::default(),
-            store_in_reach: Gauge::default(),
+            store_reachable: Gauge::default(),
             store_era: Gauge::default(),
         }
     }
@@ -82,8 +82,8 @@
         registry.register("backends", "Backend servers in use", self.backends.clone());
         let version = self.config_version.clone();
         registry.register("config_version", "Configuration version in force", version);
-        let in_reach = self.store_in_reach.clone();
-        registry.register("store_in_reach", "Whether the store is heard of, 0 or 1", in_reach);
+        let reachable = self.store_reachable.clone();
+        registry.register("store_in_reach", "Whether the store is heard of, 0 or 1", reachable);
         let era = self.store_era.clone();
         registry.register("store_era", "How often the store came back from a copy", era);
         let ages = self.table_ages.clone();
@@ -99,8 +99,8 @@
     pub(crate) fn refresh(&self) {
         let version = self.config.borrow().as_ref().map_or(0, |config| config.version);
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
-        self.store_in_reach.set(i64::from(self.reach.borrow().is_reachable()));
-        let era = self.reach.borrow().era.number();
+        self.store_reachable.set(i64::from(self.reachability.borrow().is_reachable()));
+        let era = self.reachability.borrow().era.number();
         self.store_era.set(i64::try_from(era).unwrap_or(i64::MAX));
         for table in &self.tables {
             // A table that was never received has no age yet.
--- a/crates/dillspool_router/src/suspect_rows.rs
+++ b/crates/dillspool_router/src/suspect_rows.rs
@@ -112,7 +112,9 @@
                 () = tokio::time::sleep_until(cleanup_at) => {
                     self.tracker.remove_expired();
                     state.own.prune(&self.tracker);
-                    state.recorded_crashes.retain(|(fingerprint, _backend)| self.tracker.decide(*fingerprint).ends() > 0);
+                    state.recorded_crashes.retain(|(fingerprint, _backend)| {
+                        self.tracker.decide(*fingerprint).ends() > 0
+                    });
                     self.delete_obsolete(&clock).await;
                     cleanup_at = Instant::now() + cleanup_interval();
                 }
--- a/crates/dillspool_router/src/throttle_metrics.rs
+++ b/crates/dillspool_router/src/throttle_metrics.rs
@@ -16,11 +16,11 @@
     throttle: ThrottleTracker,
     leaving_tracker: LeavingTracker,
     clients: [LimitClient; 2],
-    limited: Gauge,
-    resting: Gauge,
+    limited_backends: Gauge,
+    backing_off: Gauge,
     leaving: Gauge,
-    questions: Gauge,
-    sends: Counter<u64, AtomicU64>,
+    pending_requests: Gauge,
+    limited_sends: Counter<u64, AtomicU64>,
 }
 
 impl ThrottleMetrics {
@@ -34,36 +34,36 @@
             throttle,
             leaving_tracker,
             clients,
-            limited: Gauge::default(),
-            resting: Gauge::default(),
+            limited_backends: Gauge::default(),
+            backing_off: Gauge::default(),
             leaving: Gauge::default(),
-            questions: Gauge::default(),
-            sends: Counter::default(),
+            pending_requests: Gauge::default(),
+            limited_sends: Counter::default(),
         }
     }
 
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Backend servers that name how many requests a second they take";
-        registry.register("limited_backends", help, self.limited.clone());
+        registry.register("limited_backends", help, self.limited_backends.clone());
         let help = "Backend servers that want nothing from this host for now";
-        registry.register("resting_backends", help, self.resting.clone());
+        registry.register("resting_backends", help, self.backing_off.clone());
         let help = "Starts of backend servers that have said in an answer that they leave";
         registry.register("leaving_backends", help, self.leaving.clone());
         let help = "Questions to the holders of limits that wait for an answer";
-        registry.register("limit_questions", help, self.questions.clone());
+        registry.register("limit_questions", help, self.pending_requests.clone());
         let help = "Sends to backend servers that had named how many requests a second they take";
-        registry.register("limited_sends", help, self.sends.clone());
+        registry.register("limited_sends", help, self.limited_sends.clone());
     }
 
     /// Updates the metrics to the current values.
     pub(crate) fn refresh(&self) {
         let (limited, sends) = self.throttle.counts();
-        let questions: usize = self.clients.iter().map(LimitClient::pending_requests).sum();
+        let pending_requests: usize = self.clients.iter().map(LimitClient::pending_requests).sum();
         let set = |gauge: &Gauge, count| gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
-        set(&self.limited, limited);
-        set(&self.resting, self.throttle.backing_off());
+        set(&self.limited_backends, limited);
+        set(&self.backing_off, self.throttle.backing_off());
         set(&self.leaving, self.leaving_tracker.count());
-        set(&self.questions, questions);
-        self.sends.inner().store(sends, std::sync::atomic::Ordering::Relaxed);
+        set(&self.pending_requests, pending_requests);
+        self.limited_sends.inner().store(sends, std::sync::atomic::Ordering::Relaxed);
     }
 }
--- a/crates/dillspool_router/tests/daemon.rs
+++ b/crates/dillspool_router/tests/daemon.rs
@@ -41,12 +41,12 @@
         let builder = Request::builder().method("POST").uri(path).header("host", "a.example");
         let builder = if id { builder.header("x-id", "request-1") } else { builder };
         let request = builder.body(Full::new(Bytes::from(body))).expect("a request");
-        let response = self.client.send(address, request).await.expect("an answer");
+        let response = self.client.send(address, request).await.expect("a response");
         let status = response.status();
         if id && address.port() == 8144 {
             assert_eq!(response.headers()["x-id"], "request-1");
         }
-        let body = read_body(response.into_body(), 10_000).await.expect("a whole body");
+        let body = read_body(response.into_body(), 10_000).await.expect("a complete body");
         (status.as_u16(), String::from_utf8_lossy(&body).into_owned())
     }
 
@@ -145,9 +145,9 @@
     sleep_ms(1000).await;
     // The platform keeps sending connections for a while.
     let after = tokio::spawn(send(client));
-    for answer in [before, after] {
-        let answer = answer.await.expect("no panic").expect("an answer");
-        assert_eq!(answer.status(), StatusCode::OK);
+    for response in [before, after] {
+        let response = response.await.expect("no panic").expect("a response");
+        assert_eq!(response.status(), StatusCode::OK);
     }
     stopping.await.expect("no panic");
     assert_eq!(site.arrivals.lock().unwrap().len(), 2);
--- a/crates/dillspool_router/tests/held_bytes.rs
+++ b/crates/dillspool_router/tests/held_bytes.rs
@@ -103,8 +103,8 @@
             })
         });
         let config = RouterConfig { held_bytes, ..config() };
-        let near = stack(&net, "10.0.0.1");
-        let daemon = RouterDaemon::start(config, near, protocol, HostClock::steady()).await;
+        let host_stack = stack(&net, "10.0.0.1");
+        let daemon = RouterDaemon::start(config, host_stack, protocol, HostClock::steady()).await;
         let client = HttpClient::pooled(&stack(&net, "10.0.0.2"));
         tokio::time::sleep(Duration::from_millis(100)).await;
         Self { net, _daemon: daemon.expect("it starts"), client, arrivals, open_responses }
@@ -126,9 +126,10 @@
         let started = Instant::now();
         let request = Request::post(path).header("host", "a.example").header("x-id", "request-1");
         let request = request.body(Full::new(body)).expect("a request");
-        let answer = self.client.send(address(to), request).await.expect("an answer");
-        let status = answer.status().as_u16();
-        let body = read_body(answer.into_body(), LONG_RESPONSE_BYTES).await.expect("a whole body");
+        let response = self.client.send(address(to), request).await.expect("a response");
+        let status = response.status().as_u16();
+        let body =
+            read_body(response.into_body(), LONG_RESPONSE_BYTES).await.expect("a complete body");
         (status, String::from_utf8_lossy(&body).into_owned(), started.elapsed())
     }
 
@@ -172,13 +173,13 @@
 }
 
 /// Body whose chunks are sent one at a time, each after the previous one was read.
-fn chunked_body(count: usize, part: Bytes, open: &Arc<AtomicUsize>) -> ResponseBody {
+fn chunked_body(count: usize, chunk: Bytes, open: &Arc<AtomicUsize>) -> ResponseBody {
     let (sender, receiver) = tokio::sync::mpsc::channel(1);
     let open = Arc::clone(open);
     open.fetch_add(1, Ordering::Relaxed);
     tokio::spawn(async move {
-        for _part in 0..count {
-            if sender.send(Ok(part.clone())).await.is_err() {
+        for _chunk in 0..count {
+            if sender.send(Ok(chunk.clone())).await.is_err() {
                 break;
             }
         }
@@ -313,7 +314,7 @@
     let host = LimitedHost::start(Some(SMALL_HOST)).await;
     let mut stream = host.send("/x/usual", "").await;
     let mut read = vec![0; 1000];
-    let _first_answer = stream.read(&mut read).await.expect("an answer");
+    let _first_response = stream.read(&mut read).await.expect("a response");
     let head =
         "POST /x/usual HTTP/1.1\r\nhost: a.example\r\nx-id: r\r\ncontent-length: 100000\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("it is sent");
@@ -321,7 +322,7 @@
     sleep_secs(7).await;
     assert_eq!(host.metric("dillspool_held_bytes").await, Some(40_000));
     sleep_secs(2).await;
-    let length = stream.read(&mut read).await.expect("an answer");
+    let length = stream.read(&mut read).await.expect("a response");
     assert!(read[..length].starts_with(b"HTTP/1.1 408"));
     assert_eq!(host.metric("dillspool_held_bytes").await, Some(0));
     assert_eq!(host.arrivals.load(Ordering::Relaxed), 1);
@@ -330,19 +331,19 @@
 /// Requests beyond the limit are refused at once and do not run; the others get complete responses.
 #[tokio::test(start_paused = true)]
 async fn requests_beyond_the_limit_are_refused_at_once() {
-    let terms = ByteLimits { max_bytes: 1_000_000, ..SMALL_HOST };
-    let host = LimitedHost::start(Some(terms)).await;
+    let limits = ByteLimits { max_bytes: 1_000_000, ..SMALL_HOST };
+    let host = LimitedHost::start(Some(limits)).await;
     let body = Bytes::from(vec![b'x'; 100_000]);
     let surge = (0..60).map(|_call| host.call(CALLERS, "/x/usual", body.clone()));
     let readiness = async {
         tokio::time::sleep(WORK_TIME / 2).await;
         host.call(READINESS, "/", Bytes::new()).await.0
     };
-    let (answers, ready) = tokio::join!(futures_util::future::join_all(surge), readiness);
-    let served = answers.iter().filter(|it| it.0 == 200).count();
+    let (responses, ready) = tokio::join!(futures_util::future::join_all(surge), readiness);
+    let served = responses.iter().filter(|it| it.0 == 200).count();
     assert_eq!(served, 9, "as many as fit");
     assert_eq!(host.arrivals.load(Ordering::Relaxed), served, "what was refused did not run");
-    for (status, text, took) in answers.iter().filter(|it| it.0 != 200) {
+    for (status, text, took) in responses.iter().filter(|it| it.0 != 200) {
         assert_eq!((*status, text.as_str()), (503, "host_full"));
         assert!(*took < Duration::from_millis(20), "{took:?}");
     }
@@ -355,15 +356,15 @@
 /// Open exchanges continue at the limit; only the largest one is aborted for them.
 #[tokio::test(start_paused = true)]
 async fn an_open_exchange_beyond_the_limit_aborts_the_largest() {
-    let terms = ByteLimits { max_bytes: 300_000, ..SMALL_HOST };
-    let host = LimitedHost::start(Some(terms)).await;
+    let limits = ByteLimits { max_bytes: 300_000, ..SMALL_HOST };
+    let host = LimitedHost::start(Some(limits)).await;
     let mut callers = Vec::new();
     for _caller in 0..12 {
         callers.push(host.send("/x/long", "body").await);
     }
     sleep_secs(6).await;
     let held = host.metric("dillspool_held_bytes").await.expect("a metric");
-    assert!(held <= terms.max_bytes, "{held} bytes held");
+    assert!(held <= limits.max_bytes, "{held} bytes held");
     let ended = host.metric("dillspool_exchanges_stalled_total{side=\"budget\"}").await;
     assert!(ended.is_some_and(|ended| (1..12).contains(&ended)), "{ended:?}");
     for caller in callers {
--- a/crates/dillspool_router/tests/keys.rs
+++ b/crates/dillspool_router/tests/keys.rs
@@ -43,10 +43,10 @@
         let builder = builder.header("x-id", "request-1");
         let builder = if key.is_empty() { builder } else { builder.header("x-key", key) };
         let request = builder.body(Full::new(Bytes::from("body"))).expect("a request");
-        let response = self.client.send(address, request).await.expect("an answer");
+        let response = self.client.send(address, request).await.expect("a response");
         let (status, has_retry_after) =
             (response.status().as_u16(), response.headers().contains_key(RETRY_AFTER));
-        let _body = read_body(response.into_body(), 10_000).await.expect("a whole body");
+        let _body = read_body(response.into_body(), 10_000).await.expect("a complete body");
         (status, has_retry_after)
     }
 
--- a/crates/dillspool_router/tests/settings.rs
+++ b/crates/dillspool_router/tests/settings.rs
@@ -37,12 +37,12 @@
     from: &'static str,
     to: &'static str,
     /// Parts of the error message; empty if the settings are valid.
-    names: &'static [&'static str],
+    message_parts: &'static [&'static str],
 }
 
 #[test]
 fn an_invalid_field_is_reported_with_its_remedy() {
-    let case = |name, from, to, names| SettingsCase { name, from, to, names };
+    let case = |name, from, to, message_parts| SettingsCase { name, from, to, message_parts };
     let cases = [
         case("good", "", "", &[]),
         case("fractions", "extra = 56", "extra = 56.5", &[]),
@@ -97,19 +97,19 @@
             &["memory.held_part", "between 0.01 and 1"],
         ),
         case(
-            "answers of which none fits",
+            "responses of which none fits",
             "[orders]",
             "[memory]\nlimit_mb = 88\nanswer_kb = 20000\n[orders]",
             &["memory.answer_kb", "at least four"],
         ),
         case(
-            "a lifted print",
+            "a lifted fingerprint",
             "[orders]",
             "[suspects]\nkey = \"k\"\nlifted = [\"00112233445566778899aabbccddeeff\"]\n[orders]",
             &[],
         ),
         case(
-            "no print",
+            "a malformed fingerprint",
             "[orders]",
             "[suspects]\nlifted = [\"001122\"]\n[orders]",
             &["suspects.lifted", "dillspool suspects"],
@@ -129,12 +129,12 @@
         let text = if case.from.is_empty() { GOOD.to_owned() } else { text };
         let path = write(&format!("settings-{}.toml", case.name), &text);
         match load_settings(&path) {
-            Ok(_config) => assert!(case.names.is_empty(), "{} is taken", case.name),
+            Ok(_config) => assert!(case.message_parts.is_empty(), "{} is taken", case.name),
             Err(error) => {
                 let message = error.to_string();
-                assert!(!case.names.is_empty(), "{}: {message}", case.name);
-                for name in case.names {
-                    assert!(message.contains(name), "{}: {message}", case.name);
+                assert!(!case.message_parts.is_empty(), "{}: {message}", case.name);
+                for part in case.message_parts {
+                    assert!(message.contains(part), "{}: {message}", case.name);
                 }
             }
         }
--- a/crates/dillspool_router/tests/sources.rs
+++ b/crates/dillspool_router/tests/sources.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_few_hosts_read_the_store_for_all() {
-    let wide = |count: usize, narrow: usize| [vec![200.0; count], vec![20.0; narrow]].concat();
+    let links = |fast: usize, slow: usize| [vec![200.0; fast], vec![20.0; slow]].concat();
     let cases = [
         SourceCase {
             name: "three small domains",
@@ -76,21 +76,21 @@
         },
         SourceCase {
             name: "fast links first: later hosts do not register",
-            domains: vec![wide(3, 66), wide(3, 61), wide(3, 49), wide(3, 52), wide(3, 52)],
+            domains: vec![links(3, 66), links(3, 61), links(3, 49), links(3, 52), links(3, 52)],
             polling: 2,
             max_registered: 30,
             roots: &[],
         },
         SourceCase {
             name: "one fast link in each of two domains",
-            domains: vec![vec![10.0; 20], [vec![10.0; 9], vec![200.0]].concat(), wide(1, 30)],
+            domains: vec![vec![10.0; 20], [vec![10.0; 9], vec![200.0]].concat(), links(1, 30)],
             polling: 2,
             max_registered: 60,
             roots: &[(1, 9), (2, 0)],
         },
         SourceCase {
             name: "a small domain beside a large one reads directly",
-            domains: vec![wide(2, 40), vec![20.0; 3]],
+            domains: vec![links(2, 40), vec![20.0; 3]],
             polling: 5,
             max_registered: 9,
             roots: &[(0, 0)],
@@ -111,7 +111,7 @@
         for host in &hosts {
             let SourcePlan::Relayed(sources) = plan(host) else { continue };
             first.insert(sources[0]);
-            assert!(!sources.contains(&host.peers), "{}: nobody relays from itself", case.name);
+            assert!(!sources.contains(&host.peers), "{}: no host relays from itself", case.name);
             let relays = |source: &SocketAddr| hosts.iter().find(|other| other.peers == *source);
             for source in sources.iter().filter_map(relays) {
                 // At most two hops: from a root to a source of the domain to a host.
@@ -204,7 +204,7 @@
             seeds.iter().filter_map(|seed| hosts.iter().position(|it| it.peers == *seed));
         let from_seeds: BTreeSet<usize> = from_seeds.collect();
         let seeds_first = sources_of.iter().filter(|sources| **sources == from_seeds).count();
-        assert!(seeds_first < hosts.len() / 2, "most take from their own domain");
+        assert!(seeds_first < hosts.len() / 2, "most read from their own domain");
     }
 }
 
