--- a/crates/dillspool_scheduler/src/call_client.rs
+++ b/crates/dillspool_scheduler/src/call_client.rs
@@ -1,4 +1,4 @@
-//! Decisions for the calls of this host: by the host that decides for all, or by itself.
+//! Decisions for the calls of this host, by the service's scheduler or locally.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -14,29 +14,29 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
-use crate::call_desk::CallScheduler;
-use crate::call_wire::later;
-use crate::keeper::{LinkKeeper, PeersFn, SchedulePeers};
-use crate::link::{CallReply, FRESH_FOR, LinkDuty, SchedulerLink};
+use crate::call_scheduler::CallScheduler;
+use crate::call_wire::with_elapsed;
+use crate::link::{CallReply, DECISION_TTL, LinkDuty, SchedulerLink};
+use crate::link_manager::{LinkManager, PeersFn, SchedulePeers};
 
-/// Questions about one call that may be answered too late to be followed before this host decides by itself: one
-/// that is stopped again and again would else ask until its caller's time is over.
-const MOST_STALE: usize = 3;
-/// Part of the servers' limits that hosts use together while each decides by itself, as a factor: callers are not
-/// spread evenly over the hosts.
-const ALONE_FACTOR: f64 = 2.0;
+/// Stale decisions on one call before this host decides by itself. Without this bound, a host that
+/// is suspended again and again would ask until the caller's deadline.
+const MAX_STALE_DECISIONS: usize = 3;
+/// Factor by which the hosts together may exceed the servers' limits while each decides by itself,
+/// since callers are not spread evenly over the hosts.
+const LOCAL_SHARE_FACTOR: f64 = 2.0;
 
 type CountFn = dyn Fn() -> Option<usize> + Send + Sync;
 
 struct ClientState {
-    desk: CallScheduler,
+    scheduler: CallScheduler,
     links: Mutex<HashMap<Name, SchedulerLink>>,
     next_ticket: AtomicU64,
-    /// Hosts of the fleet; `None` while hosts do not ask each other.
+    /// Returns the number of hosts in the fleet. `None` while hosts do not ask each other.
     count: Mutex<Option<Arc<CountFn>>>,
 }
 
-/// Asks where the calls of plain services go, and tells what became of them.
+/// Requests decisions on the calls of plain services and reports how the calls ended.
 #[derive(Clone)]
 pub struct CallClient {
     state: Arc<ClientState>,
@@ -49,10 +49,10 @@
 }
 
 impl CallClient {
-    /// A client that decides by its own desk until [`CallClient::run`] finds deciding hosts.
-    pub fn new(desk: CallScheduler) -> Self {
+    /// Creates a client that decides locally until [`CallClient::run`] finds schedulers.
+    pub fn new(scheduler: CallScheduler) -> Self {
         let state = ClientState {
-            desk,
+            scheduler,
             links: Mutex::default(),
             next_ticket: AtomicU64::new(0),
             count: Mutex::default(),
@@ -60,8 +60,8 @@
         Self { state: Arc::new(state) }
     }
 
-    /// Links this host to the deciding host of each service, for as long as one host decides on its calls, until
-    /// `cancel`. `count` tells the hosts of the fleet.
+    /// Links this host to the scheduler of each service for whose calls one host decides, until
+    /// `cancel`. `count` returns the number of hosts in the fleet.
     pub async fn run(
         self,
         stack: NetStack,
@@ -72,21 +72,21 @@
     ) {
         let peers: Arc<PeersFn> = Arc::new(peers);
         *self.state.count.lock().unwrap_or_else(PoisonError::into_inner) = Some(Arc::new(count));
-        let mut scheduled = self.state.desk.scheduled();
+        let mut scheduled = self.state.scheduler.scheduled();
         let mut running: HashMap<Name, AbortHandle> = HashMap::new();
-        let mut keepers = JoinSet::new();
+        let mut managers = JoinSet::new();
         loop {
             let wanted = scheduled.borrow_and_update().clone();
-            // Ending a keeper ends its link.
-            running.retain(|service, keeper| {
+            // Aborting a manager closes its link.
+            running.retain(|service, manager| {
                 let is_wanted = wanted.contains(service);
                 if !is_wanted {
-                    keeper.abort();
+                    manager.abort();
                 }
                 is_wanted
             });
             for service in wanted {
-                let keeper = LinkKeeper {
+                let manager = LinkManager {
                     link: self.link(&service),
                     stack: stack.clone(),
                     duty: LinkDuty::calls(&host, &service),
@@ -94,7 +94,7 @@
                 };
                 running
                     .entry(service)
-                    .or_insert_with(|| keepers.spawn(async move { keeper.run().await }));
+                    .or_insert_with(|| managers.spawn(async move { manager.run().await }));
             }
             tokio::select! {
                 changed = scheduled.changed() => if changed.is_err() { return },
@@ -103,29 +103,30 @@
         }
     }
 
-    /// The link of a service whose calls one host decides on.
+    /// Returns the link of a service, connected or not.
     fn link(&self, service: &Name) -> SchedulerLink {
         let mut links = self.state.links.lock().unwrap_or_else(PoisonError::into_inner);
         let link = links.entry(Name::clone(service));
         link.or_insert_with(|| SchedulerLink::new(|_hosts| {})).clone()
     }
 
-    /// Part of the servers' limits that this host may use by itself.
-    fn own_share(&self, link: &SchedulerLink) -> f64 {
+    /// Returns the share of the servers' limits that this host may use by itself.
+    fn local_share(&self, link: &SchedulerLink) -> f64 {
         let count = self.state.count.lock().unwrap_or_else(PoisonError::into_inner).clone();
         match count.map(|count| count()) {
-            Some(Some(hosts)) if !link.schedules() => {
+            Some(Some(hosts)) if !link.is_scheduler() => {
                 let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
-                (ALONE_FACTOR / f64::from(hosts.max(1))).min(1.0)
+                (LOCAL_SHARE_FACTOR / f64::from(hosts.max(1))).min(1.0)
             }
-            // This host decides for all, or hosts do not ask each other, or nothing is known of others yet.
+            // This host is the scheduler, or hosts do not ask each other, or the number of hosts is
+            // unknown.
             Some(Some(_) | None) | None => 1.0,
         }
     }
 
     /// Opens a ticket for a call.
     pub fn open_ticket(&self, service: &Name) -> CallTicket {
-        let link = self.state.desk.is_scheduled(service).then(|| self.link(service));
+        let link = self.state.scheduler.is_scheduled(service).then(|| self.link(service));
         CallTicket {
             client: self.clone(),
             service: Name::clone(service),
@@ -138,18 +139,20 @@
     }
 }
 
-/// A call from its first question to its end; dropping it takes it off everywhere.
+/// A call from its first request for a decision to its end. Dropping it removes the call from the
+/// local and the remote scheduler.
 ///
-/// Each question has a number of its own, so that an answer which comes late is not taken for that to a later one.
+/// Each request has its own ticket number, so that a late response is not taken for the response to
+/// a newer request.
 pub struct CallTicket {
     client: CallClient,
     service: Name,
     /// `None` where each host decides by itself.
     link: Option<SchedulerLink>,
-    /// The question under way, or the decision that is followed.
+    /// Ticket of the pending request, or of the decision in use.
     current: Option<u64>,
     decided_at: Moment,
-    /// Whether the last question waited in a queue.
+    /// Whether the last request was queued.
     queued: bool,
     waited: Duration,
 }
@@ -161,25 +164,29 @@
 }
 
 impl CallTicket {
-    /// Whether one host decides on the calls of the service for all.
+    /// Returns whether one host decides on the calls of the service.
     pub fn is_scheduled(&self) -> bool {
         self.link.is_some()
     }
 
-    /// Asks where the call goes, and waits as long as it has to; never [`CallDecision::Wait`]. `None` where each
-    /// host decides by itself, or the service is not known.
+    /// Requests a decision and waits as long as the call is queued; never returns
+    /// [`CallDecision::Wait`]. `None` where each host decides by itself, or the service is not
+    /// known.
     pub async fn request_decision(&mut self, request: &CallRequest) -> Option<CallDecision> {
         let link = self.link.clone()?;
-        let clock = self.client.state.desk.clock().clone();
+        let clock = self.client.state.scheduler.clock().clone();
         let asked = clock.now();
         self.queued = false;
         let mut decided = None;
-        for _question in 0..MOST_STALE {
+        for _attempt in 0..MAX_STALE_DECISIONS {
             if !link.is_linked() {
                 break;
             }
             let ticket = self.begin();
-            match link.ask_call(ticket, &later(request, clock.since(asked)), &clock).await {
+            match link
+                .request_call(ticket, &with_elapsed(request, clock.since(asked)), &clock)
+                .await
+            {
                 CallReply::Decided { decision, queued } => {
                     self.queued = queued;
                     decided = Some(decision);
@@ -188,42 +195,43 @@
                 CallReply::Stale => {
                     log::info!("event=call_decision_stale service={}", self.service);
                 }
-                CallReply::Silent => break,
+                CallReply::NoResponse => break,
             }
         }
-        let is_own = decided.is_none();
-        if is_own {
-            decided = self.ask_own_desk(&link, &later(request, clock.since(asked))).await;
+        let is_local = decided.is_none();
+        if is_local {
+            decided = self.decide_locally(&link, &with_elapsed(request, clock.since(asked))).await;
         }
         self.decided_at = clock.now();
         self.waited = clock.since(asked);
         match (&decided, self.current) {
             (Some(CallDecision::Send { backend }), Some(ticket)) => {
-                link.hold_call(ticket, request, backend, &clock, is_own);
+                link.record_call(ticket, request, backend, &clock, is_local);
             }
             _ => self.current = None,
         }
         decided
     }
 
-    async fn ask_own_desk(
+    async fn decide_locally(
         &mut self,
         link: &SchedulerLink,
         request: &CallRequest,
     ) -> Option<CallDecision> {
-        let (desk, service) = (self.client.state.desk.clone(), Name::clone(&self.service));
-        desk.set_own_share(&service, self.client.own_share(link));
-        for call in link.count_calls() {
+        let (scheduler, service) =
+            (self.client.state.scheduler.clone(), Name::clone(&self.service));
+        scheduler.set_local_share(&service, self.client.local_share(link));
+        for call in link.take_untracked_calls() {
             let id = CallScheduler::id_on_link(0, call.ticket);
-            desk.adopt(id, &service, call.request, call.backend, call.ran);
+            scheduler.adopt(id, &service, call.request, call.backend, call.ran);
         }
         let ticket = self.begin();
         let (sender, receiver) = oneshot::channel();
         let decide = move |decision| {
-            // The call may be gone.
+            // The receiver may have been dropped with the call.
             let _taken = sender.send(decision);
         };
-        match desk.submit(
+        match scheduler.submit(
             CallScheduler::id_on_link(0, ticket),
             &service,
             request.clone(),
@@ -237,7 +245,7 @@
         }
     }
 
-    /// The number of a new question; the one before is over.
+    /// Abandons the previous request and returns the ticket of a new one.
     fn begin(&mut self) -> u64 {
         self.complete(CallOutcome::Abandoned, Duration::ZERO);
         let ticket = self.client.state.next_ticket.fetch_add(1, Ordering::Relaxed) + 1;
@@ -245,21 +253,21 @@
         ticket
     }
 
-    /// Whether the decision is recent enough to be followed.
+    /// Returns whether the decision is recent enough to be followed.
     pub fn is_fresh(&self) -> bool {
-        self.client.state.desk.clock().since(self.decided_at) <= FRESH_FOR
+        self.client.state.scheduler.clock().since(self.decided_at) <= DECISION_TTL
     }
 
-    /// Time from the last question to its decision, if the call waited in a queue.
+    /// Returns the time from the last request to its decision, if the call was queued.
     pub fn queue_time(&self) -> Option<Duration> {
         self.queued.then_some(self.waited)
     }
 
-    /// Tells how the call ended, `took` after it was sent.
+    /// Reports how the call ended, `took` after it was sent.
     pub fn complete(&mut self, end: CallOutcome, took: Duration) {
         let (Some(ticket), Some(link)) = (self.current.take(), &self.link) else { return };
-        link.end_call(ticket, end, took);
-        self.client.state.desk.complete(CallScheduler::id_on_link(0, ticket), end, took);
+        link.complete_call(ticket, end, took);
+        self.client.state.scheduler.complete(CallScheduler::id_on_link(0, ticket), end, took);
     }
 }
 
--- a/crates/dillspool_scheduler/src/call_desk.rs
+++ b/crates/dillspool_scheduler/src/call_scheduler.rs
@@ -1,8 +1,8 @@
-//! The call queues of all plain services on one host, and those who wait for their decisions.
+//! The call queues of all plain services on one host, and the callbacks of queued calls.
 //!
-//! Load pattern: a service with fewer slots than there are hosts. Each host sees a small part of its calls and the
-//! slots of all are taken by others, so hosts that decide by themselves send one server several times what it
-//! takes. For such a service one host decides for all.
+//! Load pattern: a service with fewer slots than there are hosts. Each host sees a small part of
+//! the calls, and most slots are occupied by calls of other hosts. Hosts that decide independently
+//! would send one server several times its capacity, so one host decides for all.
 
 mod state;
 
@@ -19,30 +19,31 @@
 use tokio_util::sync::CancellationToken;
 
 use self::state::{
-    CallRecord, Decided, DeskState, ServiceDesk, ServiceView, TICKET_BITS, plain_services,
+    CallRecord, Decided, SchedulerState, ServiceQueue, ServiceView, TICKET_BITS, plain_services,
 };
 
-/// Time between two looks at the number of hosts.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
-/// Least pause between two looks at calls that wait, whatever the queues foresee.
-const LEAST_PAUSE: Duration = Duration::from_millis(1);
-/// Which services' calls one host decides on, and how; the same on all hosts.
+/// Interval between two readings of the number of hosts.
+const HOST_COUNT_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum sleep between two polls of the queues, whatever deadline they report.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
+
+/// For which services one host decides on all calls, and how. The same on all hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CallSchedulerSettings {
-    /// One host decides where the slots of the ready backend servers are fewer than this times the hosts; 0 for
-    /// none.
+    /// One host decides while the ready backend servers have fewer slots than this times the number
+    /// of hosts; 0 disables it.
     pub slots_per_host: f64,
     /// Limits of the queues.
     pub policy: CallPolicy,
 }
 
-/// Decides on calls for this host, and for others when it decides for all.
+/// Decides on calls for this host, and for other hosts while it is their scheduler.
 #[derive(Clone)]
 pub struct CallScheduler {
-    state: Arc<Mutex<DeskState>>,
-    /// Services whose calls one host decides on.
+    state: Arc<Mutex<SchedulerState>>,
+    /// Services for whose calls one host decides.
     scheduled: Arc<watch::Sender<BTreeSet<Name>>>,
-    /// Wakes the task that serves those who wait.
+    /// Wakes the task that polls the queues.
     changed: Arc<Notify>,
     clock: HostClock,
 }
@@ -54,16 +55,16 @@
 }
 
 impl CallScheduler {
-    /// A desk that knows no service; `seed` differs between hosts.
-    pub fn new(terms: CallSchedulerSettings, seed: u64, clock: HostClock) -> Self {
-        let state = DeskState {
-            terms,
+    /// Creates a scheduler without services; `seed` differs between hosts.
+    pub fn new(settings: CallSchedulerSettings, seed: u64, clock: HostClock) -> Self {
+        let state = SchedulerState {
+            settings,
             seed,
             clock: clock.clone(),
             views: BTreeMap::new(),
             services: HashMap::new(),
             calls: HashMap::new(),
-            sleeps_until: None,
+            wakes_at: None,
         };
         Self {
             state: Arc::new(Mutex::new(state)),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The id of a call of the host on a link; 0 is this host itself.
+    /// Returns the id of a call by the number of its link; 0 stands for this host itself.
     pub(crate) fn id_on_link(number: u64, ticket: u64) -> CallId {
         CallId((number << TICKET_BITS) | (ticket & ((1 << TICKET_BITS) - 1)))
     }
@@ -82,22 +83,23 @@
         &self.clock
     }
 
-    fn with<T>(&self, run: impl FnOnce(&mut DeskState) -> T) -> T {
+    fn with<T>(&self, run: impl FnOnce(&mut SchedulerState) -> T) -> T {
         run(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Changes a service's queue and tells those whose wait that ends.
-    fn change(&self, name: &Name, run: impl FnOnce(&mut DeskState) -> Decided) {
-        let (decided, oversleeps) = self.with(|state| (run(state), state.oversleeps(name)));
+    /// Changes a service's queue, and notifies the waiters of calls that the change decides.
+    fn update_service(&self, name: &Name, run: impl FnOnce(&mut SchedulerState) -> Decided) {
+        let (decided, needs_wakeup) = self.with(|state| (run(state), state.needs_wakeup(name)));
         for (waiter, decision) in decided {
             waiter(decision);
         }
-        if oversleeps {
+        if needs_wakeup {
             self.changed.notify_one();
         }
     }
 
-    /// Takes the plain services and their backend servers as they are now, for so many hosts.
+    /// Replaces the plain services and their backend servers, and selects those for which one of
+    /// `hosts` hosts decides.
     pub fn set_services(
         &self,
         config: &RoutingConfig,
@@ -139,8 +141,8 @@
         }
     }
 
-    /// Follows the configuration, the directory and the number of hosts, and serves those who wait, until
-    /// `cancel`.
+    /// Follows the configuration, the directory and the number of hosts, and polls the queues,
+    /// until `cancel`.
     pub async fn run(
         self,
         mut config: watch::Receiver<Option<Arc<RoutingConfig>>>,
@@ -148,30 +150,30 @@
         hosts: impl Fn() -> Option<usize> + Send + Sync + 'static,
         cancel: CancellationToken,
     ) {
-        if self.with(|state| state.terms.slots_per_host) <= 0.0 {
+        if self.with(|state| state.settings.slots_per_host) <= 0.0 {
             return;
         }
         let mut counted_at = self.clock.now();
         loop {
             let known = config.borrow_and_update().clone();
             let view = directory.borrow_and_update().clone();
-            // Before the directory is known, all services would seem to have no backend servers.
+            // An unknown directory would show all services without backend servers.
             if let Some(known) = known.filter(|_known| view.version.is_known()) {
                 self.set_services(&known, &view, hosts());
             }
-            let count_at = counted_at + COUNT_EVERY;
+            let count_at = counted_at + HOST_COUNT_INTERVAL;
             loop {
                 let due = self.with(|state| {
-                    let least = state.clock.now() + LEAST_PAUSE;
-                    state.sleeps_until = state.next_due().map(|due| due.max(least));
-                    state.sleeps_until
+                    let least = state.clock.now() + MIN_SLEEP;
+                    state.wakes_at = state.next_deadline().map(|due| due.max(least));
+                    state.wakes_at
                 });
                 let wake = due.map_or(count_at, |due| due.min(count_at));
                 tokio::select! {
                     changed = config.changed() => if changed.is_err() { return } else { break },
                     changed = directory.changed() => if changed.is_err() { return } else { break },
                     () = self.changed.notified() => {}
-                    () = self.clock.sleep_until(wake) => self.serve_waiters(),
+                    () = self.clock.sleep_until(wake) => self.notify_waiters(),
                     () = cancel.cancelled() => return,
                 }
                 if self.clock.now() >= count_at {
@@ -182,60 +184,62 @@
         }
     }
 
-    fn serve_waiters(&self) {
-        for (waiter, decision) in self.with(DeskState::serve_all) {
+    fn notify_waiters(&self) {
+        for (waiter, decision) in self.with(SchedulerState::poll_all) {
             waiter(decision);
         }
     }
 
-    /// Whether one host decides on the calls of a service.
+    /// Returns whether one host decides on the calls of a service.
     pub fn is_scheduled(&self, service: &str) -> bool {
         self.scheduled.borrow().contains(service)
     }
 
-    /// The services whose calls one host decides on.
+    /// Watches the services for whose calls one host decides.
     pub(crate) fn scheduled(&self) -> watch::Receiver<BTreeSet<Name>> {
         self.scheduled.subscribe()
     }
 
-    /// Whether a service is known, so that its calls can be decided here.
+    /// Returns whether all backend servers of a service are known, so that its calls can be decided
+    /// here.
     pub fn has_service(&self, service: &str) -> bool {
-        self.with(|state| state.views.get(service).is_some_and(|view| !view.is_part))
+        self.with(|state| state.views.get(service).is_some_and(|view| !view.is_subset))
     }
 
-    /// Counts a host among those that are served until the guard is dropped, which forgets its calls.
+    /// Counts a host as served until the guard is dropped, which also removes the host's calls.
     pub(crate) fn serve_host(&self, service: &Name, number: u64) -> ServedGuard {
-        self.note_served(service, |served| served + 1);
-        ServedGuard { desk: self.clone(), service: Name::clone(service), number }
+        self.update_served(service, |served| served + 1);
+        ServedGuard { scheduler: self.clone(), service: Name::clone(service), number }
     }
 
-    fn note_served(&self, service: &Name, count: impl FnOnce(usize) -> usize) {
-        self.change(service, |state| {
-            if let Some(desk) = state.service(service) {
-                desk.served = count(desk.served);
-                desk.set_share();
+    fn update_served(&self, service: &Name, count: impl FnOnce(usize) -> usize) {
+        self.update_service(service, |state| {
+            if let Some(entry) = state.service(service) {
+                entry.served = count(entry.served);
+                entry.set_share();
             }
-            state.serve(service)
+            state.poll_service(service)
         });
     }
 
-    /// Hosts whose calls are decided here, this one included.
-    pub(crate) fn hosts(&self, service: &Name) -> usize {
-        self.with(|state| state.services.get(service).map_or(0, |desk| desk.served) + 1)
+    /// Returns the number of hosts whose calls are decided here, this host included.
+    pub(crate) fn host_count(&self, service: &Name) -> usize {
+        self.with(|state| state.services.get(service).map_or(0, |entry| entry.served) + 1)
     }
 
-    /// Sets the part of the servers' limits that this host may use for itself alone.
-    pub(crate) fn set_own_share(&self, service: &Name, share: f64) {
+    /// Sets the share of the servers' limits that this host may use while it decides for itself
+    /// only.
+    pub(crate) fn set_local_share(&self, service: &Name, share: f64) {
         self.with(|state| {
-            if let Some(desk) = state.service(service) {
-                desk.own_share = share;
-                desk.set_share();
+            if let Some(entry) = state.service(service) {
+                entry.local_share = share;
+                entry.set_share();
             }
         });
     }
 
-    /// Decides on a call; one that waits is decided later by a call of `waiter`. `None` when the service is not
-    /// known.
+    /// Decides on a call. If the decision is to wait, `waiter` is called with the final decision
+    /// later. `None` if the service is not known.
     pub(crate) fn submit(
         &self,
         id: CallId,
@@ -244,8 +248,9 @@
         waiter: impl FnOnce(CallDecision) + Send + 'static,
     ) -> Option<CallDecision> {
         let mut decision = None;
-        self.change(service, |state| {
-            let Some((decided, others)) = state.ask(id, service, request, Box::new(waiter)) else {
+        self.update_service(service, |state| {
+            let Some((decided, others)) = state.submit(id, service, request, Box::new(waiter))
+            else {
                 return Vec::new();
             };
             decision = Some(decided);
@@ -254,7 +259,7 @@
         decision
     }
 
-    /// Takes over a call that was decided elsewhere and has been in flight for `ran`.
+    /// Adopts a call that was decided elsewhere and has been in flight for `ran`.
     pub(crate) fn adopt(
         &self,
         id: CallId,
@@ -263,10 +268,10 @@
         backend: BackendInstance,
         ran: Duration,
     ) {
-        self.change(service, |state| {
+        self.update_service(service, |state| {
             let now = state.clock.now();
-            if let Some(desk) = state.service(service) {
-                desk.queue.adopt(id, request, backend, ran, now);
+            if let Some(entry) = state.service(service) {
+                entry.queue.adopt(id, request, backend, ran, now);
                 let record = CallRecord { service: Name::clone(service), waiter: None };
                 state.calls.insert(id, record);
             }
@@ -274,39 +279,41 @@
         });
     }
 
-    /// Notes how a call ended; one that waits is taken off.
+    /// Records how a call ended; removes it from the queue if it is still waiting.
     pub(crate) fn complete(&self, id: CallId, end: CallOutcome, took: Duration) {
         let Some(service) = self.with(|state| Some(Name::clone(&state.calls.get(&id)?.service)))
         else {
             return;
         };
-        self.change(&service, |state| {
+        self.update_service(&service, |state| {
             state.remove(id, |queue, now| queue.complete(id, end, took, now))
         });
     }
 
-    /// What is believed now of each service whose calls were decided here.
+    /// Returns a snapshot of each queue in use.
     pub fn snapshots(&self) -> Vec<(Name, QueueSnapshot)> {
         self.with(|state| {
             let now = state.clock.now();
-            let read =
-                |(name, desk): (&Name, &ServiceDesk)| (Name::clone(name), desk.queue.snapshot(now));
+            let read = |(name, service): (&Name, &ServiceQueue)| {
+                (Name::clone(name), service.queue.snapshot(now))
+            };
             state.services.iter().map(read).collect()
         })
     }
 }
 
-/// A host whose calls are decided here.
+/// Counts a served host until it is dropped.
 pub(crate) struct ServedGuard {
-    desk: CallScheduler,
+    scheduler: CallScheduler,
     service: Name,
     number: u64,
 }
 
 impl Drop for ServedGuard {
     fn drop(&mut self) {
-        // A host that lives reports its calls to whoever decides next; those of one that is gone are over.
-        self.desk.change(&self.service, |state| state.forget_link(&self.service, self.number));
-        self.desk.note_served(&self.service, |served| served.saturating_sub(1));
+        // A live host reports its calls to the next scheduler; calls of a dead host are over.
+        self.scheduler
+            .update_service(&self.service, |state| state.remove_link(&self.service, self.number));
+        self.scheduler.update_served(&self.service, |served| served.saturating_sub(1));
     }
 }
--- a/crates/dillspool_scheduler/src/call_desk/state.rs
+++ b/crates/dillspool_scheduler/src/call_scheduler/state.rs
@@ -1,4 +1,4 @@
-//! What a desk of calls keeps, and what it does with it while it is locked.
+//! State of the call scheduler behind its lock.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,35 +10,36 @@
 
 use super::CallSchedulerSettings;
 
-/// Slots, as a factor of those below which one host decides, from which on each host decides again: a server that
-/// leaves and comes back does not switch a service back and forth.
-const CEASE_FACTOR: f64 = 1.2;
-/// Bits of an id that are the host's own; the rest number its link.
+/// Hysteresis: each host decides for itself again once the slots reach this multiple of the
+/// threshold. It keeps a server that leaves and returns from toggling the service between the two
+/// modes.
+const DISABLE_FACTOR: f64 = 1.2;
+/// Low bits of a call id that hold the host's own ticket; the high bits number its link.
 pub(super) const TICKET_BITS: u32 = 32;
 
 pub(super) type DecisionFn = Box<dyn FnOnce(CallDecision) + Send>;
 pub(super) type Decided = Vec<(DecisionFn, CallDecision)>;
 
-/// A call that waits or is in flight.
+/// A call that is queued or in flight.
 pub(super) struct CallRecord {
     pub(super) service: Name,
     pub(super) waiter: Option<DecisionFn>,
 }
 
-pub(super) struct ServiceDesk {
+pub(super) struct ServiceQueue {
     pub(super) queue: CallQueue,
-    /// Hosts whose calls are decided here.
+    /// Number of other hosts whose calls are decided here.
     pub(super) served: usize,
-    /// Part of the servers' limits that this host may use for itself alone.
-    pub(super) own_share: f64,
+    /// Share of the servers' limits that this host may use while it decides for itself only.
+    pub(super) local_share: f64,
 }
 
-/// What a plain service has, as the directory shows it.
+/// A plain service as the directory shows it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceView {
     pub(super) servers: Vec<CallServer>,
-    /// Whether this host knows only some of its backend servers.
-    pub(super) is_part: bool,
+    /// Whether this host knows only some of the backend servers.
+    pub(super) is_subset: bool,
 }
 
 impl ServiceView {
@@ -47,38 +48,37 @@
     }
 }
 
-pub(super) struct DeskState {
-    pub(super) terms: CallSchedulerSettings,
+pub(super) struct SchedulerState {
+    pub(super) settings: CallSchedulerSettings,
     pub(super) seed: u64,
     pub(super) clock: HostClock,
-    /// The plain services.
     pub(super) views: BTreeMap<Name, ServiceView>,
-    pub(super) services: HashMap<Name, ServiceDesk>,
+    pub(super) services: HashMap<Name, ServiceQueue>,
     pub(super) calls: HashMap<CallId, CallRecord>,
-    /// Until when the task that serves those who wait sleeps; `None` for without end.
-    pub(super) sleeps_until: Option<Moment>,
+    /// When the task that polls the queues wakes up; `None` if it sleeps without a timer.
+    pub(super) wakes_at: Option<Moment>,
 }
 
-impl DeskState {
-    /// The queue of a service that is known, from its first use on.
-    pub(super) fn service(&mut self, name: &Name) -> Option<&mut ServiceDesk> {
+impl SchedulerState {
+    /// Returns the queue of a known service; creates it on first use.
+    pub(super) fn service(&mut self, name: &Name) -> Option<&mut ServiceQueue> {
         let view = self.views.get(name)?;
-        let (now, terms, seed) = (self.clock.now(), self.terms, self.seed);
+        let (now, settings, seed) = (self.clock.now(), self.settings, self.seed);
         Some(self.services.entry(Name::clone(name)).or_insert_with(|| {
-            let mut queue = CallQueue::new(terms.policy, seed);
+            let mut queue = CallQueue::new(settings.policy, seed);
             queue.set_servers(view.servers.iter().cloned(), now);
-            ServiceDesk { queue, served: 0, own_share: 1.0 }
+            ServiceQueue { queue, served: 0, local_share: 1.0 }
         }))
     }
 
-    /// What a queue decides for those who wait.
-    pub(super) fn poll(&mut self, name: &Name) -> Vec<(CallId, CallDecision)> {
+    /// Returns the new decisions on queued calls.
+    pub(super) fn poll_queue(&mut self, name: &Name) -> Vec<(CallId, CallDecision)> {
         let now = self.clock.now();
         self.services.get_mut(name).map(|service| service.queue.poll(now)).unwrap_or_default()
     }
 
-    /// The waiters of decisions; a call that is rejected is over.
-    pub(super) fn waiters(&mut self, decided: Vec<(CallId, CallDecision)>) -> Decided {
+    /// Takes the callbacks of decided calls. A rejected call is removed.
+    pub(super) fn take_waiters(&mut self, decided: Vec<(CallId, CallDecision)>) -> Decided {
         let waiter = |(id, decision)| {
             let waiter = match &decision {
                 CallDecision::Reject { .. } => self.calls.remove(&id)?.waiter,
@@ -91,27 +91,27 @@
         decided.into_iter().filter_map(waiter).collect()
     }
 
-    pub(super) fn serve(&mut self, name: &Name) -> Decided {
-        let decided = self.poll(name);
-        self.waiters(decided)
+    pub(super) fn poll_service(&mut self, name: &Name) -> Decided {
+        let decided = self.poll_queue(name);
+        self.take_waiters(decided)
     }
 
-    pub(super) fn serve_all(&mut self) -> Decided {
+    pub(super) fn poll_all(&mut self) -> Decided {
         let names: Vec<_> = self.services.keys().cloned().collect();
-        names.iter().flat_map(|name| self.serve(name)).collect()
+        names.iter().flat_map(|name| self.poll_service(name)).collect()
     }
 
-    pub(super) fn next_due(&self) -> Option<Moment> {
+    pub(super) fn next_deadline(&self) -> Option<Moment> {
         self.services.values().filter_map(|service| service.queue.next_deadline()).min()
     }
 
-    /// Whether the task that serves those who wait sleeps beyond what is due next.
-    pub(super) fn oversleeps(&self, name: &Name) -> bool {
+    /// Returns whether the task that polls the queues would sleep past the next deadline.
+    pub(super) fn needs_wakeup(&self, name: &Name) -> bool {
         let due = self.services.get(name).and_then(|service| service.queue.next_deadline());
-        due.is_some_and(|due| self.sleeps_until.is_none_or(|until| due < until))
+        due.is_some_and(|due| self.wakes_at.is_none_or(|until| due < until))
     }
 
-    pub(super) fn ask(
+    pub(super) fn submit(
         &mut self,
         id: CallId,
         name: &Name,
@@ -122,8 +122,8 @@
         let mut decision = self.service(name)?.queue.submit(id, request, now);
         let mut decided = Vec::new();
         if decision == CallDecision::Wait {
-            // A call that comes before others may leave these no time.
-            decided = self.poll(name);
+            // A call that goes ahead of others may leave them too little time.
+            decided = self.poll_queue(name);
             if let Some(place) = decided.iter().position(|(decided, _decision)| *decided == id) {
                 decision = decided.swap_remove(place).1;
             }
@@ -132,7 +132,7 @@
         if !matches!(decision, CallDecision::Reject { .. }) {
             self.calls.insert(id, CallRecord { service: Name::clone(name), waiter });
         }
-        Some((decision, self.waiters(decided)))
+        Some((decision, self.take_waiters(decided)))
     }
 
     pub(super) fn remove(
@@ -145,10 +145,10 @@
         if let Some(service) = self.services.get_mut(&record.service) {
             remove(&mut service.queue, now);
         }
-        self.serve(&record.service)
+        self.poll_service(&record.service)
     }
 
-    pub(super) fn forget_link(&mut self, name: &Name, number: u64) -> Decided {
+    pub(super) fn remove_link(&mut self, name: &Name, number: u64) -> Decided {
         let now = self.clock.now();
         let gone = self
             .calls
@@ -159,7 +159,7 @@
                 service.queue.forget(id, now);
             }
         }
-        self.serve(name)
+        self.poll_service(name)
     }
 
     pub(super) fn set_views(&mut self, views: BTreeMap<Name, ServiceView>) -> Decided {
@@ -169,28 +169,28 @@
             let servers = self.views.get(name).map(|view| view.servers.clone()).unwrap_or_default();
             service.queue.set_servers(servers.into_iter(), now);
         }
-        self.serve_all()
+        self.poll_all()
     }
 
-    /// Whether one host should decide on a service's calls.
+    /// Returns whether one host should decide on a service's calls.
     pub(super) fn should_schedule(
         &self,
         view: &ServiceView,
         hosts: usize,
         scheduled: bool,
     ) -> bool {
-        if view.is_part {
+        if view.is_subset {
             return false;
         }
         if view.servers.is_empty() {
             return scheduled;
         }
         #[expect(clippy::cast_precision_loss, reason = "hosts and slots are counted in thousands")]
-        let (slots, bound) = (view.slots() as f64, self.terms.slots_per_host * hosts as f64);
-        slots < if scheduled { CEASE_FACTOR * bound } else { bound }
+        let (slots, bound) = (view.slots() as f64, self.settings.slots_per_host * hosts as f64);
+        slots < if scheduled { DISABLE_FACTOR * bound } else { bound }
     }
 
-    /// Drops queues that nobody uses.
+    /// Drops queues that are no longer used.
     pub(super) fn drop_unused(&mut self, scheduled: &BTreeSet<Name>) {
         let used: BTreeSet<_> =
             self.calls.values().map(|record| Name::clone(&record.service)).collect();
@@ -200,25 +200,26 @@
     }
 }
 
-impl ServiceDesk {
-    /// Sets the part of the limits that is used here: all while this host decides for others.
+impl ServiceQueue {
+    /// Sets the share of the servers' limits that is used here: all of it while this host decides
+    /// for others.
     pub(super) fn set_share(&mut self) {
-        self.queue.set_share(if self.served > 0 { 1.0 } else { self.own_share });
+        self.queue.set_share(if self.served > 0 { 1.0 } else { self.local_share });
     }
 }
 
-/// The plain services of a configuration, with the backend servers that take new calls.
+/// Returns the plain services of a configuration with the backend servers that accept new calls.
 pub(super) fn plain_services(
     config: &RoutingConfig,
     directory: &DirectoryView,
 ) -> BTreeMap<Name, ServiceView> {
-    let is_part = |name: &Name| {
+    let is_subset = |name: &Name| {
         directory.subset.as_ref().is_some_and(|part| part.for_class(name).sampling_bits > 0)
     };
     let plain = config.services.values().filter(|service| service.engine.is_none());
     let mut views: BTreeMap<_, _> = plain
         .map(|service| {
-            let view = ServiceView { servers: Vec::new(), is_part: is_part(&service.name) };
+            let view = ServiceView { servers: Vec::new(), is_subset: is_subset(&service.name) };
             (Name::clone(&service.name), view)
         })
         .collect();
--- a/crates/dillspool_scheduler/src/call_wire.rs
+++ b/crates/dillspool_scheduler/src/call_wire.rs
@@ -1,6 +1,7 @@
-//! Messages about the calls of plain services, and their types on both sides.
+//! Conversions of the messages about calls of plain services.
 //!
-//! Times travel as what is left or has passed, never as moments: clocks of hosts differ.
+//! Times are sent as remaining or elapsed durations, never as timestamps, since the clocks of hosts
+//! differ.
 
 use std::time::Duration;
 
@@ -14,8 +15,8 @@
 
 use crate::wire::millis;
 
-/// A request some time after it was made.
-pub(crate) fn later(request: &CallRequest, passed: Duration) -> CallRequest {
+/// Returns the request with `passed` subtracted from its remaining times.
+pub(crate) fn with_elapsed(request: &CallRequest, passed: Duration) -> CallRequest {
     CallRequest {
         objective_left: request.objective_left.saturating_sub(passed),
         time_left: request.time_left.saturating_sub(passed),
@@ -51,7 +52,7 @@
     ScheduleMessage::CallAsk(ScheduleCallAsk { ticket, request: request_to_wire(request) })
 }
 
-/// A decision on the wire; one that the call waits is followed by another.
+/// Encodes a decision. A decision that the call waits is followed by another message.
 pub(crate) fn decision_to_wire(ticket: u64, decision: CallDecision) -> ScheduleMessage {
     let mut message = ScheduleCallDecision {
         ticket,
@@ -78,7 +79,7 @@
     ScheduleMessage::CallDecided(message)
 }
 
-/// The decision in a message; `None` for one that decides nothing.
+/// Decodes a decision; `None` for a message that has none.
 pub(crate) fn decision_from_wire(message: ScheduleCallDecision) -> Option<CallDecision> {
     if let Some(id) = message.backend {
         return Some(CallDecision::Send { backend: started(id, message.start) });
@@ -102,14 +103,14 @@
 ) -> ScheduleMessage {
     ScheduleMessage::CallHeld(ScheduleCallHeld {
         ticket,
-        request: request_to_wire(&later(request, ran)),
+        request: request_to_wire(&with_elapsed(request, ran)),
         backend: Name::clone(&backend.id),
         start: backend.start.map(|start| start.0),
         ran_ms: millis(ran),
     })
 }
 
-/// Request, backend server and time in flight of a call that runs already.
+/// Decodes the request, backend server and elapsed time of a call that is already in flight.
 pub(crate) fn held_from_wire(held: ScheduleCallHeld) -> (CallRequest, BackendInstance, Duration) {
     let backend = started(held.backend, held.start);
     (request_from_wire(held.request), backend, Duration::from_millis(held.ran_ms))
--- a/crates/dillspool_scheduler/src/candidates.rs
+++ b/crates/dillspool_scheduler/src/candidates.rs
@@ -1,23 +1,24 @@
-//! Which host schedules a pool.
+//! Ranking of the hosts that can schedule a pool.
 
 use std::net::SocketAddr;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A host that could schedule.
+/// A host that can act as scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SchedulerCandidate {
-    /// Where it takes questions.
+    /// Address of its schedule listener.
     pub address: SocketAddr,
     /// Bandwidth of its link in Mbit/s.
     pub link_mbps: f64,
 }
 
-/// Hosts in the order in which a service's requests are scheduled by them.
+/// Returns the hosts in order of preference as scheduler of a service.
 ///
-/// Hosts with wide links come first, since all others ask the first; among them a hash of service
-/// and address (rendezvous hashing), so that pools are spread and one host's loss moves few.
-/// Hosts that know the same rows come to the same order.
+/// Hosts with the highest link bandwidth come first, since all other hosts send their requests to
+/// the first one. Ties are ordered by a hash of service and address (rendezvous hashing), so that
+/// pools are spread over the hosts and the loss of one host moves few of them. Hosts that know the
+/// same rows compute the same order.
 pub fn rank_candidates(service: &str, hosts: &[SchedulerCandidate]) -> Vec<SocketAddr> {
     let mut ranked = hosts.to_vec();
     let hash =
--- a/crates/dillspool_scheduler/src/client.rs
+++ b/crates/dillspool_scheduler/src/client.rs
@@ -1,4 +1,4 @@
-//! Decisions for the requests of this host: by the scheduler of their pool, or by itself.
+//! Placement decisions for this host's requests, by the pool's scheduler or locally.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -13,15 +13,15 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use crate::desk::{PlacementEvent, PlacementScheduler};
 use crate::fleet_bus::{FleetBus, FleetUpdate};
-use crate::keeper::{LinkKeeper, PeersFn, SchedulePeers};
 use crate::link::{LinkDuty, SchedulerLink};
+use crate::link_manager::{LinkManager, PeersFn, SchedulePeers};
+use crate::placement_scheduler::{PlacementEvent, PlacementScheduler};
 
-/// Asks where requests run, and tells what became of them.
+/// Requests placements and reports what happens to the placed requests.
 #[derive(Clone)]
 pub struct ScheduleClient {
-    desk: PlacementScheduler,
+    scheduler: PlacementScheduler,
     bus: FleetBus,
     links: Arc<Mutex<HashMap<Name, SchedulerLink>>>,
     next_ticket: Arc<AtomicU64>,
@@ -34,12 +34,12 @@
 }
 
 impl ScheduleClient {
-    /// A client that decides by its own desk until [`ScheduleClient::run`] finds schedulers.
-    pub fn new(desk: PlacementScheduler, bus: FleetBus) -> Self {
-        Self { desk, bus, links: Arc::default(), next_ticket: Arc::default() }
+    /// Creates a client that decides locally until [`ScheduleClient::run`] finds schedulers.
+    pub fn new(scheduler: PlacementScheduler, bus: FleetBus) -> Self {
+        Self { scheduler, bus, links: Arc::default(), next_ticket: Arc::default() }
     }
 
-    /// Links this host to the scheduler of each pool until `cancel`.
+    /// Keeps this host linked to the scheduler of each pool until `cancel`.
     pub async fn run(
         self,
         stack: NetStack,
@@ -49,7 +49,7 @@
         cancel: CancellationToken,
     ) {
         let peers: Arc<PeersFn> = Arc::new(peers);
-        let mut keepers = JoinSet::new();
+        let mut managers = JoinSet::new();
         loop {
             let known = config.borrow_and_update().clone();
             let services = known.iter().flat_map(|known| known.services.values());
@@ -57,19 +57,19 @@
                 if self.link(&service.name).is_some() {
                     continue;
                 }
-                let link = SchedulerLink::of_pool(self.bus.clone());
+                let link = SchedulerLink::for_pool(self.bus.clone());
                 self.with_links(|links| links.insert(Name::clone(&service.name), link.clone()));
-                let keeper = LinkKeeper {
+                let manager = LinkManager {
                     link,
                     stack: stack.clone(),
                     duty: LinkDuty::pool(&host, &service.name),
                     peers: Arc::clone(&peers),
                 };
-                keepers.spawn(async move { keeper.run().await });
+                managers.spawn(async move { manager.run().await });
             }
             tokio::select! {
                 changed = config.changed() => if changed.is_err() { return },
-                // Dropping the keepers ends their links.
+                // Dropping the managers closes their links.
                 () = cancel.cancelled() => return,
             }
         }
@@ -83,36 +83,41 @@
         self.with_links(|links| links.get(service).cloned())
     }
 
-    /// Whether this host schedules a pool, as far as it knows.
+    /// Returns whether this host is the scheduler of a pool, as far as it knows.
     pub fn is_scheduler_for(&self, service: &str) -> bool {
-        self.link(service).is_some_and(|link| link.schedules())
+        self.link(service).is_some_and(|link| link.is_scheduler())
     }
 
-    /// Whether this host schedules any pool, as far as it knows.
+    /// Returns whether this host is the scheduler of any pool, as far as it knows.
     pub fn is_any_scheduler(&self) -> bool {
-        self.with_links(|links| links.values().any(SchedulerLink::schedules))
+        self.with_links(|links| links.values().any(SchedulerLink::is_scheduler))
     }
 
-    /// Hosts that share the pools, by the word of their schedulers or, where this host schedules, by
-    /// its own count; `None` while there is no scheduler.
+    /// Returns the number of hosts that share the pools: the count reported by the scheduler or,
+    /// where this host is the scheduler, its own count. `None` while there is no scheduler.
     pub fn host_count(&self) -> Option<usize> {
         let links = self.with_links(|links| links.clone());
         let count = |(service, link): (&Name, &SchedulerLink)| {
-            if link.schedules() { Some(self.desk.hosts(service)) } else { link.hosts() }
+            if link.is_scheduler() {
+                Some(self.scheduler.host_count(service))
+            } else {
+                link.host_count()
+            }
         };
         links.iter().filter_map(count).max()
     }
 
-    /// Tells the schedulers, or where this host schedules the hosts that it serves, some news.
-    pub fn publish(&self, news: &FleetUpdate) {
+    /// Sends an update to the schedulers and, where this host is a scheduler, to the hosts that it
+    /// serves.
+    pub fn publish(&self, update: &FleetUpdate) {
         let links = self.with_links(|links| links.clone());
         let (own, others): (Vec<_>, Vec<_>) =
-            links.into_values().partition(SchedulerLink::schedules);
+            links.into_values().partition(SchedulerLink::is_scheduler);
         if !own.is_empty() {
-            self.bus.spread(None, news);
+            self.bus.broadcast(None, update);
         }
         for link in others {
-            link.tell(self.bus.encode(news));
+            link.send_update(self.bus.encode(update));
         }
     }
 
@@ -120,23 +125,23 @@
     pub fn open_ticket(&self, service: &Name) -> PlacementTicket {
         let id = TicketId(self.next_ticket.fetch_add(1, Ordering::Relaxed) + 1);
         PlacementTicket {
-            desk: self.desk.clone(),
+            scheduler: self.scheduler.clone(),
             link: self.link(service),
             service: Name::clone(service),
             id,
-            is_over: false,
+            has_ended: false,
         }
     }
 }
 
-/// A request that needs engines, from its first question to its end; dropping it takes it off
-/// everywhere.
+/// Tracks a request that needs engines, from its first placement request to its end. Dropping it
+/// removes the request from the local and the remote scheduler.
 pub struct PlacementTicket {
-    desk: PlacementScheduler,
+    scheduler: PlacementScheduler,
     link: Option<SchedulerLink>,
     service: Name,
     id: TicketId,
-    is_over: bool,
+    has_ended: bool,
 }
 
 impl fmt::Debug for PlacementTicket {
@@ -146,62 +151,62 @@
 }
 
 impl PlacementTicket {
-    /// Asks where the request runs, and waits as long as the decision says; `None` when its pool is
-    /// not known.
+    /// Requests a placement and waits as long as the decision says. `None` if the pool is not
+    /// known.
     pub async fn request_placement(&self, request: &PlacementRequest) -> Option<PlacementDecision> {
         if let Some(link) = &self.link
-            && let Some(decision) = link.ask(self.id.0, request).await
+            && let Some(decision) = link.request_placement(self.id.0, request).await
         {
             if let PlacementDecision::Place(placement) = &decision {
                 let placement = placement.clone();
-                link.hold(self.id.0, request, &placement, true);
-                self.desk.adopt(self.id, &self.service, request, placement, None);
+                link.record_placement(self.id.0, request, &placement, true);
+                self.scheduler.adopt(self.id, &self.service, request, placement, None);
             }
             return Some(decision);
         }
-        let decision = self.ask_own_desk(request).await?;
+        let decision = self.decide_locally(request).await?;
         if let PlacementDecision::Place(placement) = &decision
             && let Some(link) = &self.link
         {
-            link.hold(self.id.0, request, placement, false);
+            link.record_placement(self.id.0, request, placement, false);
         }
         Some(decision)
     }
 
-    async fn ask_own_desk(&self, request: &PlacementRequest) -> Option<PlacementDecision> {
+    async fn decide_locally(&self, request: &PlacementRequest) -> Option<PlacementDecision> {
         let (sender, receiver) = oneshot::channel();
         let decide = move |decision| {
-            // The request may be gone.
+            // The receiver may have been dropped with the request.
             let _taken = sender.send(decision);
         };
-        match self.desk.submit(self.id, &self.service, request.clone(), decide)? {
+        match self.scheduler.submit(self.id, &self.service, request.clone(), decide)? {
             PlacementDecision::Wait => receiver.await.ok(),
             decision => Some(decision),
         }
     }
 
-    /// Asks for another prefill engine; `None` when the decode engine should read the prompt.
+    /// Requests another prefill engine; `None` if the decode engine should run the prefill.
     pub async fn request_prefill(&self, request: &PlacementRequest) -> Option<Name> {
         if let Some(link) = &self.link
-            && let Some(prefill) = link.ask_prefill(self.id.0, request).await
+            && let Some(prefill) = link.request_prefill(self.id.0, request).await
         {
             return prefill;
         }
-        self.desk.choose_prefill(self.id, request)
+        self.scheduler.choose_prefill(self.id, request)
     }
 
-    /// Tells what became of the request.
-    pub fn record_event(&self, note: &PlacementEvent) {
+    /// Reports an event of the request.
+    pub fn record_event(&self, event: &PlacementEvent) {
         if let Some(link) = &self.link {
-            link.note(self.id.0, note);
+            link.record_event(self.id.0, event);
         }
-        self.desk.record_event(self.id, note.clone());
+        self.scheduler.record_event(self.id, event.clone());
     }
 
-    /// Tells that the request is over, and how.
+    /// Reports the end of the request, once.
     pub fn record_ended(&mut self, end: StreamEnd) {
-        if !self.is_over {
-            self.is_over = true;
+        if !self.has_ended {
+            self.has_ended = true;
             self.record_event(&PlacementEvent::Ended(end));
         }
     }
--- a/crates/dillspool_scheduler/src/fleet_bus.rs
+++ b/crates/dillspool_scheduler/src/fleet_bus.rs
@@ -1,10 +1,11 @@
-//! News on the links of a pool, from each host to the scheduler and from it to all: of requests under which
-//! backend servers ended, and of what backend servers say in their answers, how much they take and that they leave.
+//! Gossip updates on the links of a pool: each host sends them to the scheduler, which forwards
+//! them to all hosts. They report requests under which backend servers crashed, and what backend
+//! servers announce in their responses: how many requests they accept, and that they are leaving.
 //!
-//! Rows of the store tell of suspects and of servers that leave as well, but not while it is away: then each host
-//! would have to see three ends, or get an answer, by itself. See `docs/design/suspects.md` and
-//! `docs/design/notices.md`. What backend servers take changes within seconds and is told here alone; see
-//! `docs/design/limits.md`.
+//! Store rows carry suspects and leaving servers as well, but not while the store is unreachable:
+//! without these updates each host would then have to see three crashes, or get a response, by
+//! itself. See `docs/design/suspects.md` and `docs/design/notices.md`. Request rates change within
+//! seconds and are only sent here; see `docs/design/limits.md`.
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -25,29 +26,29 @@
 
 use crate::wire::millis;
 
-/// News that wait for a host's link; a host that falls behind hears of suspects by the store, and of
-/// limits by the answers it gets.
-const QUEUED_NEWS: usize = 256;
-/// News of a kind that a host tells a scheduler when it links to it, and a scheduler a host that does.
-const FIRST_NEWS: usize = 64;
-/// Bytes of a backend server's name at most.
-const LONGEST_BACKEND: usize = 200;
+/// Updates queued for one host's link. A host that falls behind learns of suspects from the store,
+/// and of limits from the responses it gets.
+const UPDATE_QUEUE_LEN: usize = 256;
+/// Updates of each kind that host and scheduler send each other when a link opens.
+const INITIAL_UPDATES: usize = 64;
+const MAX_BACKEND_NAME_BYTES: usize = 200;
 
-type LearnFn<T> = dyn Fn(&T) -> bool + Send + Sync;
-type TellingFn = dyn Fn(&SuspectUpdate) -> Vec<SuspectUpdate> + Send + Sync;
-type KnownFn<T> = dyn Fn(usize) -> Vec<T> + Send + Sync;
+type ApplyFn<T> = dyn Fn(&T) -> bool + Send + Sync;
+type ForwardFn = dyn Fn(&SuspectUpdate) -> Vec<SuspectUpdate> + Send + Sync;
+type NewestFn<T> = dyn Fn(usize) -> Vec<T> + Send + Sync;
 
-/// What a host does with news of suspects, as closures over what it knows.
+/// Callbacks for updates on suspects.
 #[derive(Clone)]
 pub struct SuspectHandlers {
-    /// Takes news; whether they were not known.
-    pub apply_update: Arc<LearnFn<SuspectUpdate>>,
-    /// What others need to know once these news are known.
-    pub updates_to_forward: Arc<TellingFn>,
-    /// The newest of what is known, so many.
-    pub newest_updates: Arc<KnownFn<SuspectUpdate>>,
-    /// The same of requests under which more than one backend server has ended.
-    pub newest_repeated: Arc<KnownFn<SuspectUpdate>>,
+    /// Applies an update; returns whether it was new.
+    pub apply_update: Arc<ApplyFn<SuspectUpdate>>,
+    /// Returns the updates that other hosts need once this update has been applied.
+    pub updates_to_forward: Arc<ForwardFn>,
+    /// Returns up to this many of the newest known updates.
+    pub newest_updates: Arc<NewestFn<SuspectUpdate>>,
+    /// Like `newest_updates`, limited to requests under which more than one backend server has
+    /// crashed.
+    pub newest_repeated: Arc<NewestFn<SuspectUpdate>>,
 }
 
 impl fmt::Debug for SuspectHandlers {
@@ -56,17 +57,17 @@
     }
 }
 
-/// What a host does with news of what backend servers say, as closures over what it knows.
+/// Callbacks for updates on what backend servers announce.
 #[derive(Clone)]
 pub struct NoticeHandlers<T> {
-    /// Takes news; whether they were not known.
-    pub apply_update: Arc<LearnFn<T>>,
-    /// The newest of what is known, so many.
-    pub newest_updates: Arc<KnownFn<T>>,
+    /// Applies an update; returns whether it was new.
+    pub apply_update: Arc<ApplyFn<T>>,
+    /// Returns up to this many of the newest known updates.
+    pub newest_updates: Arc<NewestFn<T>>,
 }
 
 impl<T> NoticeHandlers<T> {
-    /// Of a host that knows nothing and takes nothing.
+    /// Callbacks that ignore all updates and know none.
     pub fn none() -> Self {
         Self { apply_update: Arc::new(|_news| false), newest_updates: Arc::new(|_most| Vec::new()) }
     }
@@ -78,19 +79,19 @@
     }
 }
 
-/// What a host does with news.
+/// Callbacks for each kind of update.
 #[derive(Clone, Debug)]
 pub struct BusHandlers {
-    /// Of suspects.
+    /// Updates on suspects.
     pub suspects: SuspectHandlers,
-    /// Of limits that backend servers name.
+    /// Updates on request rates that backend servers advertise.
     pub throttle: NoticeHandlers<ThrottleUpdate>,
-    /// Of backend servers that leave.
+    /// Updates on backend servers that are leaving.
     pub leaving: NoticeHandlers<LeavingUpdate>,
 }
 
 impl BusHandlers {
-    /// Of a host that knows nothing and takes nothing.
+    /// Callbacks that ignore all updates and know none.
     pub fn none() -> Self {
         let suspects = SuspectHandlers {
             apply_update: Arc::new(|_news| false),
@@ -102,30 +103,30 @@
     }
 }
 
-/// What hosts tell each other.
+/// An update that hosts send each other.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetUpdate {
-    /// A backend server ended under a request, or a copy of it came to a good end.
+    /// A backend server crashed under a request, or a copy of the request succeeded.
     Suspect(SuspectUpdate),
-    /// A backend server says how much it takes.
+    /// A backend server advertises how many requests it accepts.
     Throttle(ThrottleUpdate),
-    /// A backend server says that it leaves.
+    /// A backend server announces that it is leaving.
     Leaving(LeavingUpdate),
 }
 
-/// Carries news between this host and those that it is linked with.
+/// Carries updates between this host and the hosts that it is linked with.
 #[derive(Clone)]
 pub struct FleetBus {
     handlers: Arc<BusHandlers>,
     clock: HostClock,
-    /// News for the hosts that are served here, with the one that they came from.
-    served: broadcast::Sender<SourcedNews>,
-    /// Links by the hosts that are served here.
+    /// Updates for the served hosts, each with the host that sent it.
+    served: broadcast::Sender<SourcedUpdate>,
+    /// Link numbers by served host.
     links: Arc<Mutex<HashMap<Name, BTreeSet<u64>>>>,
 }
 
-/// News, and the host that told them, if it was another one.
-type SourcedNews = (Option<Name>, FleetUpdate);
+/// An update with the host that sent it; `None` for this host itself.
+type SourcedUpdate = (Option<Name>, FleetUpdate);
 
 impl fmt::Debug for FleetBus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -134,101 +135,104 @@
 }
 
 impl FleetBus {
-    /// A bus over what a host knows.
+    /// Creates a bus with these callbacks.
     pub fn new(handlers: BusHandlers, clock: HostClock) -> Self {
-        let (served, _receiver) = broadcast::channel(QUEUED_NEWS);
+        let (served, _receiver) = broadcast::channel(UPDATE_QUEUE_LEN);
         Self { handlers: Arc::new(handlers), clock, served, links: Arc::default() }
     }
 
-    /// Takes a link of a host that is served here.
+    /// Registers a link of a served host.
     pub(crate) fn serve_link(&self, host: &Name, number: u64) -> ServedLink {
         self.with_links(|links| {
             links.entry(Name::clone(host)).or_default().insert(number);
         });
-        let (bus, news) = (self.clone(), self.served.subscribe());
-        ServedLink { bus, news, host: Name::clone(host), number }
+        let (bus, updates) = (self.clone(), self.served.subscribe());
+        ServedLink { bus, updates, host: Name::clone(host), number }
     }
 
     fn with_links<T>(&self, run: impl FnOnce(&mut HashMap<Name, BTreeSet<u64>>) -> T) -> T {
         run(&mut self.links.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// What a host that links to a scheduler tells it first.
-    pub(crate) fn first_news(&self) -> Vec<ScheduleMessage> {
-        self.first_of((self.handlers.suspects.newest_updates)(FIRST_NEWS))
+    /// Returns what this host sends first to a scheduler that it links to.
+    pub(crate) fn initial_updates(&self) -> Vec<ScheduleMessage> {
+        self.encode_initial((self.handlers.suspects.newest_updates)(INITIAL_UPDATES))
     }
 
-    /// What a scheduler tells a host that links to it first: one that started anew while the store is away learns
-    /// of suspects here alone.
-    pub(crate) fn first_told(&self) -> Vec<ScheduleMessage> {
-        self.first_of((self.handlers.suspects.newest_repeated)(FIRST_NEWS))
+    /// Returns what a scheduler sends first to a host that links to it. While the store is
+    /// unreachable, this is the only way in which a restarted host learns of suspects.
+    pub(crate) fn initial_updates_for_host(&self) -> Vec<ScheduleMessage> {
+        self.encode_initial((self.handlers.suspects.newest_repeated)(INITIAL_UPDATES))
     }
 
-    fn first_of(&self, suspects: Vec<SuspectUpdate>) -> Vec<ScheduleMessage> {
-        let limits = (self.handlers.throttle.newest_updates)(FIRST_NEWS);
-        let leaving = (self.handlers.leaving.newest_updates)(FIRST_NEWS);
+    fn encode_initial(&self, suspects: Vec<SuspectUpdate>) -> Vec<ScheduleMessage> {
+        let limits = (self.handlers.throttle.newest_updates)(INITIAL_UPDATES);
+        let leaving = (self.handlers.leaving.newest_updates)(INITIAL_UPDATES);
         let suspects = suspects.into_iter().map(FleetUpdate::Suspect);
         let limits = limits.into_iter().map(FleetUpdate::Throttle);
-        let news = suspects.chain(limits).chain(leaving.into_iter().map(FleetUpdate::Leaving));
-        news.map(|news| self.encode(&news)).collect()
+        let updates = suspects.chain(limits).chain(leaving.into_iter().map(FleetUpdate::Leaving));
+        updates.map(|update| self.encode(&update)).collect()
     }
 
-    /// Takes a message; what cannot be read is told and passed over.
-    pub(crate) fn hear_suspect(&self, message: ScheduleSuspect) -> Option<FleetUpdate> {
-        let news = match self.decode_suspect(message) {
-            Ok(news) => news,
+    /// Applies a message and returns the update if it was new. A malformed message is logged and
+    /// skipped.
+    pub(crate) fn receive_suspect(&self, message: ScheduleSuspect) -> Option<FleetUpdate> {
+        let update = match self.decode_suspect(message) {
+            Ok(update) => update,
             Err(cause) => {
                 log::info!("event=suspect_unreadable cause=\"{cause}\"");
                 return None;
             }
         };
-        (self.handlers.suspects.apply_update)(&news).then_some(FleetUpdate::Suspect(news))
+        (self.handlers.suspects.apply_update)(&update).then_some(FleetUpdate::Suspect(update))
     }
 
-    /// Takes a message; what cannot be read is told and passed over.
-    pub(crate) fn hear_throttle(&self, message: &ScheduleThrottle) -> Option<FleetUpdate> {
-        let news = match self.decode_throttle(message) {
-            Ok(news) => news,
+    /// Applies a message and returns the update if it was new. A malformed message is logged and
+    /// skipped.
+    pub(crate) fn receive_throttle(&self, message: &ScheduleThrottle) -> Option<FleetUpdate> {
+        let update = match self.decode_throttle(message) {
+            Ok(update) => update,
             Err(cause) => {
                 log::info!("event=backend_limit_untold cause=\"{cause}\"");
                 return None;
             }
         };
-        (self.handlers.throttle.apply_update)(&news).then_some(FleetUpdate::Throttle(news))
+        (self.handlers.throttle.apply_update)(&update).then_some(FleetUpdate::Throttle(update))
     }
 
-    /// Takes a message; what cannot be read is told and passed over.
-    pub(crate) fn hear_leaving(&self, message: &ScheduleLeaving) -> Option<FleetUpdate> {
-        let news = match self.decode_leaving(message) {
-            Ok(news) => news,
+    /// Applies a message and returns the update if it was new. A malformed message is logged and
+    /// skipped.
+    pub(crate) fn receive_leaving(&self, message: &ScheduleLeaving) -> Option<FleetUpdate> {
+        let update = match self.decode_leaving(message) {
+            Ok(update) => update,
             Err(cause) => {
                 log::info!("event=backend_leaving_untold cause=\"{cause}\"");
                 return None;
             }
         };
-        (self.handlers.leaving.apply_update)(&news).then_some(FleetUpdate::Leaving(news))
+        (self.handlers.leaving.apply_update)(&update).then_some(FleetUpdate::Leaving(update))
     }
 
-    /// Passes news on to all hosts that are served here, but for the one that they came from.
-    pub(crate) fn spread(&self, source: Option<&Name>, news: &FleetUpdate) {
-        let told = match news {
-            FleetUpdate::Suspect(news) => {
-                let told = (self.handlers.suspects.updates_to_forward)(news);
-                told.into_iter().map(FleetUpdate::Suspect).collect()
+    /// Sends an update to all served hosts except the one that it came from.
+    pub(crate) fn broadcast(&self, source: Option<&Name>, update: &FleetUpdate) {
+        let updates = match update {
+            FleetUpdate::Suspect(update) => {
+                let updates = (self.handlers.suspects.updates_to_forward)(update);
+                updates.into_iter().map(FleetUpdate::Suspect).collect()
             }
-            FleetUpdate::Throttle(_) | FleetUpdate::Leaving(_) => vec![news.clone()],
+            FleetUpdate::Throttle(_) | FleetUpdate::Leaving(_) => vec![update.clone()],
         };
-        for news in told {
-            // Nobody may be served here.
-            let _served = self.served.send((source.cloned(), news));
+        for update in updates {
+            // Sending fails if no host is served here.
+            let _served = self.served.send((source.cloned(), update));
         }
     }
 
-    pub(crate) fn encode(&self, news: &FleetUpdate) -> ScheduleMessage {
+    pub(crate) fn encode(&self, update: &FleetUpdate) -> ScheduleMessage {
         let age_ms = |at| millis(self.clock.since(at));
-        match news {
-            FleetUpdate::Suspect(news) => {
-                let (print, backend, at) = match news {
+        match update {
+            FleetUpdate::Suspect(update) => {
+                let (print, backend, at) = match update {
                     SuspectUpdate::Crashed(end) => {
                         (end.fingerprint, Some(Name::clone(&end.backend)), end.at)
                     }
@@ -237,74 +241,76 @@
                 let (print, age_ms) = (print.to_string().into(), age_ms(at));
                 ScheduleMessage::Suspect(ScheduleSuspect { print, backend, age_ms })
             }
-            FleetUpdate::Throttle(news) => ScheduleMessage::Throttle(ScheduleThrottle {
-                backend: Name::clone(&news.backend.id),
-                start: news.backend.start.map(|start| start.0),
-                per_s: news.rate.map(RequestRate::per_s),
-                age_ms: age_ms(news.at),
+            FleetUpdate::Throttle(update) => ScheduleMessage::Throttle(ScheduleThrottle {
+                backend: Name::clone(&update.backend.id),
+                start: update.backend.start.map(|start| start.0),
+                per_s: update.rate.map(RequestRate::per_s),
+                age_ms: age_ms(update.at),
             }),
-            FleetUpdate::Leaving(news) => ScheduleMessage::Leaving(ScheduleLeaving {
-                backend: Name::clone(&news.backend.id),
-                start: news.backend.start.map(|start| start.0),
-                age_ms: age_ms(news.at),
+            FleetUpdate::Leaving(update) => ScheduleMessage::Leaving(ScheduleLeaving {
+                backend: Name::clone(&update.backend.id),
+                start: update.backend.start.map(|start| start.0),
+                age_ms: age_ms(update.at),
             }),
         }
     }
 
     fn decode_suspect(&self, message: ScheduleSuspect) -> Result<SuspectUpdate, String> {
         let print = message.print.parse().map_err(|error| format!("{error}"))?;
-        let at = self.said_at(message.age_ms);
+        let at = self.reported_at(message.age_ms);
         match message.backend {
             None => Ok(SuspectUpdate::Succeeded { fingerprint: print, at }),
             Some(backend) if is_backend_name(&backend) => {
                 Ok(SuspectUpdate::Crashed(BackendCrash { fingerprint: print, backend, at }))
             }
-            Some(_unnamed) => Err(UNNAMED.to_owned()),
+            Some(_unnamed) => Err(BAD_BACKEND_NAME.to_owned()),
         }
     }
 
     fn decode_throttle(&self, message: &ScheduleThrottle) -> Result<ThrottleUpdate, String> {
         let rate = match message.per_s {
             None => None,
-            Some(per_s) => Some(RequestRate::new(per_s).ok_or(format!("{per_s} is no rate"))?),
+            Some(per_s) => {
+                Some(RequestRate::new(per_s).ok_or(format!("{per_s} is not a valid rate"))?)
+            }
         };
-        let backend = decode_started(&message.backend, message.start)?;
-        Ok(ThrottleUpdate { backend, rate, at: self.said_at(message.age_ms) })
+        let backend = decode_instance(&message.backend, message.start)?;
+        Ok(ThrottleUpdate { backend, rate, at: self.reported_at(message.age_ms) })
     }
 
     fn decode_leaving(&self, message: &ScheduleLeaving) -> Result<LeavingUpdate, String> {
-        let backend = decode_started(&message.backend, message.start)?;
-        Ok(LeavingUpdate { backend, at: self.said_at(message.age_ms) })
+        let backend = decode_instance(&message.backend, message.start)?;
+        Ok(LeavingUpdate { backend, at: self.reported_at(message.age_ms) })
     }
 
-    fn said_at(&self, age_ms: u64) -> Moment {
+    fn reported_at(&self, age_ms: u64) -> Moment {
         self.clock.now().saturating_sub(Duration::from_millis(age_ms))
     }
 }
 
-fn decode_started(backend: &Name, start: Option<u64>) -> Result<BackendInstance, String> {
+fn decode_instance(backend: &Name, start: Option<u64>) -> Result<BackendInstance, String> {
     if !is_backend_name(backend) {
-        return Err(UNNAMED.to_owned());
+        return Err(BAD_BACKEND_NAME.to_owned());
     }
     Ok(BackendInstance { id: Name::clone(backend), start: start.map(BackendStart) })
 }
 
-/// A link of a host that is served here, until it is dropped. Of the links of a host, one for each pool, the newest
-/// takes its news: each would else cost it as many messages as there are pools.
+/// A link of a served host, registered until it is dropped. Only the newest of a host's links, one
+/// for each pool, receives updates; otherwise the host would get each update once per pool.
 pub(crate) struct ServedLink {
     bus: FleetBus,
-    news: broadcast::Receiver<SourcedNews>,
+    updates: broadcast::Receiver<SourcedUpdate>,
     host: Name,
     number: u64,
 }
 
 impl ServedLink {
-    /// The next news for the host, as its link carries them.
+    /// Returns the next update for the host.
     pub(crate) async fn next(&mut self) -> ScheduleMessage {
         loop {
-            match self.news.recv().await {
-                Ok((source, news)) if self.is_newest() && source.as_ref() != Some(&self.host) => {
-                    return self.bus.encode(&news);
+            match self.updates.recv().await {
+                Ok((source, update)) if self.is_newest() && source.as_ref() != Some(&self.host) => {
+                    return self.bus.encode(&update);
                 }
                 Ok(_not_here) => {}
                 Err(broadcast::error::RecvError::Lagged(missed)) => {
@@ -333,9 +339,9 @@
     }
 }
 
-/// Why news are passed over that name no backend server.
-const UNNAMED: &str = "a backend server's name is empty or too long";
+/// Why an update is skipped that names no valid backend server.
+const BAD_BACKEND_NAME: &str = "the name of the backend server is empty or too long";
 
 fn is_backend_name(name: &Name) -> bool {
-    !name.is_empty() && name.len() <= LONGEST_BACKEND
+    !name.is_empty() && name.len() <= MAX_BACKEND_NAME_BYTES
 }
--- a/crates/dillspool_scheduler/src/limit_client.rs
+++ b/crates/dillspool_scheduler/src/limit_client.rs
@@ -1,4 +1,4 @@
-//! Asks whether a limit has room for a request, wherever it is counted.
+//! Spends from rate limits, at the holder of the limit or locally.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,60 +16,60 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::keeper::{LinkKeeper, PeersFn, SchedulePeers};
-use crate::limit_desk::{JoinedGuard, LimitShare, RateLimiter, share_name};
 use crate::link::{LinkDuty, SchedulerLink};
+use crate::link_manager::{LinkManager, PeersFn, SchedulePeers};
+use crate::rate_limiter::{JoinedGuard, LimitShare, RateLimiter, share_name};
 
-/// Pause before a holder is looked for again while there is none: its successor is linked within
-/// some hundred milliseconds.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Interval between checks for a holder while there is none; a successor is linked within some
+/// hundred milliseconds.
+const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// This host's part in one share.
+/// This host's state for one share.
 struct ShareState {
     share: LimitShare,
     link: SchedulerLink,
-    /// What it spends without a holder.
-    parts: Arc<Mutex<LocalQuota>>,
-    /// Set while this host counts the limits itself.
-    own: Mutex<Option<JoinedGuard>>,
-    /// Notified once the share has a limit that this host knows of.
-    wanted: Notify,
+    /// Quota that this host spends while there is no holder.
+    quota: Arc<Mutex<LocalQuota>>,
+    /// Set while this host is the holder.
+    local_guard: Mutex<Option<JoinedGuard>>,
+    /// Notified once this host knows of a limit in the share.
+    needed: Notify,
 }
 
 impl ShareState {
-    fn new(share: LimitShare, desk: &RateLimiter) -> Self {
-        let parts = Arc::new(Mutex::new(desk.own_parts()));
-        let (noted, told) = (Arc::clone(&parts), desk.clone());
+    fn new(share: LimitShare, limiter: &RateLimiter) -> Self {
+        let quota = Arc::new(Mutex::new(limiter.local_quota()));
+        let (shared_quota, shared_limiter) = (Arc::clone(&quota), limiter.clone());
         let link = SchedulerLink::new(move |hosts| {
-            told.note_hosts(share, hosts);
-            let mut parts = noted.lock().unwrap_or_else(PoisonError::into_inner);
-            parts.record_heartbeat(hosts, told.now());
+            shared_limiter.record_host_count(share, hosts);
+            let mut quota = shared_quota.lock().unwrap_or_else(PoisonError::into_inner);
+            quota.record_heartbeat(hosts, shared_limiter.now());
         });
-        Self { share, link, parts, own: Mutex::default(), wanted: Notify::new() }
+        Self { share, link, quota, local_guard: Mutex::default(), needed: Notify::new() }
     }
 
-    /// Decides by this host's own part.
-    fn spend_own(&self, request: &SpendRequest, now: Moment) -> Option<SpendDecision> {
-        self.parts.lock().unwrap_or_else(PoisonError::into_inner).spend(request, now)
+    /// Spends from this host's own quota.
+    fn spend_locally(&self, request: &SpendRequest, now: Moment) -> Option<SpendDecision> {
+        self.quota.lock().unwrap_or_else(PoisonError::into_inner).spend(request, now)
     }
 
-    /// Notes whether this host counts the limits itself.
-    fn set_holds(&self, holds: bool, desk: &RateLimiter) {
-        let mut own = self.own.lock().unwrap_or_else(PoisonError::into_inner);
-        if !holds {
-            *own = None;
-        } else if own.is_none() {
-            // Where another host has counted, what it granted is not known here: this one begins with nothing, as
-            // a holder does that others are told to ask.
-            let parts = self.parts.lock().unwrap_or_else(PoisonError::into_inner);
-            let told = parts.known_hosts(desk.now());
-            drop(parts);
-            *own = Some(desk.join(self.share, told));
+    /// Records whether this host is the holder.
+    fn set_is_holder(&self, is_holder: bool, limiter: &RateLimiter) {
+        let mut guard = self.local_guard.lock().unwrap_or_else(PoisonError::into_inner);
+        if !is_holder {
+            *guard = None;
+        } else if guard.is_none() {
+            // Grants of an earlier holder are not known here, so this host starts with empty
+            // balances, like a holder that other hosts begin to ask.
+            let quota = self.quota.lock().unwrap_or_else(PoisonError::into_inner);
+            let known_hosts = quota.known_hosts(limiter.now());
+            drop(quota);
+            *guard = Some(limiter.join(self.share, known_hosts));
         }
     }
 }
 
-/// An amount that was granted. It counts as used unless it is given back.
+/// A granted amount. It counts as used unless it is refunded.
 #[derive(Debug)]
 pub struct SpendGrant {
     client: LimitClient,
@@ -78,28 +78,28 @@
 }
 
 impl SpendGrant {
-    /// Gives the amount back, for a request that did not run.
+    /// Refunds the amount for a request that did not run.
     pub fn refund(self) {
-        self.client.give_back(&self.subject, self.amount);
+        self.client.refund(&self.subject, self.amount);
     }
 }
 
-/// Asks the holders of limits.
+/// Requests grants from the holders of limits.
 #[derive(Clone)]
 pub struct LimitClient {
-    desk: RateLimiter,
+    limiter: RateLimiter,
     shares: Arc<Vec<ShareState>>,
     next_ticket: Arc<AtomicU64>,
-    /// The other hosts; `None` while hosts do not ask each other.
+    /// `None` while hosts do not ask each other.
     fleet: Arc<Mutex<Option<FleetView>>>,
 }
 
-/// The other hosts, as this one sees them.
+/// The other hosts, as this host sees them.
 #[derive(Clone)]
 struct FleetView {
-    /// Hosts that could hold a share.
+    /// Returns the hosts that can hold a share.
     peers: Arc<PeersFn>,
-    /// How many share the limits; `None` where that is not known.
+    /// Returns the number of hosts that share the limits; `None` if unknown.
     count: Arc<dyn Fn() -> Option<usize> + Send + Sync>,
 }
 
@@ -110,14 +110,19 @@
 }
 
 impl LimitClient {
-    /// A client that counts alone until it is run.
-    pub fn new(desk: RateLimiter) -> Self {
-        let shares = desk.shares().map(|share| ShareState::new(share, &desk)).collect();
-        Self { desk, shares: Arc::new(shares), next_ticket: Arc::default(), fleet: Arc::default() }
+    /// Creates a client that counts alone until it is run.
+    pub fn new(limiter: RateLimiter) -> Self {
+        let shares = limiter.shares().map(|share| ShareState::new(share, &limiter)).collect();
+        Self {
+            limiter,
+            shares: Arc::new(shares),
+            next_ticket: Arc::default(),
+            fleet: Arc::default(),
+        }
     }
 
-    /// Links this host to the holder of each share until `cancel`, from the first configuration on
-    /// that limits a workspace.
+    /// Links this host to the holder of each share until `cancel`, starting with the first
+    /// configuration that limits a workspace.
     pub async fn run(
         self,
         stack: NetStack,
@@ -130,7 +135,7 @@
         let await_limits = async move {
             let limited = config.wait_for(|config| config.as_deref().is_some_and(has_limits));
             if limited.await.is_ok() {
-                client.shares.iter().for_each(|state| state.wanted.notify_one());
+                client.shares.iter().for_each(|state| state.needed.notify_one());
             }
             std::future::pending::<()>().await;
         };
@@ -140,8 +145,8 @@
         }
     }
 
-    /// Links this host to the holder of each share until `cancel`, once a limit of it is wanted. `count` tells
-    /// how many hosts share the limits.
+    /// Links this host to the holder of each share until `cancel`, once a limit in the share is
+    /// needed. `count` returns the number of hosts that share the limits.
     pub async fn run_on_demand(
         self,
         stack: NetStack,
@@ -152,59 +157,67 @@
     ) {
         let view = FleetView { peers: Arc::new(peers), count: Arc::new(count) };
         *self.fleet.lock().unwrap_or_else(PoisonError::into_inner) = Some(view.clone());
-        let mut keepers = JoinSet::new();
+        let mut managers = JoinSet::new();
         for index in 0..self.shares.len() {
-            let keeper = self.keeper(index, &stack, &host, &view);
+            let manager = self.manager(index, &stack, &host, &view);
             let shares = Arc::clone(&self.shares);
-            keepers.spawn(async move {
-                shares[index].wanted.notified().await;
-                keeper.run().await;
+            managers.spawn(async move {
+                shares[index].needed.notified().await;
+                manager.run().await;
             });
         }
-        // Dropping the keepers ends their links.
+        // Dropping the managers closes their links.
         cancel.cancelled().await;
     }
 
-    fn keeper(&self, index: usize, stack: &NetStack, host: &Name, view: &FleetView) -> LinkKeeper {
+    fn manager(
+        &self,
+        index: usize,
+        stack: &NetStack,
+        host: &Name,
+        view: &FleetView,
+    ) -> LinkManager {
         let state = &self.shares[index];
-        let (desk, share, count) = (self.desk.clone(), state.share, Arc::clone(&view.count));
+        let (limiter, share, count) = (self.limiter.clone(), state.share, Arc::clone(&view.count));
         let duty = LinkDuty {
             duty: ScheduleDuty::Limits,
             host: Name::clone(host),
             service: share_name(share),
-            told: Arc::new(move || desk.standing(share).max(count().unwrap_or_default())),
+            host_count: Arc::new(move || {
+                limiter.known_hosts(share).max(count().unwrap_or_default())
+            }),
         };
         let (link, stack) = (state.link.clone(), stack.clone());
-        LinkKeeper { link, stack, duty, peers: Arc::clone(&view.peers) }
+        LinkManager { link, stack, duty, peers: Arc::clone(&view.peers) }
     }
 
-    /// Links this host to the holder of a subject's limit from now on.
+    /// Starts to link this host to the holder of a subject's limit, if it is not linked yet.
     pub fn ensure_link(&self, subject: &str) {
-        self.state_of(subject).wanted.notify_one();
+        self.state_of(subject).needed.notify_one();
     }
 
     fn state_of(&self, subject: &str) -> &ShareState {
-        &self.shares[self.desk.share_of(subject).index]
+        &self.shares[self.limiter.share_of(subject).index]
     }
 
-    /// Asks whether a limit has room for a request, and waits for a holder for up to `patience`;
-    /// `None` when that cannot be told.
-    pub async fn spend(&self, request: &SpendRequest, patience: Duration) -> Option<SpendDecision> {
+    /// Requests an amount from a limit, and waits for a holder for up to `max_wait`. `None` if
+    /// there is no decision.
+    pub async fn spend(&self, request: &SpendRequest, max_wait: Duration) -> Option<SpendDecision> {
         let state = self.state_of(&request.subject);
-        let until = Instant::now() + patience;
+        let deadline = Instant::now() + max_wait;
         loop {
             if state.link.is_linked() {
-                state.set_holds(false, &self.desk);
+                state.set_is_holder(false, &self.limiter);
                 let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed) + 1;
-                let now = self.desk.now();
+                let now = self.limiter.now();
                 if let Some(decision) = state.link.spend(ticket, request, now).await {
                     return Some(decision);
                 }
-            } else if self.holds(state) {
-                return Some(self.desk.spend(state.share, request));
+            } else if self.update_is_holder(state) {
+                return Some(self.limiter.spend(state.share, request));
             }
-            if Instant::now() >= until {
-                let decision = state.spend_own(request, self.desk.now());
+            if Instant::now() >= deadline {
+                let decision = state.spend_locally(request, self.limiter.now());
                 log::info!(
                     "event=limit_without_holder subject=\"{}\" amount={} decision={decision:?}",
                     request.subject,
@@ -212,51 +225,53 @@
                 );
                 return decision;
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(HOLDER_POLL_INTERVAL).await;
         }
     }
 
-    /// Whether this host counts the share itself: no better one answers, or there is no other.
-    fn holds(&self, state: &ShareState) -> bool {
+    /// Updates and returns whether this host is the holder of a share: no better-ranked host answers, or hosts
+    /// do not ask each other.
+    fn update_is_holder(&self, state: &ShareState) -> bool {
         let fleet = self.fleet.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let Some(FleetView { peers, count }) = fleet else {
-            // Hosts do not ask each other here.
-            state.set_holds(true, &self.desk);
-            self.desk.note_hosts(state.share, 1);
+            // Hosts do not ask each other.
+            state.set_is_holder(true, &self.limiter);
+            self.limiter.record_host_count(state.share, 1);
             return true;
         };
-        let holds = state.link.schedules();
-        state.set_holds(holds, &self.desk);
-        if holds {
-            // The rows name some of the others that this host may not have heard of.
+        let is_holder = state.link.is_scheduler();
+        state.set_is_holder(is_holder, &self.limiter);
+        if is_holder {
+            // The candidate list may contain hosts that have not sent anything to this host.
             let listed = peers(&share_name(state.share)).ranked.len();
-            self.desk.note_hosts(state.share, listed.max(count().unwrap_or_default()));
+            self.limiter.record_host_count(state.share, listed.max(count().unwrap_or_default()));
         }
-        holds
+        is_holder
     }
 
-    /// What gives the amount of a granted request back, should the request not run.
+    /// Returns the grant of an allowed request, to be refunded if the request does not
+    /// run.
     pub fn grant(&self, request: &SpendRequest) -> SpendGrant {
         let (subject, amount) = (Name::clone(&request.subject), request.amount);
         SpendGrant { client: self.clone(), subject, amount }
     }
 
-    /// Questions to holders that wait for an answer.
+    /// Returns the number of requests without a response from their holder.
     pub fn pending_requests(&self) -> usize {
-        self.shares.iter().map(|state| state.link.open_questions()).sum()
+        self.shares.iter().map(|state| state.link.pending_requests()).sum()
     }
 
-    fn give_back(&self, subject: &Name, amount: f64) {
+    fn refund(&self, subject: &Name, amount: f64) {
         let state = self.state_of(subject);
         if state.link.is_linked() {
-            state.link.give_back(subject, amount);
+            state.link.refund(subject, amount);
         } else {
-            self.desk.give_back(state.share, subject, amount);
+            self.limiter.refund(state.share, subject, amount);
         }
     }
 }
 
-/// Whether a configuration limits any workspace.
+/// Returns whether a configuration limits any workspace.
 fn has_limits(config: &RoutingConfig) -> bool {
     let workspaces = config.workspaces.iter().flat_map(WorkspaceTable::iter);
     workspaces.into_iter().any(|workspace| workspace.limit.is_some())
--- a/crates/dillspool_scheduler/src/link.rs
+++ b/crates/dillspool_scheduler/src/link.rs
@@ -1,10 +1,11 @@
-//! A host's link to the one that decides for all: the scheduler of a pool, the holder of limits, or the one that
-//! decides on a service's calls.
+//! A host's link to the host that decides for all: the scheduler of a pool, the holder of a share
+//! of the limits, or the scheduler of a service's calls.
 //!
-//! Questions and notes stand here and, of calls, in [`calls`]; [`serving`] carries them.
+//! This module has the requests and events, [`calls`] those about calls; [`connection`] transports
+//! them.
 
 mod calls;
-mod serving;
+mod connection;
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,48 +22,48 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use self::calls::HeldCall;
-use crate::desk::PlacementEvent;
+use self::calls::ActiveCall;
 use crate::fleet_bus::FleetBus;
+use crate::placement_scheduler::PlacementEvent;
 use crate::wire::{self, PROTOCOL_VERSION};
 
-pub(crate) use calls::{CallReply, FRESH_FOR};
-pub(crate) use serving::{BEAT_EVERY, OpenedLink, open_link};
+pub(crate) use calls::{CallReply, DECISION_TTL};
+pub(crate) use connection::{HEARTBEAT_INTERVAL, OpenedLink, open_link};
 
-/// Time for a scheduler's answer, after which this host decides by itself: a fiftieth to a tenth of
-/// the time in which a first event is due.
-const ANSWER_LIMIT: Duration = Duration::from_millis(80);
-/// Time beyond a request's patience for the decision on one that waits.
+/// Timeout for the scheduler's first response, after which this host decides by itself: a fiftieth
+/// to a tenth of the time in which a first event is due.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(80);
+/// Time beyond a request's `max_wait` to wait for the final decision.
 const WAIT_SLACK: Duration = Duration::from_millis(200);
-/// Answers to one question: that it waits, and the decision.
-const ANSWERS: usize = 2;
+/// Responses to one request: that it is queued, and the final decision.
+const MAX_RESPONSES: usize = 2;
 
-/// What a host asks another one to do for all.
+/// What a host asks the linked host to do.
 #[derive(Clone)]
 pub(crate) struct LinkDuty {
     pub(crate) duty: ScheduleDuty,
-    /// This host.
+    /// Name of this host.
     pub(crate) host: Name,
-    /// Service whose engines are the pool or whose calls are decided on, or share of the limits.
+    /// The pool's service, the service whose calls are decided, or the share of the limits.
     pub(crate) service: Name,
-    /// Hosts that share the limits, as far as this host knows; 0 if it does not.
-    pub(crate) told: Arc<dyn Fn() -> usize + Send + Sync>,
+    /// Number of hosts that share the limits, as far as this host knows; 0 if unknown.
+    pub(crate) host_count: Arc<dyn Fn() -> usize + Send + Sync>,
 }
 
 impl LinkDuty {
-    /// To place the requests of a pool.
+    /// The duty to place the requests of a pool.
     pub(crate) fn pool(host: &Name, service: &Name) -> Self {
-        Self::of_service(ScheduleDuty::Pool, host, service)
+        Self::for_service(ScheduleDuty::Pool, host, service)
     }
 
-    /// To decide on the calls of a plain service.
+    /// The duty to decide on the calls of a plain service.
     pub(crate) fn calls(host: &Name, service: &Name) -> Self {
-        Self::of_service(ScheduleDuty::Calls, host, service)
+        Self::for_service(ScheduleDuty::Calls, host, service)
     }
 
-    fn of_service(duty: ScheduleDuty, host: &Name, service: &Name) -> Self {
+    fn for_service(duty: ScheduleDuty, host: &Name, service: &Name) -> Self {
         let (host, service) = (Name::clone(host), Name::clone(service));
-        Self { duty, host, service, told: Arc::new(|| 0) }
+        Self { duty, host, service, host_count: Arc::new(|| 0) }
     }
 
     fn hello(&self) -> ScheduleHello {
@@ -71,68 +72,68 @@
             host: Name::clone(&self.host),
             duty: self.duty,
             service: Name::clone(&self.service),
-            hosts: u32::try_from((self.told)()).unwrap_or(u32::MAX),
+            hosts: u32::try_from((self.host_count)()).unwrap_or(u32::MAX),
         }
     }
 }
 
-/// What a scheduler answered.
+/// A scheduler's response.
 enum ScheduleReply {
     Decided(PlacementDecision),
-    Reader(Option<Name>),
+    PrefillEngine(Option<Name>),
     Spent(SpendDecision),
     Call(CallDecision),
 }
 
-/// A question that waits for its answers; it is forgotten once nobody waits any more.
-struct OpenQuestion<'a> {
+/// A request that waits for its responses; dropping it unregisters it.
+struct PendingRequest<'a> {
     link: &'a SchedulerLink,
     ticket: u64,
-    answers: mpsc::Receiver<ScheduleReply>,
-    /// What goes back if it is granted once nobody waits any more.
-    unwanted: Option<ScheduleGiveBack>,
+    responses: mpsc::Receiver<ScheduleReply>,
+    /// Refund to send if the request is granted after the caller has left.
+    refund_if_granted: Option<ScheduleGiveBack>,
 }
 
-impl OpenQuestion<'_> {
-    /// The next answer; `None` where none comes within `limit`.
-    async fn answer(&mut self, limit: Duration) -> Option<ScheduleReply> {
-        tokio::time::timeout(limit, self.answers.recv()).await.ok().flatten()
+impl PendingRequest<'_> {
+    /// Returns the next response; `None` if none arrives within `limit`.
+    async fn response(&mut self, limit: Duration) -> Option<ScheduleReply> {
+        tokio::time::timeout(limit, self.responses.recv()).await.ok().flatten()
     }
 }
 
-impl Drop for OpenQuestion<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        let unwanted = self.unwanted.take();
+        let refund_if_granted = self.refund_if_granted.take();
         let answered = self.link.with(|state| {
             let is_linked = state.pending.remove(&self.ticket).is_some();
-            let answered = self.answers.try_recv().ok();
+            let answered = self.responses.try_recv().ok();
             if answered.is_none()
                 && is_linked
-                && let Some(unwanted) = &unwanted
+                && let Some(refund_if_granted) = &refund_if_granted
             {
-                state.unwanted.insert(self.ticket, unwanted.clone());
+                state.refund_if_granted.insert(self.ticket, refund_if_granted.clone());
             }
             answered
         });
-        if let (Some(ScheduleReply::Spent(SpendDecision::Allowed)), Some(unwanted)) =
-            (answered, unwanted)
+        if let (Some(ScheduleReply::Spent(SpendDecision::Allowed)), Some(refund_if_granted)) =
+            (answered, refund_if_granted)
         {
-            self.link.send_back(unwanted);
+            self.link.send_refund(refund_if_granted);
         }
     }
 }
 
-type WordFn = dyn Fn(usize) + Send + Sync;
+type HeartbeatFn = dyn Fn(usize) + Send + Sync;
 
-/// A request of this host that has its engines.
+/// A request of this host that has been placed.
 #[derive(Clone, Debug)]
-struct HeldRecord {
+struct ActivePlacement {
     request: PlacementRequest,
     placement: StreamPlacement,
     started: Option<Instant>,
 }
 
-impl HeldRecord {
+impl ActivePlacement {
     fn message(&self, ticket: u64) -> ScheduleMessage {
         ScheduleMessage::Held(ScheduleHeld {
             ticket,
@@ -145,46 +146,47 @@
 
 #[derive(Default)]
 struct LinkState {
-    /// Whether this host is the first that serves the pool, as far as it knows.
-    schedules: bool,
-    /// Hosts that the scheduler serves, by its last word.
+    /// Whether this host is the scheduler itself, as far as it knows.
+    is_scheduler: bool,
+    /// Number of hosts that the scheduler serves, by its last heartbeat.
     hosts: Option<usize>,
-    /// Takes messages while a scheduler is linked.
+    /// Queue of outgoing messages; `None` while no scheduler is linked.
     sender: Option<mpsc::Sender<ScheduleMessage>>,
     pending: HashMap<u64, mpsc::Sender<ScheduleReply>>,
-    /// What goes back if it is granted: whoever asked has left meanwhile.
-    unwanted: HashMap<u64, ScheduleGiveBack>,
-    held: HashMap<u64, HeldRecord>,
-    held_calls: HashMap<u64, HeldCall>,
+    /// Refunds to send if a request is granted whose caller has left.
+    refund_if_granted: HashMap<u64, ScheduleGiveBack>,
+    placements: HashMap<u64, ActivePlacement>,
+    calls: HashMap<u64, ActiveCall>,
 }
 
-/// Questions and notes of this host about one duty.
+/// This host's requests and events for one duty. Survives reconnects.
 #[derive(Clone)]
 pub(crate) struct SchedulerLink {
     state: Arc<Mutex<LinkState>>,
-    /// Called with each sign of life of the linked host.
-    on_word: Arc<WordFn>,
-    /// Takes the linked scheduler's news; a holder of limits has none.
+    /// Called with the host count of each heartbeat from the linked host.
+    on_heartbeat: Arc<HeartbeatFn>,
+    /// Receives the scheduler's updates; `None` on links to holders of limits and schedulers of
+    /// calls.
     bus: Option<FleetBus>,
 }
 
 impl SchedulerLink {
-    /// A link that calls `on_word` with the number of hosts that each sign of life tells.
-    pub(crate) fn new(on_word: impl Fn(usize) + Send + Sync + 'static) -> Self {
-        Self { state: Arc::default(), on_word: Arc::new(on_word), bus: None }
+    /// Creates a link that calls `on_heartbeat` with the host count of each heartbeat.
+    pub(crate) fn new(on_heartbeat: impl Fn(usize) + Send + Sync + 'static) -> Self {
+        Self { state: Arc::default(), on_heartbeat: Arc::new(on_heartbeat), bus: None }
     }
 
-    /// A link to the scheduler of a pool.
-    pub(crate) fn of_pool(bus: FleetBus) -> Self {
+    /// Creates a link to the scheduler of a pool.
+    pub(crate) fn for_pool(bus: FleetBus) -> Self {
         Self { bus: Some(bus), ..Self::new(|_hosts| {}) }
     }
 
-    /// Tells the scheduler some news.
-    pub(crate) fn tell(&self, news: ScheduleMessage) {
+    /// Sends an update to the scheduler.
+    pub(crate) fn send_update(&self, update: ScheduleMessage) {
         self.with(|state| {
             if let Some(sender) = &state.sender {
-                // Rows of the store, or the answers of backend servers, tell the same.
-                let _sent = sender.try_send(news);
+                // An update that is lost arrives by store rows or backend responses, too.
+                let _sent = sender.try_send(update);
             }
         });
     }
@@ -193,121 +195,131 @@
         run(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Asks the scheduler; `None` when there is none, or no answer.
-    pub(crate) async fn ask(
+    /// Requests a placement; `None` if there is no scheduler or no response.
+    pub(crate) async fn request_placement(
         &self,
         ticket: u64,
         request: &PlacementRequest,
     ) -> Option<PlacementDecision> {
-        let mut question = self.send_question(ticket, request, false)?;
-        let first = self.answer_of(ticket, question.answer(ANSWER_LIMIT).await);
+        let mut pending = self.send_placement_request(ticket, request, false)?;
+        let first = self.decision_or_disconnect(ticket, pending.response(RESPONSE_TIMEOUT).await);
         if !matches!(first, Some(PlacementDecision::Wait)) {
             return first;
         }
         let limit = request.max_wait + WAIT_SLACK;
-        self.answer_of(ticket, question.answer(limit).await)
+        self.decision_or_disconnect(ticket, pending.response(limit).await)
     }
 
-    /// Asks for another prefill engine; `None` when there is no scheduler or no answer.
-    pub(crate) async fn ask_prefill(
+    /// Requests another prefill engine; `None` if there is no scheduler or no response.
+    pub(crate) async fn request_prefill(
         &self,
         ticket: u64,
         request: &PlacementRequest,
     ) -> Option<Option<Name>> {
-        let mut question = self.send_question(ticket, request, true)?;
-        match question.answer(ANSWER_LIMIT).await {
-            Some(ScheduleReply::Reader(prefill)) => Some(prefill),
+        let mut pending = self.send_placement_request(ticket, request, true)?;
+        match pending.response(RESPONSE_TIMEOUT).await {
+            Some(ScheduleReply::PrefillEngine(prefill)) => Some(prefill),
             Some(ScheduleReply::Decided(_) | ScheduleReply::Spent(_) | ScheduleReply::Call(_))
             | None => None,
         }
     }
 
-    /// Asks the holder of a limit now; `None` when there is none, or no answer. What is granted to a caller that
-    /// has left meanwhile goes back.
+    /// Asks the holder of a limit to grant an amount at `now`; `None` if there is no holder or no
+    /// response. A grant to a caller that has left is refunded.
     pub(crate) async fn spend(
         &self,
         ticket: u64,
         request: &SpendRequest,
         now: Moment,
     ) -> Option<SpendDecision> {
-        let mut question = self.send(ticket, wire::spend_to_wire(ticket, request, now))?;
+        let mut pending = self.send_request(ticket, wire::spend_to_wire(ticket, request, now))?;
         let (subject, amount) = (Name::clone(&request.subject), request.amount);
-        question.unwanted = Some(ScheduleGiveBack { subject, amount });
-        let answer = question.answer(ANSWER_LIMIT).await;
-        question.unwanted = None;
-        match answer {
+        pending.refund_if_granted = Some(ScheduleGiveBack { subject, amount });
+        let response = pending.response(RESPONSE_TIMEOUT).await;
+        pending.refund_if_granted = None;
+        match response {
             Some(ScheduleReply::Spent(decision)) => Some(decision),
-            Some(ScheduleReply::Decided(_) | ScheduleReply::Reader(_) | ScheduleReply::Call(_)) => {
-                None
-            }
+            Some(
+                ScheduleReply::Decided(_)
+                | ScheduleReply::PrefillEngine(_)
+                | ScheduleReply::Call(_),
+            ) => None,
             None => {
-                self.give_up(ticket);
+                self.disconnect(ticket);
                 None
             }
         }
     }
 
-    /// Tells the holder that a request did not use what it was granted.
-    pub(crate) fn give_back(&self, subject: &Name, amount: f64) {
-        self.send_back(ScheduleGiveBack { subject: Name::clone(subject), amount });
+    /// Refunds the amount of a request that did not run.
+    pub(crate) fn refund(&self, subject: &Name, amount: f64) {
+        self.send_refund(ScheduleGiveBack { subject: Name::clone(subject), amount });
     }
 
-    fn send_back(&self, message: ScheduleGiveBack) {
+    fn send_refund(&self, message: ScheduleGiveBack) {
         self.with(|state| {
             if let Some(sender) = &state.sender {
-                // What is not given back is refused to somebody, and runs out by time.
+                // A lost refund makes the holder refuse as much to other requests until the rate
+                // replenishes it.
                 let _sent = sender.try_send(ScheduleMessage::GiveBack(message));
             }
         });
     }
 
-    /// Questions that wait for an answer, and amounts that wait for one to go back.
-    pub(crate) fn open_questions(&self) -> usize {
-        self.with(|state| state.pending.len() + state.unwanted.len())
+    /// Returns the number of requests without a response, and of refunds that depend on one.
+    pub(crate) fn pending_requests(&self) -> usize {
+        self.with(|state| state.pending.len() + state.refund_if_granted.len())
     }
 
-    fn send_question(
+    fn send_placement_request(
         &self,
         ticket: u64,
         request: &PlacementRequest,
         reader_only: bool,
-    ) -> Option<OpenQuestion<'_>> {
+    ) -> Option<PendingRequest<'_>> {
         let request = wire::request_to_wire(request);
-        self.send(ticket, ScheduleMessage::Ask(ScheduleAsk { ticket, request, reader_only }))
+        self.send_request(
+            ticket,
+            ScheduleMessage::Ask(ScheduleAsk { ticket, request, reader_only }),
+        )
     }
 
-    fn send(&self, ticket: u64, question: ScheduleMessage) -> Option<OpenQuestion<'_>> {
-        let (sender, answers) = mpsc::channel(ANSWERS);
+    fn send_request(&self, ticket: u64, message: ScheduleMessage) -> Option<PendingRequest<'_>> {
+        let (sender, responses) = mpsc::channel(MAX_RESPONSES);
         self.with(|state| {
             let link = state.sender.as_ref()?;
-            link.try_send(question).ok()?;
+            link.try_send(message).ok()?;
             state.pending.insert(ticket, sender);
-            Some(OpenQuestion { link: self, ticket, answers, unwanted: None })
+            Some(PendingRequest { link: self, ticket, responses, refund_if_granted: None })
         })
     }
 
-    /// The decision in an answer; one that did not come shows a scheduler that is of no use.
-    fn answer_of(&self, ticket: u64, reply: Option<ScheduleReply>) -> Option<PlacementDecision> {
+    /// Returns the decision in a response. A missing response disconnects from the scheduler.
+    fn decision_or_disconnect(
+        &self,
+        ticket: u64,
+        reply: Option<ScheduleReply>,
+    ) -> Option<PlacementDecision> {
         match reply {
             Some(ScheduleReply::Decided(decision)) => Some(decision),
-            Some(ScheduleReply::Reader(_) | ScheduleReply::Spent(_) | ScheduleReply::Call(_)) => {
-                None
-            }
+            Some(
+                ScheduleReply::PrefillEngine(_) | ScheduleReply::Spent(_) | ScheduleReply::Call(_),
+            ) => None,
             None => {
-                self.give_up(ticket);
+                self.disconnect(ticket);
                 None
             }
         }
     }
 
-    /// Leaves a scheduler that did not answer.
-    fn give_up(&self, ticket: u64) {
+    /// Disconnects from a scheduler that did not respond.
+    fn disconnect(&self, ticket: u64) {
         log::info!("event=scheduler_silent ticket={ticket}");
         self.with(|state| state.sender = None);
     }
 
-    /// Keeps a request that has its engines, and tells the scheduler if it does not know of it.
-    pub(crate) fn hold(
+    /// Records a placed request, and reports it to the scheduler unless `is_known` there.
+    pub(crate) fn record_placement(
         &self,
         ticket: u64,
         request: &PlacementRequest,
@@ -315,58 +327,57 @@
         is_known: bool,
     ) {
         let (request, placement) = (request.clone(), placement.clone());
-        let record = HeldRecord { request, placement, started: None };
+        let record = ActivePlacement { request, placement, started: None };
         self.with(|state| {
             if !is_known && let Some(sender) = &state.sender {
-                // A full queue costs knowledge, not a promise.
+                // A full queue only loses the report; the request keeps its engines.
                 let _sent = sender.try_send(record.message(ticket));
             }
-            state.held.insert(ticket, record);
+            state.placements.insert(ticket, record);
         });
     }
 
-    /// Tells the scheduler what became of a request.
-    pub(crate) fn note(&self, ticket: u64, note: &PlacementEvent) {
+    /// Reports an event of a request to the scheduler.
+    pub(crate) fn record_event(&self, ticket: u64, event: &PlacementEvent) {
         self.with(|state| {
-            match note {
+            match event {
                 PlacementEvent::Started => {
-                    if let Some(held) = state.held.get_mut(&ticket) {
-                        held.started = Some(Instant::now());
+                    if let Some(placement) = state.placements.get_mut(&ticket) {
+                        placement.started = Some(Instant::now());
                     }
                 }
                 PlacementEvent::Ended(_) => {
-                    state.held.remove(&ticket);
+                    state.placements.remove(&ticket);
                 }
-                // Another scheduler must not take the prompt for one that still waits.
+                // A later scheduler must not count this prompt as one that still waits for its
+                // prefill.
                 PlacementEvent::Prefilled { .. } | PlacementEvent::PrefilledLocally => {
-                    if let Some(held) = state.held.get_mut(&ticket) {
-                        held.placement.prefill_engine = None;
+                    if let Some(placement) = state.placements.get_mut(&ticket) {
+                        placement.placement.prefill_engine = None;
                     }
                 }
                 PlacementEvent::Fault { .. } => {}
             }
             if let Some(sender) = &state.sender {
-                let _sent = sender.try_send(wire::note_to_wire(ticket, note.clone()));
+                let _sent = sender.try_send(wire::event_to_wire(ticket, event.clone()));
             }
         });
     }
 
-    /// Notes whether this host schedules the pool.
-    pub(crate) fn set_schedules(&self, schedules: bool) {
-        self.with(|state| state.schedules = schedules);
+    pub(crate) fn set_is_scheduler(&self, is_scheduler: bool) {
+        self.with(|state| state.is_scheduler = is_scheduler);
     }
 
-    /// Whether this host schedules the pool.
-    pub(crate) fn schedules(&self) -> bool {
-        self.with(|state| state.schedules)
+    /// Returns whether this host is the scheduler itself.
+    pub(crate) fn is_scheduler(&self) -> bool {
+        self.with(|state| state.is_scheduler)
     }
 
-    /// Hosts that the linked scheduler serves, by its last word.
-    pub(crate) fn hosts(&self) -> Option<usize> {
+    /// Returns the number of hosts that the linked scheduler serves, by its last heartbeat.
+    pub(crate) fn host_count(&self) -> Option<usize> {
         self.with(|state| state.hosts.filter(|_hosts| state.sender.is_some()))
     }
 
-    /// Whether a scheduler is linked.
     pub(crate) fn is_linked(&self) -> bool {
         self.with(|state| state.sender.is_some())
     }
--- a/crates/dillspool_scheduler/src/link/calls.rs
+++ b/crates/dillspool_scheduler/src/link/calls.rs
@@ -1,4 +1,4 @@
-//! What a host asks and tells on a link whose other end decides on the calls of a plain service.
+//! Requests and reports on a link to the scheduler of a plain service's calls.
 
 use std::time::Duration;
 
@@ -11,38 +11,38 @@
 use super::{ScheduleReply, SchedulerLink};
 use crate::call_wire;
 
-/// Time for the first answer, after which this host decides by itself: some round trips between failure domains,
-/// and a third of the shortest objective of a call.
-const ANSWER_LIMIT: Duration = Duration::from_millis(40);
-/// Age beyond which a decision is not followed: the server may have left, or this host may count as gone and its
-/// place be given to another call.
-pub(crate) const FRESH_FOR: Duration = Duration::from_millis(80);
-/// Time between two looks, while a call waits, at whether this process was stopped meanwhile.
-const LOOK_EVERY: Duration = Duration::from_millis(40);
+/// Timeout for the first response, after which this host decides by itself: some round trips
+/// between failure domains, and a third of the shortest objective of a call.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(40);
+/// Age after which a decision is discarded: the server may have left, or the scheduler may count
+/// this host as gone and have given its slot to another call.
+pub(crate) const DECISION_TTL: Duration = Duration::from_millis(80);
+/// Interval at which a waiting call checks whether this process was suspended.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What became of a question about a call.
+/// Outcome of a request for a call decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallReply {
-    /// It was decided, after a wait in the queue or at once; never [`CallDecision::Wait`].
+    /// The scheduler decided, at once or after queueing the call; never [`CallDecision::Wait`].
     Decided { decision: CallDecision, queued: bool },
-    /// This process was stopped meanwhile, so whatever came is old.
+    /// This process was suspended meanwhile, so any response is out of date.
     Stale,
-    /// There is no deciding host, or no answer.
-    Silent,
+    /// There is no scheduler, or no response.
+    NoResponse,
 }
 
-/// A call that was sent, or is about to be.
+/// A call that is in flight or about to be sent.
 #[derive(Clone, Debug)]
-pub(super) struct HeldCall {
+pub(super) struct ActiveCall {
     request: CallRequest,
     backend: BackendInstance,
     since: Moment,
     clock: HostClock,
-    /// Whether this host's own desk counts it.
-    in_desk: bool,
+    /// Whether this host's own call scheduler counts it.
+    is_tracked_locally: bool,
 }
 
-impl HeldCall {
+impl ActiveCall {
     pub(super) fn message(&self, ticket: u64) -> ScheduleMessage {
         call_wire::held_to_wire(ticket, &self.request, &self.backend, self.ran())
     }
@@ -52,8 +52,8 @@
     }
 }
 
-/// A call in flight that the own desk does not count yet.
-pub(crate) struct UncountedCall {
+/// A call in flight that this host's own call scheduler does not count yet.
+pub(crate) struct UntrackedCall {
     pub(crate) ticket: u64,
     pub(crate) request: CallRequest,
     pub(crate) backend: BackendInstance,
@@ -61,72 +61,74 @@
 }
 
 impl SchedulerLink {
-    /// Asks where a call goes, and waits as long as it has to.
-    pub(crate) async fn ask_call(
+    /// Requests a decision on a call, and waits as long as the call is queued.
+    pub(crate) async fn request_call(
         &self,
         ticket: u64,
         request: &CallRequest,
         clock: &HostClock,
     ) -> CallReply {
-        let Some(mut question) = self.send(ticket, call_wire::ask_to_wire(ticket, request)) else {
-            return CallReply::Silent;
+        let Some(mut pending) = self.send_request(ticket, call_wire::ask_to_wire(ticket, request))
+        else {
+            return CallReply::NoResponse;
         };
         let mut awake_at = clock.now();
-        let mut waits = false;
+        let mut is_queued = false;
         loop {
-            let limit = if waits { LOOK_EVERY } else { ANSWER_LIMIT };
-            let answer = tokio::time::timeout(limit, question.answers.recv()).await;
+            let limit = if is_queued { POLL_INTERVAL } else { RESPONSE_TIMEOUT };
+            let response = tokio::time::timeout(limit, pending.responses.recv()).await;
             let now = clock.now();
-            if now.since(awake_at) > FRESH_FOR {
+            if now.since(awake_at) > DECISION_TTL {
                 return CallReply::Stale;
             }
             awake_at = now;
-            match answer {
-                Ok(Some(ScheduleReply::Call(CallDecision::Wait))) => waits = true,
+            match response {
+                Ok(Some(ScheduleReply::Call(CallDecision::Wait))) => is_queued = true,
                 Ok(Some(ScheduleReply::Call(decision))) => {
-                    return CallReply::Decided { decision, queued: waits };
+                    return CallReply::Decided { decision, queued: is_queued };
                 }
-                // The link has ended.
-                Ok(Some(_) | None) => return CallReply::Silent,
-                Err(_elapsed) if waits => {}
+                // The link has closed.
+                Ok(Some(_) | None) => return CallReply::NoResponse,
+                Err(_elapsed) if is_queued => {}
                 Err(_elapsed) => {
-                    self.give_up(ticket);
-                    return CallReply::Silent;
+                    self.disconnect(ticket);
+                    return CallReply::NoResponse;
                 }
             }
         }
     }
 
-    /// Keeps a call that goes to a backend server, and tells the deciding host if it does not know of it.
-    pub(crate) fn hold_call(
+    /// Records a call that goes to a backend server. A call that was decided locally is also
+    /// reported to the scheduler, which does not know of it.
+    pub(crate) fn record_call(
         &self,
         ticket: u64,
         request: &CallRequest,
         backend: &BackendInstance,
         clock: &HostClock,
-        in_desk: bool,
+        is_tracked_locally: bool,
     ) {
-        let held = HeldCall {
+        let call = ActiveCall {
             request: request.clone(),
             backend: backend.clone(),
             since: clock.now(),
             clock: clock.clone(),
-            in_desk,
+            is_tracked_locally,
         };
         self.with(|state| {
-            if in_desk && let Some(sender) = &state.sender {
-                // A full queue costs knowledge of one call, until it ends.
-                let _sent = sender.try_send(held.message(ticket));
+            if is_tracked_locally && let Some(sender) = &state.sender {
+                // A full queue only leaves this call uncounted until it ends.
+                let _sent = sender.try_send(call.message(ticket));
             }
-            state.held_calls.insert(ticket, held);
+            state.calls.insert(ticket, call);
         });
     }
 
-    /// Tells the deciding host that a call is over. A place that it is not told of would stay taken, so a link
-    /// that carries no more is left: its end frees all places of this host.
-    pub(crate) fn end_call(&self, ticket: u64, end: CallOutcome, took: Duration) {
+    /// Reports the end of a call. The slot of an unreported call would stay occupied, so a full
+    /// queue disconnects the link, which frees all slots of this host.
+    pub(crate) fn complete_call(&self, ticket: u64, end: CallOutcome, took: Duration) {
         self.with(|state| {
-            state.held_calls.remove(&ticket);
+            state.calls.remove(&ticket);
             let message = call_wire::end_to_wire(ticket, end, took);
             let sent = state.sender.as_ref().is_none_or(|link| link.try_send(message).is_ok());
             if !sent {
@@ -136,20 +138,22 @@
         });
     }
 
-    /// The calls in flight that this host's own desk does not count; it does from now on.
-    pub(crate) fn count_calls(&self) -> Vec<UncountedCall> {
+    /// Returns the calls in flight that this host's own call scheduler does not count, and marks
+    /// them as counted.
+    pub(crate) fn take_untracked_calls(&self) -> Vec<UntrackedCall> {
         self.with(|state| {
-            let uncounted = state.held_calls.iter_mut().filter(|(_ticket, held)| !held.in_desk);
-            let counted = uncounted.map(|(ticket, held)| {
-                held.in_desk = true;
-                UncountedCall {
+            let untracked =
+                state.calls.iter_mut().filter(|(_ticket, call)| !call.is_tracked_locally);
+            let tracked = untracked.map(|(ticket, call)| {
+                call.is_tracked_locally = true;
+                UntrackedCall {
                     ticket: *ticket,
-                    request: held.request.clone(),
-                    backend: held.backend.clone(),
-                    ran: held.ran(),
+                    request: call.request.clone(),
+                    backend: call.backend.clone(),
+                    ran: call.ran(),
                 }
             });
-            counted.collect()
+            tracked.collect()
         })
     }
 }
--- a/crates/dillspool_scheduler/src/link/serving.rs
+++ b/crates/dillspool_scheduler/src/link/connection.rs
@@ -1,4 +1,4 @@
-//! A link while it is open: messages in, messages out, until one side is gone.
+//! An open link: its handshake, reader and writer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,64 +16,65 @@
 use crate::fleet_bus::FleetBus;
 use crate::wire::{self, ScheduleError};
 
-/// Time between two signs of life.
-pub(crate) const BEAT_EVERY: Duration = Duration::from_millis(400);
-/// Silence after which a scheduler counts as gone; some beats, one of which may be lost.
-const SCHEDULER_SILENCE: Duration = Duration::from_millis(1300);
-/// Time for one message.
-const SEND_LIMIT: Duration = Duration::from_millis(500);
-/// Messages that wait to be sent.
-const QUEUED_MESSAGES: usize = 256;
-
-/// A link that a scheduler has accepted.
+/// Interval between heartbeats.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// A scheduler that sends nothing for this long counts as gone: three heartbeats, of which one may
+/// be lost.
+const SCHEDULER_TIMEOUT: Duration = Duration::from_millis(1300);
+/// Timeout for sending one message.
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
+/// Outgoing messages queued on one link.
+const SEND_QUEUE_LEN: usize = 256;
+
+/// A link that the scheduler has accepted.
 pub(crate) struct OpenedLink {
     socket: WebSocketStream<NetStream>,
-    /// Hosts that the scheduler serves, by its first word.
+    /// Number of hosts that the scheduler serves, by its first heartbeat.
     hosts: usize,
 }
 
 impl SchedulerLink {
-    /// Serves a link until it ends; questions go nowhere before and after that.
+    /// Serves an open link until it closes; requests are only sent meanwhile.
     pub(crate) async fn run(&self, opened: OpenedLink) -> Result<(), ScheduleError> {
         let OpenedLink { socket, hosts } = opened;
-        self.hear(hosts);
-        let (sender, queue) = mpsc::channel(QUEUED_MESSAGES);
+        self.record_heartbeat(hosts);
+        let (sender, queue) = mpsc::channel(SEND_QUEUE_LEN);
         self.with(|state| {
-            for (ticket, held) in &state.held {
-                // A full queue costs knowledge, not a promise.
-                let _sent = sender.try_send(held.message(*ticket));
+            for (ticket, placement) in &state.placements {
+                // A full queue only loses the report; the request keeps its engines.
+                let _sent = sender.try_send(placement.message(*ticket));
             }
-            for (ticket, held) in &state.held_calls {
-                let _sent = sender.try_send(held.message(*ticket));
+            for (ticket, call) in &state.calls {
+                let _sent = sender.try_send(call.message(*ticket));
             }
-            for news in self.bus.iter().flat_map(FleetBus::first_news) {
-                let _sent = sender.try_send(news);
+            for update in self.bus.iter().flat_map(FleetBus::initial_updates) {
+                let _sent = sender.try_send(update);
             }
             state.sender = Some(sender);
         });
         let _open = OpenLink(self);
         let (writer, reader) = socket.split();
         tokio::select! {
-            ended = self.read(reader) => ended,
-            ended = write_queue(writer, queue) => ended,
+            closed = self.handle_messages(reader) => closed,
+            closed = write_queue(writer, queue) => closed,
         }
     }
 
-    async fn read(
+    async fn handle_messages(
         &self,
         mut reader: impl StreamExt<Item = Result<Message, tokio_tungstenite::tungstenite::Error>>
         + Unpin,
     ) -> Result<(), ScheduleError> {
         loop {
-            let incoming = tokio::time::timeout(SCHEDULER_SILENCE, reader.next()).await;
-            match read_part(incoming.ok())? {
+            let incoming = tokio::time::timeout(SCHEDULER_TIMEOUT, reader.next()).await;
+            match decode_incoming(incoming.ok())? {
                 ScheduleMessage::Decided(decided) => {
                     let ticket = decided.ticket;
                     let decision = wire::decision_from_wire(decided);
                     self.reply(ticket, ScheduleReply::Decided(decision));
                 }
                 ScheduleMessage::Reader(reader) => {
-                    self.reply(reader.ticket, ScheduleReply::Reader(reader.prefill));
+                    self.reply(reader.ticket, ScheduleReply::PrefillEngine(reader.prefill));
                 }
                 ScheduleMessage::Spent(spent) => {
                     let ticket = spent.ticket;
@@ -86,20 +87,20 @@
                         self.reply(ticket, ScheduleReply::Call(decision));
                     }
                 }
-                ScheduleMessage::Beat(beat) => self.hear(beat.hosts as usize),
+                ScheduleMessage::Beat(beat) => self.record_heartbeat(beat.hosts as usize),
                 ScheduleMessage::Suspect(message) => {
                     if let Some(bus) = &self.bus {
-                        bus.hear_suspect(message);
+                        bus.receive_suspect(message);
                     }
                 }
                 ScheduleMessage::Throttle(message) => {
                     if let Some(bus) = &self.bus {
-                        bus.hear_throttle(&message);
+                        bus.receive_throttle(&message);
                     }
                 }
                 ScheduleMessage::Leaving(message) => {
                     if let Some(bus) = &self.bus {
-                        bus.hear_leaving(&message);
+                        bus.receive_leaving(&message);
                     }
                 }
                 ScheduleMessage::Hello(_)
@@ -113,44 +114,45 @@
                 | ScheduleMessage::Note(_) => {}
             }
             if !self.is_linked() {
-                return Err(ended("an answer did not come in time"));
+                return Err(closed("a response timed out"));
             }
         }
     }
 
-    /// Takes the scheduler's word that it serves so many hosts.
-    fn hear(&self, hosts: usize) {
+    /// Records the host count of a heartbeat.
+    fn record_heartbeat(&self, hosts: usize) {
         self.with(|state| state.hosts = Some(hosts));
-        (self.on_word)(hosts);
+        (self.on_heartbeat)(hosts);
     }
 
     fn reply(&self, ticket: u64, reply: ScheduleReply) {
-        let unwanted = self.with(|state| match state.pending.get(&ticket) {
+        let refund = self.with(|state| match state.pending.get(&ticket) {
             Some(sender) => {
                 let _taken = sender.try_send(reply);
                 None
             }
-            None => Some((reply, state.unwanted.remove(&ticket))),
+            None => Some((reply, state.refund_if_granted.remove(&ticket))),
         });
-        match unwanted {
+        match refund {
             None => {}
             Some((ScheduleReply::Spent(SpendDecision::Allowed), Some(amount))) => {
-                self.send_back(amount);
+                self.send_refund(amount);
             }
-            // This host has decided meanwhile, or whoever asked has left; its own note tells the other one.
+            // This host has decided meanwhile, or the caller has left; the request's own events
+            // correct the scheduler's state.
             Some((
                 ScheduleReply::Spent(_)
                 | ScheduleReply::Decided(_)
-                | ScheduleReply::Reader(_)
+                | ScheduleReply::PrefillEngine(_)
                 | ScheduleReply::Call(_),
-                _unwanted,
+                _refund,
             )) => log::debug!("event=schedule_answer_late ticket={ticket}"),
         }
     }
 }
 
-/// A link that is being served; also one that is left for a better one, or because this host comes first,
-/// must not count as linked any more.
+/// Marks a link as open. Its drop also covers a link that is replaced by a better one or because
+/// this host now ranks first: it must not count as linked any more.
 struct OpenLink<'a>(&'a SchedulerLink);
 
 impl Drop for OpenLink<'_> {
@@ -158,25 +160,25 @@
         self.0.with(|state| {
             state.sender = None;
             state.pending.clear();
-            state.unwanted.clear();
+            state.refund_if_granted.clear();
         });
     }
 }
 
-fn ended(reason: &str) -> ScheduleError {
+fn closed(reason: &str) -> ScheduleError {
     ScheduleError::LinkClosed { reason: reason.to_owned() }
 }
 
-type IncomingPart = Option<Result<Message, tokio_tungstenite::tungstenite::Error>>;
+type IncomingMessage = Option<Result<Message, tokio_tungstenite::tungstenite::Error>>;
 
-/// A message of the scheduler; anything that is none of its messages ends the link.
-fn read_part(incoming: Option<IncomingPart>) -> Result<ScheduleMessage, ScheduleError> {
+/// Decodes a message from the scheduler; any other frame closes the link.
+fn decode_incoming(incoming: Option<IncomingMessage>) -> Result<ScheduleMessage, ScheduleError> {
     match incoming {
         Some(Some(Ok(Message::Binary(bytes)))) => wire::decode(&bytes),
-        Some(Some(Ok(_other))) => Err(ended("the scheduler closed it")),
-        Some(Some(Err(error))) => Err(ended(&error.to_string())),
-        Some(None) => Err(ended("the scheduler closed it")),
-        None => Err(ended("silence")),
+        Some(Some(Ok(_other))) => Err(closed("the scheduler closed the connection")),
+        Some(Some(Err(error))) => Err(closed(&error.to_string())),
+        Some(None) => Err(closed("the scheduler closed the connection")),
+        None => Err(closed("silence")),
     }
 }
 
@@ -185,9 +187,9 @@
     mut queue: mpsc::Receiver<ScheduleMessage>,
 ) -> Result<(), ScheduleError> {
     loop {
-        let message = match tokio::time::timeout(BEAT_EVERY, queue.recv()).await {
+        let message = match tokio::time::timeout(HEARTBEAT_INTERVAL, queue.recv()).await {
             Ok(Some(message)) => message,
-            Ok(None) => return Err(ended("an answer did not come in time")),
+            Ok(None) => return Err(closed("a response timed out")),
             Err(_elapsed) => ScheduleMessage::Beat(ScheduleBeat { hosts: 0 }),
         };
         send(&mut writer, &message).await?;
@@ -198,12 +200,12 @@
     writer: &mut (impl SinkExt<Message, Error = tokio_tungstenite::tungstenite::Error> + Unpin),
     message: &ScheduleMessage,
 ) -> Result<(), ScheduleError> {
-    let sent = tokio::time::timeout(SEND_LIMIT, writer.send(wire::encode(message)?)).await;
-    let sent = sent.map_err(|_elapsed| ended("the scheduler does not read"))?;
-    sent.map_err(|error| ended(&error.to_string()))
+    let sent = tokio::time::timeout(SEND_TIMEOUT, writer.send(wire::encode(message)?)).await;
+    let sent = sent.map_err(|_elapsed| closed("the scheduler does not read its messages"))?;
+    sent.map_err(|error| closed(&error.to_string()))
 }
 
-/// Opens a link and waits for the other host's word that it does what it is asked to.
+/// Opens a link and waits for the first heartbeat, which confirms that the host accepts the duty.
 pub(crate) async fn open_link(
     stack: &NetStack,
     address: SocketAddr,
@@ -211,17 +213,17 @@
     limit: Duration,
 ) -> Result<OpenedLink, ScheduleError> {
     let opening = async {
-        let stream = stack.connect(address).await.map_err(|error| ended(&error.to_string()))?;
+        let stream = stack.connect(address).await.map_err(|error| closed(&error.to_string()))?;
         let config = Some(wire::socket_config());
         let opened = client_async_with_config(format!("ws://{address}/"), stream, config).await;
-        let (mut socket, _response) = opened.map_err(|error| ended(&error.to_string()))?;
+        let (mut socket, _response) = opened.map_err(|error| closed(&error.to_string()))?;
         send(&mut socket, &ScheduleMessage::Hello(duty.hello())).await?;
         let first = socket.next().await;
-        match read_part(Some(first))? {
+        match decode_incoming(Some(first))? {
             ScheduleMessage::Beat(beat) => Ok(OpenedLink { socket, hosts: beat.hosts as usize }),
-            _other => Err(ended("its first message is no sign of life")),
+            _other => Err(closed("the first message is not a heartbeat")),
         }
     };
     let opened = tokio::time::timeout(limit, opening).await;
-    opened.map_err(|_elapsed| ended("it does not answer"))?
+    opened.map_err(|_elapsed| closed("the handshake timed out"))?
 }
--- a/crates/dillspool_scheduler/src/desk.rs
+++ b/crates/dillspool_scheduler/src/placement_scheduler.rs
@@ -1,4 +1,4 @@
-//! The planners of all pools on one host, and those who wait for their decisions.
+//! The planners of all pools on one host, and the callbacks of queued requests.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -17,59 +17,58 @@
 use tokio::sync::{Notify, watch};
 use tokio_util::sync::CancellationToken;
 
-/// Time between two looks at those who wait, while nothing else happens: memory is foreseen to be
-/// free by time alone, too.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval between polls of the planners while requests are queued and nothing else happens: the
+/// forecast of free memory changes with time alone.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What became of a request at its engines.
+/// An event in the life of a placed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlacementEvent {
-    /// Its prompt was read.
+    /// The prefill has finished.
     Prefilled {
-        /// Time from the call to its answer.
+        /// Time from the prefill call to its response.
         took: Duration,
     },
-    /// Its decode engine reads the prompt itself, other than decided.
+    /// The decode engine runs the prefill itself, contrary to the placement.
     PrefilledLocally,
-    /// Its decode engine took it.
+    /// The decode engine has accepted the request.
     Started,
-    /// An engine did other than expected; the request leaves it.
+    /// An engine did not do what the placement expected, and the request leaves it.
     Fault {
-        /// The engine, and the start of it that did so.
+        /// The engine instance at fault.
         engine: BackendInstance,
-        /// What it did.
+        /// The kind of fault.
         fault: EngineFault,
     },
-    /// It is over.
+    /// The request has ended.
     Ended(StreamEnd),
 }
 
 type DecisionFn = Box<dyn FnOnce(PlacementDecision) + Send>;
 
-/// A request under way.
+/// A queued or placed request.
 struct TicketRecord {
-    /// Its pool.
     service: Name,
     prompt_tokens: u64,
-    /// What it holds once it has engines.
+    /// Memory that the request occupies once it is placed.
     _memory: Option<MemoryGuard>,
 }
 
-struct DeskState {
+struct SchedulerState {
     planners: HashMap<Name, PoolPlanner>,
-    /// What requests ask of their engines; of all hosts that are served here.
+    /// Demand of the requests of all hosts that are served here.
     demand: DemandMeter,
-    /// Requests under way.
+    /// Queued and placed requests.
     tickets: HashMap<TicketId, TicketRecord>,
     waiters: HashMap<TicketId, DecisionFn>,
-    /// Hosts that are served, by pool.
+    /// Number of served hosts by pool.
     served: HashMap<Name, usize>,
     clock: HostClock,
     policy: AdmissionPolicy,
     seed: u64,
 }
 
-impl DeskState {
+impl SchedulerState {
     fn now(&self) -> Moment {
         self.clock.now()
     }
@@ -79,7 +78,7 @@
         self.planners.get_mut(service)
     }
 
-    fn ask(
+    fn submit(
         &mut self,
         ticket: TicketId,
         service: &Name,
@@ -91,12 +90,12 @@
         if !self.tickets.contains_key(&ticket) {
             self.demand.record_prompt(service, prompt_tokens);
         }
-        self.note_decision(ticket, service, prompt_tokens, &decision);
+        self.record_decision(ticket, service, prompt_tokens, &decision);
         Some(decision)
     }
 
-    /// Keeps the request and what it holds by a decision.
-    fn note_decision(
+    /// Records the request with the memory that the decision reserves for it.
+    fn record_decision(
         &mut self,
         ticket: TicketId,
         service: &Name,
@@ -113,7 +112,7 @@
         self.tickets.insert(ticket, TicketRecord { service, prompt_tokens, _memory: memory });
     }
 
-    fn note_prefilled(&mut self, ticket: TicketId, took: Duration) {
+    fn record_prefilled(&mut self, ticket: TicketId, took: Duration) {
         if let Some(record) = self.tickets.get(&ticket) {
             self.demand.record_prefill(&record.service, record.prompt_tokens, took);
         }
@@ -128,21 +127,17 @@
             if service.engine.is_none() && !is_pool {
                 continue;
             }
-            let terms = service.engine.as_ref().map_or(EngineCapacity::UNLIMITED, |pool| {
+            let capacity = service.engine.as_ref().map_or(EngineCapacity::UNLIMITED, |pool| {
                 EngineCapacity { memory_tokens: pool.memory_tokens, slots: pool.slots }
             });
             let (policy, seed) = (self.policy, self.seed);
             let planner = self.planners.entry(Name::clone(&service.name));
-            let planner = planner.or_insert_with(|| PoolPlanner::new(terms, policy, seed));
-            planner.set_engine_capacity(terms);
+            let planner = planner.or_insert_with(|| PoolPlanner::new(capacity, policy, seed));
+            planner.set_engine_capacity(capacity);
             let engines = view.ready(&service.name).filter_map(|entry| {
-                let prefills = entry.stage? == EngineStage::Prefill;
-                let domain = Name::clone(&entry.failure_domain);
-                Some(PoolEngine {
-                    backend: entry.instance(),
-                    failure_domain: domain,
-                    is_prefill: prefills,
-                })
+                let is_prefill = entry.stage? == EngineStage::Prefill;
+                let failure_domain = Name::clone(&entry.failure_domain);
+                Some(PoolEngine { backend: entry.instance(), failure_domain, is_prefill })
             });
             planner.set_engines(engines);
         }
@@ -158,7 +153,7 @@
         for (ticket, decision) in &decided {
             if let Some(record) = self.tickets.get(ticket) {
                 let (service, prompt) = (Name::clone(&record.service), record.prompt_tokens);
-                self.note_decision(*ticket, &service, prompt, decision);
+                self.record_decision(*ticket, &service, prompt, decision);
             }
         }
         let waiter = |(ticket, decision)| Some((self.waiters.remove(&ticket)?, decision));
@@ -166,11 +161,11 @@
     }
 }
 
-/// Decides for this host, and for others when it schedules their pool.
+/// Decides on placements for this host, and for other hosts while it schedules their pool.
 #[derive(Clone)]
 pub struct PlacementScheduler {
-    state: Arc<Mutex<DeskState>>,
-    /// Wakes those who wait when something has changed.
+    state: Arc<Mutex<SchedulerState>>,
+    /// Wakes the task that polls the planners.
     changed: Arc<Notify>,
 }
 
@@ -181,9 +176,9 @@
 }
 
 impl PlacementScheduler {
-    /// A desk that knows no pool; `seed` differs between hosts.
+    /// Creates a scheduler without pools; `seed` differs between hosts.
     pub fn new(policy: AdmissionPolicy, seed: u64, demand: DemandMeter, clock: HostClock) -> Self {
-        let state = DeskState {
+        let state = SchedulerState {
             planners: HashMap::new(),
             demand,
             tickets: HashMap::new(),
@@ -196,16 +191,17 @@
         Self { state: Arc::new(Mutex::new(state)), changed: Arc::default() }
     }
 
-    fn with<T>(&self, run: impl FnOnce(&mut DeskState) -> T) -> T {
+    fn with<T>(&self, run: impl FnOnce(&mut SchedulerState) -> T) -> T {
         run(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Takes the pools and their engines as they are now.
+    /// Replaces the pools and their engines.
     pub fn set_pools(&self, config: &RoutingConfig, view: &DirectoryView) {
         self.with(|state| state.set_pools(config, view));
     }
 
-    /// Follows the configuration and the directory, and serves those who wait, until `cancel`.
+    /// Follows the configuration and the directory, and polls the planners for queued requests,
+    /// until `cancel`.
     pub async fn run(
         self,
         mut config: watch::Receiver<Option<Arc<RoutingConfig>>>,
@@ -222,7 +218,7 @@
                 let waited = self.with(|state| !state.waiters.is_empty());
                 let look = async {
                     if waited {
-                        tokio::time::sleep(LOOK_EVERY).await;
+                        tokio::time::sleep(POLL_INTERVAL).await;
                     } else {
                         std::future::pending::<()>().await;
                     }
@@ -230,37 +226,37 @@
                 tokio::select! {
                     changed = config.changed() => if changed.is_err() { return } else { break },
                     changed = directory.changed() => if changed.is_err() { return } else { break },
-                    () = self.changed.notified() => self.serve_waiters(),
-                    () = look => self.serve_waiters(),
+                    () = self.changed.notified() => self.notify_waiters(),
+                    () = look => self.notify_waiters(),
                     () = cancel.cancelled() => return,
                 }
             }
         }
     }
 
-    fn serve_waiters(&self) {
-        for (waiter, decision) in self.with(DeskState::poll) {
+    fn notify_waiters(&self) {
+        for (waiter, decision) in self.with(SchedulerState::poll) {
             waiter(decision);
         }
     }
 
-    /// Whether a pool is known, so that its requests can be decided here.
+    /// Returns whether a pool is known, so that its requests can be decided here.
     pub fn has_pool(&self, service: &str) -> bool {
         self.with(|state| state.planners.contains_key(service))
     }
 
-    /// Counts a host among those that are served until the guard is dropped.
+    /// Counts a host as served until the guard is dropped.
     pub(crate) fn serve_host(&self, service: &Name) -> ServedGuard {
         self.with(|state| *state.served.entry(Name::clone(service)).or_default() += 1);
-        ServedGuard { desk: self.clone(), service: Name::clone(service) }
+        ServedGuard { scheduler: self.clone(), service: Name::clone(service) }
     }
 
-    /// Hosts that decide here on a pool's requests, this one included.
-    pub(crate) fn hosts(&self, service: &Name) -> usize {
+    /// Returns the number of hosts whose requests for a pool are decided here, this host included.
+    pub(crate) fn host_count(&self, service: &Name) -> usize {
         self.with(|state| state.served.get(service).copied().unwrap_or_default() + 1)
     }
 
-    /// What is believed of a pool now.
+    /// Returns the planner's estimate of a pool.
     pub fn snapshot(&self, service: &str) -> Option<PoolSnapshot> {
         self.with(|state| {
             let now = state.now();
@@ -268,8 +264,8 @@
         })
     }
 
-    /// Decides on a request; one that waits is decided later by a call of `waiter`. `None` when
-    /// the pool is not known.
+    /// Decides on a request. If the decision is to wait, `waiter` is called with the final decision
+    /// later. `None` if the pool is not known.
     pub fn submit(
         &self,
         ticket: TicketId,
@@ -278,10 +274,10 @@
         waiter: impl FnOnce(PlacementDecision) + Send + 'static,
     ) -> Option<PlacementDecision> {
         self.with(|state| {
-            let decision = state.ask(ticket, service, request)?;
+            let decision = state.submit(ticket, service, request)?;
             if decision == PlacementDecision::Wait {
                 state.waiters.insert(ticket, Box::new(waiter));
-                // The look at those who wait may not be due yet.
+                // The task may be sleeping without a poll timer.
                 self.changed.notify_one();
             }
             Some(decision)
@@ -296,7 +292,7 @@
         })
     }
 
-    /// Takes over a request that was placed elsewhere, `ran` since its engine took it.
+    /// Adopts a request that was placed elsewhere and whose engine accepted it `ran` ago.
     pub fn adopt(
         &self,
         ticket: TicketId,
@@ -313,16 +309,16 @@
                 planner.record_started(ticket, now.saturating_sub(ran));
             }
             let decision = PlacementDecision::Place(placement);
-            state.note_decision(ticket, service, request.prompt_tokens, &decision);
+            state.record_decision(ticket, service, request.prompt_tokens, &decision);
         });
     }
 
-    /// Notes what became of a request.
-    pub fn record_event(&self, ticket: TicketId, note: PlacementEvent) {
+    /// Records an event of a request.
+    pub fn record_event(&self, ticket: TicketId, event: PlacementEvent) {
         let waited = self.with(|state| {
             let now = state.now();
-            match note {
-                PlacementEvent::Prefilled { took } => state.note_prefilled(ticket, took),
+            match event {
+                PlacementEvent::Prefilled { took } => state.record_prefilled(ticket, took),
                 PlacementEvent::PrefilledLocally => {
                     if let Some(planner) = state.planner_of(ticket) {
                         planner.record_local_prefill(ticket, now);
@@ -354,15 +350,15 @@
     }
 }
 
-/// A host that is served.
+/// Counts a served host until it is dropped.
 pub(crate) struct ServedGuard {
-    desk: PlacementScheduler,
+    scheduler: PlacementScheduler,
     service: Name,
 }
 
 impl Drop for ServedGuard {
     fn drop(&mut self) {
-        self.desk.with(|state| {
+        self.scheduler.with(|state| {
             if let Some(hosts) = state.served.get_mut(&self.service) {
                 *hosts = hosts.saturating_sub(1);
             }
--- a/crates/dillspool_scheduler/src/limit_desk.rs
+++ b/crates/dillspool_scheduler/src/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! The limits that this host counts, for itself and for others.
+//! The limits that this host counts, for itself and for other hosts.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,17 +9,17 @@
 use dillspool_schema::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Whose limits a desk counts.
+/// Which limits a limiter counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LimitScope {
-    /// Those of workspaces, as the configuration states them.
+    /// Limits of workspaces, as configured.
     Workspaces,
-    /// Those that backend servers name.
+    /// Limits that backend servers advertise.
     BackendServers,
 }
 
 impl LimitScope {
-    /// Start of the names of its shares.
+    /// Returns the prefix of the names of the scope's shares.
     fn share_prefix(self) -> &'static str {
         match self {
             Self::Workspaces => "limits-",
@@ -28,20 +28,20 @@
     }
 }
 
-/// How limits of workspaces are counted, alike on all hosts.
+/// Settings for the limits of workspaces. The same on all hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimiterSettings {
-    /// What all hosts together may pass a limit by in a window, in its unit.
+    /// Amount by which all hosts together may exceed a limit in a window, in the limit's unit.
     pub slack: f64,
-    /// Shares into which limits are divided; each has a holder of its own.
+    /// Number of shares into which the limits are divided; each share has its own holder.
     pub shares: usize,
 }
 
-/// A share of the limits, all of which are counted at one host.
+/// A share of the limits; one host counts all limits in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LimitShare {
     scope: LimitScope,
-    /// Its place among all shares.
+    /// Index among the shares of the scope.
     pub(crate) index: usize,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Counts limits for this host, and for others where it holds them.
+/// Grants amounts from rate limits to this host, and to other hosts for the shares that it holds.
 #[derive(Clone)]
 pub struct RateLimiter {
     scope: LimitScope,
@@ -66,19 +66,19 @@
 }
 
 impl RateLimiter {
-    /// A desk of the limits of workspaces that has counted nothing yet.
-    pub fn new(terms: RateLimiterSettings, clock: HostClock) -> Self {
-        let holder = |now| LimitHolder::new(terms.slack, now);
-        Self::of_scope(LimitScope::Workspaces, terms.shares, holder, clock)
+    /// Creates a limiter for the limits of workspaces.
+    pub fn new(settings: RateLimiterSettings, clock: HostClock) -> Self {
+        let holder = |now| LimitHolder::new(settings.slack, now);
+        Self::for_scope(LimitScope::Workspaces, settings.shares, holder, clock)
     }
 
-    /// The same of the limits that backend servers name.
+    /// Creates a limiter for the limits that backend servers advertise.
     pub fn for_backend_servers(shares: usize, clock: HostClock) -> Self {
         let holder = LimitHolder::for_backend_servers;
-        Self::of_scope(LimitScope::BackendServers, shares, holder, clock)
+        Self::for_scope(LimitScope::BackendServers, shares, holder, clock)
     }
 
-    fn of_scope(
+    fn for_scope(
         scope: LimitScope,
         shares: usize,
         holder: impl Fn(Moment) -> LimitHolder,
@@ -88,8 +88,8 @@
         Self { scope, holders: Arc::new(holders), clock }
     }
 
-    /// What this host spends while it has no holder.
-    pub(crate) fn own_parts(&self) -> LocalQuota {
+    /// Returns the quota that this host spends while it has no holder.
+    pub(crate) fn local_quota(&self) -> LocalQuota {
         match self.scope {
             LimitScope::Workspaces => LocalQuota::new(self.now()),
             LimitScope::BackendServers => {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The present moment, as limits are counted by.
+    /// Returns the current time of the limits' clock.
     pub(crate) fn now(&self) -> Moment {
         self.clock.now()
     }
@@ -108,55 +108,56 @@
         run(&mut holder, self.now())
     }
 
-    /// The share of a subject.
+    /// Returns the share that a subject's limit belongs to.
     pub(crate) fn share_of(&self, subject: &str) -> LimitShare {
         let shares = self.holders.len() as u64;
-        // The remainder is below the number of shares.
+        // The remainder is less than the number of shares.
         let index = usize::try_from(xxh3_64(subject.as_bytes()) % shares).unwrap_or_default();
         LimitShare { scope: self.scope, index }
     }
 
-    /// All shares.
+    /// Returns all shares.
     pub(crate) fn shares(&self) -> impl Iterator<Item = LimitShare> + use<> {
         let scope = self.scope;
         (0..self.holders.len()).map(move |index| LimitShare { scope, index })
     }
 
-    /// The share of a name.
+    /// Returns the share with this name, if it belongs to this limiter's scope.
     pub(crate) fn share_named(&self, name: &str) -> Option<LimitShare> {
         let index = name.strip_prefix(self.scope.share_prefix())?.parse().ok()?;
         (index < self.holders.len()).then_some(LimitShare { scope: self.scope, index })
     }
 
-    /// Counts a host among those that ask here until the guard is dropped; it knows of `told` hosts.
-    pub(crate) fn join(&self, share: LimitShare, told: Option<usize>) -> JoinedGuard {
-        self.with(share, |holder, now| holder.join(told, now));
-        JoinedGuard { desk: self.clone(), share }
+    /// Counts a host among those that ask here until the guard is dropped. The host knows of
+    /// `known_hosts` hosts.
+    pub(crate) fn join(&self, share: LimitShare, known_hosts: Option<usize>) -> JoinedGuard {
+        self.with(share, |holder, now| holder.join(known_hosts, now));
+        JoinedGuard { limiter: self.clone(), share }
     }
 
-    /// Notes how many hosts share the limits.
-    pub(crate) fn note_hosts(&self, share: LimitShare, hosts: usize) {
+    /// Records how many hosts share the limits.
+    pub(crate) fn record_host_count(&self, share: LimitShare, hosts: usize) {
         self.with(share, |holder, now| holder.record_host_count(hosts, now));
     }
 
-    /// Hosts that share the limits, as far as this one knows.
-    pub(crate) fn standing(&self, share: LimitShare) -> usize {
+    /// Returns the number of hosts that share the limits, as far as this host knows.
+    pub(crate) fn known_hosts(&self, share: LimitShare) -> usize {
         self.with(share, |holder, now| holder.known_hosts(now))
     }
 
-    /// Decides on a request.
+    /// Grants or refuses a request.
     pub(crate) fn spend(&self, share: LimitShare, request: &SpendRequest) -> SpendDecision {
-        let (decision, part, reading) = self.with(share, |holder, now| {
+        let (decision, granted_share, status) = self.with(share, |holder, now| {
             let decision = holder.spend(request, now);
             (decision, holder.granted_share(now), holder.status(&request.subject))
         });
-        if let (SpendDecision::Refused { come_back }, Some(reading)) = (decision, reading) {
+        if let (SpendDecision::Refused { come_back }, Some(status)) = (decision, status) {
             log::debug!(
-                "event=limit_reached subject=\"{}\" amount={} balance={:.1} per_s={} version={:?} part={part:.2} come_back_ms={}",
+                "event=limit_reached subject=\"{}\" amount={} balance={:.1} per_s={} version={:?} part={granted_share:.2} come_back_ms={}",
                 request.subject,
                 request.amount,
-                reading.balance,
-                reading.rate.per_s,
+                status.balance,
+                status.rate.per_s,
                 request.version,
                 come_back.as_millis(),
             );
@@ -164,30 +165,30 @@
         decision
     }
 
-    /// Takes back what a request did not use.
-    pub(crate) fn give_back(&self, share: LimitShare, subject: &str, amount: f64) {
+    /// Returns the amount of a request that did not run.
+    pub(crate) fn refund(&self, share: LimitShare, subject: &str, amount: f64) {
         self.with(share, |holder, _now| holder.refund(subject, amount));
     }
 
-    /// How a limit stands here; `None` if nobody asked here for it.
+    /// Returns the status of a limit; `None` if it was never requested here.
     pub fn status(&self, subject: &str) -> Option<LimitStatus> {
         self.with(self.share_of(subject), |holder, _now| holder.status(subject))
     }
 }
 
-/// A host that asks here.
+/// Counts a joined host until it is dropped.
 pub(crate) struct JoinedGuard {
-    desk: RateLimiter,
+    limiter: RateLimiter,
     share: LimitShare,
 }
 
 impl Drop for JoinedGuard {
     fn drop(&mut self) {
-        self.desk.with(self.share, LimitHolder::leave);
+        self.limiter.with(self.share, LimitHolder::leave);
     }
 }
 
-/// Name of a share as hosts call it.
+/// Returns the name of a share on the wire.
 pub(crate) fn share_name(share: LimitShare) -> Name {
     share.to_string().into()
 }
--- a/crates/dillspool_scheduler/src/wire.rs
+++ b/crates/dillspool_scheduler/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between a host and a scheduler, and their types on both sides.
+//! Messages between a host and a scheduler, and their conversions.
 
 use std::time::Duration;
 
@@ -20,24 +20,24 @@
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
-use crate::desk::PlacementEvent;
+use crate::placement_scheduler::PlacementEvent;
 
-/// Version of the protocol; hosts of other versions are not served and decide by themselves.
+/// Hosts of other protocol versions are not served and decide by themselves.
 pub(crate) const PROTOCOL_VERSION: u32 = 6;
-/// Largest message in bytes; a question names at most some dozen engines.
-const MESSAGE_LIMIT: usize = 64 * 1024;
+/// A request, the largest message, names at most a few dozen engines.
+const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// Why a link to a scheduler ended.
+/// Why a link to a scheduler closed.
 #[derive(Debug, Snafu)]
 pub enum ScheduleError {
-    /// The other side is gone, or does not answer.
-    #[snafu(display("the link ended: {reason}; another scheduler is asked"))]
+    /// The other side has closed the link or does not respond.
+    #[snafu(display("link closed: {reason}; trying another scheduler"))]
     LinkClosed {
-        /// What ended it.
+        /// What closed it.
         reason: String,
     },
-    /// A message could not be read or written.
-    #[snafu(display("malformed message: {reason}; all hosts must run one version"))]
+    /// A message could not be encoded or decoded.
+    #[snafu(display("malformed message: {reason}; all hosts must run the same version"))]
     Malformed {
         /// What is wrong with it.
         reason: String,
@@ -46,8 +46,8 @@
 
 pub(crate) fn socket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MESSAGE_LIMIT))
-        .max_frame_size(Some(MESSAGE_LIMIT))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
         .read_buffer_size(4 * 1024)
         .write_buffer_size(0)
 }
@@ -90,7 +90,9 @@
         pause_ms: request.max_event_gap.map(millis),
         excluded: request.excluded.clone(),
         refusals: u32::try_from(request.refusals).unwrap_or(u32::MAX),
-        part: request.subset.map(|part| SchedulePart { seed: part.seed, bits: part.sampling_bits }),
+        part: request
+            .subset
+            .map(|subset| SchedulePart { seed: subset.seed, bits: subset.sampling_bits }),
     }
 }
 
@@ -113,7 +115,9 @@
         max_event_gap: request.pause_ms.map(Duration::from_millis),
         excluded: request.excluded,
         refusals: request.refusals as usize,
-        subset: request.part.map(|part| ClassSubset { seed: part.seed, sampling_bits: part.bits }),
+        subset: request
+            .part
+            .map(|subset| ClassSubset { seed: subset.seed, sampling_bits: subset.bits }),
     }
 }
 
@@ -133,7 +137,7 @@
     }
 }
 
-/// A decision on the wire; one without a placement or a refusal says that the request waits.
+/// Encodes a decision. A message with neither placement nor rejection says that the request waits.
 pub(crate) fn decision_to_wire(ticket: u64, decision: PlacementDecision) -> ScheduleMessage {
     let mut message = ScheduleDecision { ticket, placement: None, turned_away: None };
     match decision {
@@ -141,14 +145,15 @@
             message.placement = Some(placement_to_wire(placement));
         }
         PlacementDecision::Wait => {}
-        PlacementDecision::Reject { cause, retry_after: come_back } => {
+        PlacementDecision::Reject { cause, retry_after } => {
             let cause = match cause {
                 PlacementRejection::NoEngine => ScheduleCause::NoEngine,
                 PlacementRejection::NoMemory => ScheduleCause::NoMemory,
                 PlacementRejection::NoPrefill => ScheduleCause::NoPrefill,
                 PlacementRejection::Refused => ScheduleCause::Refused,
             };
-            message.turned_away = Some(ScheduleTurnAway { cause, come_back_ms: millis(come_back) });
+            message.turned_away =
+                Some(ScheduleTurnAway { cause, come_back_ms: millis(retry_after) });
         }
     }
     ScheduleMessage::Decided(message)
@@ -165,11 +170,11 @@
         ScheduleCause::NoPrefill => PlacementRejection::NoPrefill,
         ScheduleCause::Refused => PlacementRejection::Refused,
     };
-    let come_back = Duration::from_millis(turned_away.come_back_ms);
-    PlacementDecision::Reject { cause, retry_after: come_back }
+    let retry_after = Duration::from_millis(turned_away.come_back_ms);
+    PlacementDecision::Reject { cause, retry_after }
 }
 
-pub(crate) fn note_to_wire(ticket: u64, note: PlacementEvent) -> ScheduleMessage {
+pub(crate) fn event_to_wire(ticket: u64, event: PlacementEvent) -> ScheduleMessage {
     let mut message = ScheduleNote {
         ticket,
         event: ScheduleEvent::Ended,
@@ -177,7 +182,7 @@
         engine_start: None,
         took_ms: None,
     };
-    match note {
+    match event {
         PlacementEvent::Prefilled { took } => {
             message.event = ScheduleEvent::Prefilled;
             message.took_ms = Some(millis(took));
@@ -206,7 +211,7 @@
     ScheduleMessage::Note(message)
 }
 
-pub(crate) fn note_from_wire(message: ScheduleNote) -> PlacementEvent {
+pub(crate) fn event_from_wire(message: ScheduleNote) -> PlacementEvent {
     let took = message.took_ms.map(Duration::from_millis);
     let engine = BackendInstance {
         id: message.engine.unwrap_or_default(),
@@ -232,7 +237,7 @@
     }
 }
 
-/// A question as it is asked now.
+/// Encodes a request; the age of an observed rate is relative to `now`.
 pub(crate) fn spend_to_wire(ticket: u64, request: &SpendRequest, now: Moment) -> ScheduleMessage {
     let (config, age_ms) = match request.version {
         RateVersion::Config(version) => (version, None),
@@ -251,7 +256,7 @@
     })
 }
 
-/// A question that comes now.
+/// Decodes a request that arrives at `now`.
 pub(crate) fn spend_from_wire(message: ScheduleSpend, now: Moment) -> SpendRequest {
     let version = match message.age_ms {
         None => RateVersion::Config(message.config),
--- a/crates/dillspool_scheduler/tests/call_fleet/mod.rs
+++ b/crates/dillspool_scheduler/tests/call_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts that ask the one that decides on the calls of a service, over a network in memory.
+//! Hosts that ask the scheduler of a service's calls over an in-memory network.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 use tokio_util::sync::CancellationToken;
 
 pub const SERVICE: &str = "service";
-/// Time within which a host decides by itself when the deciding one is silent.
+/// Time within which a host decides by itself when the scheduler does not respond.
 pub const DECIDED_WITHIN: Duration = Duration::from_millis(45);
 
 pub fn address(host: u8) -> SocketAddr {
@@ -77,9 +77,10 @@
     }
 }
 
-/// A host with its own desk, which serves others and asks the first in the order that answers.
+/// A host with its own scheduler, which serves others and asks the first host in the order that
+/// answers.
 pub struct TestHost {
-    pub desk: CallScheduler,
+    pub scheduler: CallScheduler,
     pub client: CallClient,
     pub cancel: CancellationToken,
     pub jumps: ClockJumps,
@@ -92,21 +93,21 @@
         let stack = net.stack(address(host).ip());
         let cancel = CancellationToken::new();
         let jumps = ClockJumps::default();
-        let terms = CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() };
-        let desk = CallScheduler::new(terms, u64::from(host), jumps.clock());
+        let settings = CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() };
+        let scheduler = CallScheduler::new(settings, u64::from(host), jumps.clock());
         let (config_sender, known) = watch::channel(Some(Arc::new(config())));
         let (view_sender, directory) = watch::channel(Arc::new(view([entry("a"), entry("b")])));
-        tokio::spawn(desk.clone().run(known, directory, || Some(3), cancel.clone()));
+        tokio::spawn(scheduler.clone().run(known, directory, || Some(3), cancel.clone()));
         let listener = stack.listen(address(host)).await.expect("a free address");
-        tokio::spawn(serve_schedule(listener, desks(&desk), cancel.clone()));
-        let client = CallClient::new(desk.clone());
+        tokio::spawn(serve_schedule(listener, services(&scheduler), cancel.clone()));
+        let client = CallClient::new(scheduler.clone());
         let ranked: Vec<_> = order.iter().map(|host| address(*host)).collect();
         let own = Some(address(host));
         let peers =
             move |_service: &str| SchedulePeers { own_address: own, ranked: ranked.clone() };
         let name = format!("host-{host}").into();
         tokio::spawn(client.clone().run(stack, name, peers, || Some(3), cancel.clone()));
-        Self { desk, client, cancel, jumps, view: view_sender, _config: config_sender }
+        Self { scheduler, client, cancel, jumps, view: view_sender, _config: config_sender }
     }
 
     pub async fn ask(&self) -> (CallTicket, Option<CallDecision>) {
@@ -115,8 +116,9 @@
         (ticket, decision)
     }
 
-    /// Asks so many calls at once; the tickets of those that are sent within a time, and no others.
-    pub async fn take(&self, calls: usize, within: Duration) -> Vec<CallTicket> {
+    /// Requests this many calls at once and returns the tickets of those that are sent `within` a
+    /// time; drops the others.
+    pub async fn start_calls(&self, calls: usize, within: Duration) -> Vec<CallTicket> {
         let ask = async || match tokio::time::timeout(within, self.ask()).await {
             Ok((ticket, Some(CallDecision::Send { .. }))) => Some(ticket),
             Ok(_) | Err(_) => None,
@@ -124,19 +126,19 @@
         join_all((0..calls).map(|_call| ask())).await.into_iter().flatten().collect()
     }
 
-    /// Calls in flight by this host's decisions, and as many as may be.
+    /// Returns the calls in flight by this host's decisions, and their limit.
     pub fn in_flight(&self) -> (u32, u32) {
-        let readings = self.desk.snapshots();
-        let servers = readings.iter().flat_map(|(_service, reading)| &reading.servers);
+        let snapshots = self.scheduler.snapshots();
+        let servers = snapshots.iter().flat_map(|(_service, snapshot)| &snapshot.servers);
         servers.fold((0, 0), |sums, server| (sums.0 + server.in_flight, sums.1 + server.limit))
     }
 
     pub fn waiting(&self) -> usize {
-        self.desk.snapshots().iter().map(|(_service, reading)| reading.waiting).sum()
+        self.scheduler.snapshots().iter().map(|(_service, snapshot)| snapshot.waiting).sum()
     }
 }
 
-pub fn desks(calls: &CallScheduler) -> ScheduleServices {
+pub fn services(calls: &CallScheduler) -> ScheduleServices {
     let pools = PlacementScheduler::new(
         AdmissionPolicy::default(),
         1,
@@ -152,7 +154,7 @@
     }
 }
 
-/// Three hosts, of which the first decides.
+/// Three hosts, of which the first is the scheduler.
 pub struct TestFleet {
     pub net: MemoryNet,
     pub hosts: Vec<TestHost>,
@@ -175,7 +177,7 @@
         }
     }
 
-    /// All places of the deciding host.
+    /// Returns the limit of all servers together at the scheduler.
     pub fn limit(&self) -> usize {
         self.hosts[0].in_flight().1 as usize
     }
--- a/crates/dillspool_scheduler/tests/call_links.rs
+++ b/crates/dillspool_scheduler/tests/call_links.rs
@@ -1,5 +1,5 @@
-//! Hosts that ask the one that decides on the calls of a service, and what each failure of the table in
-//! `docs/HARD-LOAD.md` does to them.
+//! Hosts that ask the scheduler of a service's calls, and how they handle each failure of the table
+//! in `docs/HARD-LOAD.md`.
 
 mod call_fleet;
 
@@ -18,13 +18,13 @@
 
 /// Time within which a host that lost its link has another one.
 const LINKED_WITHIN: Duration = Duration::from_millis(1_900);
-/// Time within which a call has usually ended whose host is gone: its server may run it on, so the queue keeps its
-/// place for that long.
+/// Time within which a call of a dead host has usually ended. Its server may still run it, so the
+/// queue keeps its slot for that long.
 const ENDED_WITHIN: Duration = Duration::from_millis(120);
-/// Silence after which a host counts as gone, and some round trips.
+/// Silence after which a host counts as gone, plus some round trips.
 const GONE_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// What goes other than it should.
+/// Descriptions of deviations from the expected behaviour.
 type Faults = Vec<String>;
 
 fn fault_if(is_fault: bool, text: impl FnOnce() -> String) -> Faults {
@@ -38,30 +38,30 @@
 
 const FAILURES: [FailureCase; 11] = [
     FailureCase {
-        name: "the deciding host is silent",
-        play: |fleet| decider_away(fleet, LinkMode::Frozen).boxed(),
+        name: "the scheduler is silent",
+        play: |fleet| scheduler_unreachable(fleet, LinkMode::Frozen).boxed(),
     },
     FailureCase {
-        name: "the link to the deciding host is lost",
-        play: |fleet| decider_away(fleet, LinkMode::Cut).boxed(),
+        name: "the link to the scheduler is lost",
+        play: |fleet| scheduler_unreachable(fleet, LinkMode::Cut).boxed(),
     },
-    FailureCase { name: "the deciding host is new", play: |fleet| new_decider(fleet).boxed() },
-    FailureCase { name: "two deciding hosts at once", play: |fleet| two_deciders(fleet).boxed() },
+    FailureCase { name: "the scheduler is new", play: |fleet| new_scheduler(fleet).boxed() },
+    FailureCase { name: "two schedulers at once", play: |fleet| two_schedulers(fleet).boxed() },
     FailureCase {
         name: "a host is killed with calls in flight",
-        play: |fleet| host_gone(fleet, true, ENDED_WITHIN).boxed(),
+        play: |fleet| dead_host(fleet, true, ENDED_WITHIN).boxed(),
     },
     FailureCase {
         name: "a host is frozen with calls in flight",
-        play: |fleet| host_gone(fleet, false, GONE_WITHIN).boxed(),
+        play: |fleet| dead_host(fleet, false, GONE_WITHIN).boxed(),
     },
     FailureCase {
         name: "a host freezes and resumes while a call waits",
-        play: |fleet| freeze_in_queue(fleet).boxed(),
+        play: |fleet| suspend_in_queue(fleet).boxed(),
     },
     FailureCase {
         name: "a host freezes and resumes with a decision",
-        play: |fleet| freeze_with_decision(fleet).boxed(),
+        play: |fleet| suspend_with_decision(fleet).boxed(),
     },
     FailureCase {
         name: "a caller leaves while it waits, or before its decision",
@@ -78,7 +78,7 @@
 ];
 
 #[test]
-fn each_failure_has_its_behaviour() {
+fn failures_are_handled_as_documented() {
     let mut faults = Vec::new();
     for case in &FAILURES {
         let found = run_paused(async { (case.play)(TestFleet::start().await).await });
@@ -87,36 +87,37 @@
     assert!(faults.is_empty(), "{faults:#?}");
 }
 
-/// This host decides at once, with its part of the limits, until another link is established.
-async fn decider_away(fleet: TestFleet, mode: LinkMode) -> Faults {
+/// A host decides at once, within its share of the limits, until it has another link.
+async fn scheduler_unreachable(fleet: TestFleet, mode: LinkMode) -> Faults {
     let limit = fleet.limit();
     fleet.set_links(1, &[2, 3], mode);
     let asked = Instant::now();
-    let own = fleet.hosts[2].take(3 * limit, DECIDED_WITHIN).await;
-    // The host that decides next was alone, too.
-    drop(fleet.hosts[1].take(1, DECIDED_WITHIN).await);
+    let own = fleet.hosts[2].start_calls(3 * limit, DECIDED_WITHIN).await;
+    // The next scheduler was alone, too.
+    drop(fleet.hosts[1].start_calls(1, DECIDED_WITHIN).await);
     let took = asked.elapsed();
-    // Two thirds of the limit of each of both servers.
+    // Two thirds of the limit of each of the two servers.
     let share = limit.div_ceil(3) * 2;
     let mut faults = fault_if(own.is_empty() || own.len() > share, || {
-        format!("{} of {limit} places taken alone after {took:?}", own.len())
+        format!("{} of {limit} slots used locally after {took:?}", own.len())
     });
     drop(own);
     tokio::time::sleep(LINKED_WITHIN).await;
-    let linked = fleet.hosts[2].take(3 * limit, DECIDED_WITHIN).await;
+    let linked = fleet.hosts[2].start_calls(3 * limit, DECIDED_WITHIN).await;
     let (in_flight, _limit) = fleet.hosts[1].in_flight();
     faults.extend(fault_if(linked.len() != limit || in_flight as usize != limit, || {
-        format!("{} of {limit} sent by another link, {in_flight} known there", linked.len())
+        format!("{} of {limit} sent by the next scheduler, which counts {in_flight}", linked.len())
     }));
     faults
 }
 
-/// Hosts report the calls that they have in flight, also those that they decided alone.
-async fn new_decider(fleet: TestFleet) -> Faults {
-    let before = fleet.hosts[2].take(3, DECIDED_WITHIN).await;
+/// Hosts report their calls in flight to a new scheduler, including those that they decided
+/// locally.
+async fn new_scheduler(fleet: TestFleet) -> Faults {
+    let before = fleet.hosts[2].start_calls(3, DECIDED_WITHIN).await;
     fleet.hosts[0].cancel.cancel();
-    let alone = fleet.hosts[2].take(3 * fleet.limit(), DECIDED_WITHIN).await;
-    // Those that another host decided count against this host's own part.
+    let alone = fleet.hosts[2].start_calls(3 * fleet.limit(), DECIDED_WITHIN).await;
+    // Calls that another host decided count against this host's own share.
     let (held, part) = fleet.hosts[2].in_flight();
     let mut faults = fault_if(before.len() + alone.len() != held as usize || held != part, || {
         format!("{} and {} held, {held} of {part} counted", before.len(), alone.len())
@@ -124,7 +125,7 @@
     tokio::time::sleep(LINKED_WITHIN).await;
     let (in_flight, limit) = fleet.hosts[1].in_flight();
     faults.extend(fault_if(in_flight != held, || format!("{held} held, {in_flight} reported")));
-    let more = fleet.hosts[2].take(3 * limit as usize, DECIDED_WITHIN).await;
+    let more = fleet.hosts[2].start_calls(3 * limit as usize, DECIDED_WITHIN).await;
     faults.extend(fault_if(more.len() + held as usize != limit as usize, || {
         format!("{} sent beside {held} with a limit of {limit}", more.len())
     }));
@@ -135,23 +136,23 @@
     faults
 }
 
-/// Each deciding host uses up to the whole limit of a server.
-async fn two_deciders(fleet: TestFleet) -> Faults {
+/// Each of two concurrent schedulers uses up to the whole limit of a server.
+async fn two_schedulers(fleet: TestFleet) -> Faults {
     let limit = fleet.limit();
     fleet.set_links(1, &[3], LinkMode::Cut);
     tokio::time::sleep(LINKED_WITHIN).await;
     let (one, other) = (
-        fleet.hosts[1].take(3 * limit, DECIDED_WITHIN).await,
-        fleet.hosts[2].take(3 * limit, DECIDED_WITHIN).await,
+        fleet.hosts[1].start_calls(3 * limit, DECIDED_WITHIN).await,
+        fleet.hosts[2].start_calls(3 * limit, DECIDED_WITHIN).await,
     );
     let sent = (one.len(), other.len());
-    fault_if(sent != (limit, limit), || format!("{sent:?} sent, {limit} by each expected"))
+    fault_if(sent != (limit, limit), || format!("{sent:?} sent, expected {limit} by each"))
 }
 
-/// The calls of a host that is gone are forgotten, at once or after its silence.
-async fn host_gone(fleet: TestFleet, is_killed: bool, within: Duration) -> Faults {
+/// The calls of a dead host are removed, at once or after the silence timeout.
+async fn dead_host(fleet: TestFleet, is_killed: bool, within: Duration) -> Faults {
     let limit = fleet.limit();
-    let held = fleet.hosts[2].take(limit, DECIDED_WITHIN).await;
+    let held = fleet.hosts[2].start_calls(limit, DECIDED_WITHIN).await;
     if is_killed {
         fleet.hosts[2].cancel.cancel();
     } else {
@@ -160,19 +161,19 @@
     let decided = tokio::time::timeout(within, fleet.hosts[1].ask()).await;
     let is_sent = matches!(decided, Ok((_, Some(CallDecision::Send { .. }))));
     fault_if(held.len() != limit || !is_sent, || {
-        format!("{} of {limit} places held, sent in their stead: {is_sent}", held.len())
+        format!("{} of {limit} slots occupied, replaced after the timeout: {is_sent}", held.len())
     })
 }
 
-/// The clock of a host that was stopped for a while has gone on; a decision that came meanwhile is old.
-async fn freeze_in_queue(fleet: TestFleet) -> Faults {
+/// The clock of a suspended host keeps running, so a decision that arrived meanwhile is stale.
+async fn suspend_in_queue(fleet: TestFleet) -> Faults {
     let limit = fleet.limit();
-    let mut held = fleet.hosts[1].take(limit, DECIDED_WITHIN).await;
+    let mut held = fleet.hosts[1].start_calls(limit, DECIDED_WITHIN).await;
     let waits = fleet.hosts[2].ask();
     let stop = async {
         pass(50).await;
         fleet.hosts[2].jumps.suspend(Duration::from_millis(200));
-        // A place is free, and the waiting call gets it while its host is stopped.
+        // Frees a slot, which the queued call gets while its host is suspended.
         held.pop();
     };
     let ((ticket, decision), ()) = futures_util::future::join(waits, stop).await;
@@ -180,52 +181,55 @@
     pass(20).await;
     let (in_flight, _limit) = fleet.hosts[0].in_flight();
     let mut faults = fault_if(!is_sent || in_flight as usize != limit, || {
-        format!("sent {is_sent}, {in_flight} of {limit} in flight: the old decision keeps a place")
+        format!(
+            "sent {is_sent}, {in_flight} of {limit} in flight: the stale decision occupies a slot"
+        )
     });
-    // The old decision came to a call that had waited; the new one found the place free.
-    faults.extend(fault_if(ticket.queue_time().is_some(), || "no new question".to_owned()));
+    // The stale decision was for a queued call; the new request found the slot free.
+    faults.extend(fault_if(ticket.queue_time().is_some(), || "no new request".to_owned()));
     faults
 }
 
-/// A decision that this host has had for a while before it can follow it is old.
-async fn freeze_with_decision(fleet: TestFleet) -> Faults {
+/// A decision is stale if this host could not act on it for a while.
+async fn suspend_with_decision(fleet: TestFleet) -> Faults {
     let (ticket, _decision) = fleet.hosts[2].ask().await;
-    let mut faults = fault_if(!ticket.is_fresh(), || "old at once".to_owned());
+    let mut faults = fault_if(!ticket.is_fresh(), || "stale at once".to_owned());
     fleet.hosts[2].jumps.suspend(Duration::from_millis(81));
     faults.extend(fault_if(ticket.is_fresh(), || "still fresh".to_owned()));
     faults
 }
 
-/// A caller that leaves leaves the queue at once, and a decision that crosses its leaving holds no place.
+/// A caller that leaves is removed from the queue at once, and a decision that crosses its
+/// departure occupies no slot.
 async fn callers_leave(fleet: TestFleet) -> Faults {
     let limit = fleet.limit();
-    let held = fleet.hosts[1].take(limit, DECIDED_WITHIN).await;
-    let waited = fleet.hosts[2].take(4, Duration::from_millis(20)).await;
+    let held = fleet.hosts[1].start_calls(limit, DECIDED_WITHIN).await;
+    let waited = fleet.hosts[2].start_calls(4, Duration::from_millis(20)).await;
     pass(5).await;
     let mut faults = fault_if(!waited.is_empty() || fleet.hosts[0].waiting() != 0, || {
-        format!("{} wait after their callers left", fleet.hosts[0].waiting())
+        format!("{} queued after their callers left", fleet.hosts[0].waiting())
     });
     drop(held);
     pass(5).await;
-    // Its question is on the way when it leaves.
+    // The request is on its way when the caller leaves.
     let asking = fleet.hosts[2].ask();
     let left = asking.now_or_never().is_none();
     pass(50).await;
     let (in_flight, _limit) = fleet.hosts[0].in_flight();
     faults.extend(fault_if(!left || in_flight != 0, || {
-        format!("left {left}, {in_flight} in flight for nobody")
+        format!("left {left}, {in_flight} in flight without a caller")
     }));
     faults
 }
 
-/// Calls in flight at the former start are forgotten.
+/// Calls in flight at the previous instance are removed.
 async fn server_restarts(fleet: TestFleet) -> Faults {
     let limit = fleet.limit();
-    let held = fleet.hosts[2].take(limit, DECIDED_WITHIN).await;
+    let held = fleet.hosts[2].start_calls(limit, DECIDED_WITHIN).await;
     let again = ["a", "b"].map(|id| BackendEntry { start: Some(BackendStart(2)), ..entry(id) });
     fleet.hosts[0].view.send_replace(Arc::new(view(again)));
     pass(10).await;
-    let more = fleet.hosts[1].take(limit, DECIDED_WITHIN).await;
+    let more = fleet.hosts[1].start_calls(limit, DECIDED_WITHIN).await;
     let mut faults = fault_if(held.len() != limit || more.len() != limit, || {
         format!("{} before, {} after, {limit} each expected", held.len(), more.len())
     });
@@ -233,12 +237,14 @@
     pass(20).await;
     let (in_flight, _limit) = fleet.hosts[0].in_flight();
     faults.extend(fault_if(in_flight as usize != limit, || {
-        format!("{in_flight} in flight: ends of the former start count for the new one")
+        format!(
+            "{in_flight} in flight: ends of calls at the previous instance count for the new one"
+        )
     }));
     faults
 }
 
-/// A server that takes nothing new gets nothing; without any other one calls are rejected at once.
+/// A draining server gets no new calls; if there is no other server, calls are rejected at once.
 async fn servers_drain(fleet: TestFleet) -> Faults {
     let draining = BackendEntry { state: BackendState::Draining, ..entry("a") };
     let mut changed = view([draining, entry("b")]);
@@ -260,12 +266,13 @@
     faults
 }
 
-/// A call that waits is rejected once no place can become free in its time, not at its deadline.
+/// A queued call is rejected as soon as no slot can become free in time, instead of at its
+/// deadline.
 #[test]
-fn a_call_without_hope_is_rejected_before_its_deadline() {
+fn a_call_that_cannot_run_in_time_is_rejected_before_its_deadline() {
     run_paused(async {
         let fleet = TestFleet::start().await;
-        let _held = fleet.hosts[1].take(fleet.limit(), DECIDED_WITHIN).await;
+        let _held = fleet.hosts[1].start_calls(fleet.limit(), DECIDED_WITHIN).await;
         let mut ticket = fleet.hosts[2].client.open_ticket(&SERVICE.into());
         let short = Duration::from_millis(300);
         let asked = Instant::now();
@@ -276,9 +283,9 @@
     });
 }
 
-/// Calls that end are told to the deciding host with their outcome, wherever they were asked.
+/// The scheduler is told of every end of a call, whichever host asked for it.
 #[test]
-fn places_are_free_after_each_kind_of_end() {
+fn slots_are_released_for_every_call_outcome() {
     let ends = [
         CallOutcome::Answered,
         CallOutcome::Failed,
@@ -298,23 +305,24 @@
                 pass(5).await;
                 assert_eq!(fleet.hosts[0].in_flight().0, 0, "{end:?}");
             }
-            // Failures leave a server out for a while.
+            // Failures exclude a server for a while.
             pass(10_000).await;
         }
     });
 }
 
 struct SwitchCase {
-    /// Slots of both servers, one after another.
+    /// Slots of each of the two servers, step by step.
     slots: &'static [u32],
-    /// Whether one host decides after each.
+    /// Whether one host decides after each step.
     decided: &'static [bool],
 }
 
-/// A server that leaves and comes back does not switch a service back and forth.
+/// A server that leaves and returns does not toggle the service between the two modes.
 #[test]
-fn one_host_decides_where_slots_are_few() {
-    // Three hosts of ten slots each: below 30 one decides, from 36 on each by itself.
+fn one_host_decides_for_services_with_few_slots() {
+    // Three hosts with a threshold of ten slots each: one host decides below 30 slots, each for
+    // itself from 36 on.
     let cases = [
         SwitchCase { slots: &[15], decided: &[false] },
         SwitchCase { slots: &[14], decided: &[true] },
@@ -328,20 +336,25 @@
                 let some = |id| BackendEntry { slots: Some(*slots), ..entry(id) };
                 host.view.send_replace(Arc::new(view([some("a"), some("b")])));
                 pass(10).await;
-                assert_eq!(host.desk.is_scheduled(SERVICE), *decided, "{:?}: {slots}", case.slots);
+                assert_eq!(
+                    host.scheduler.is_scheduled(SERVICE),
+                    *decided,
+                    "{:?}: {slots}",
+                    case.slots
+                );
             }
-            // Nothing is known of the service while it has no server.
-            let before = host.desk.is_scheduled(SERVICE);
+            // Without servers the mode stays as it is.
+            let before = host.scheduler.is_scheduled(SERVICE);
             host.view.send_replace(Arc::new(view([])));
             pass(10).await;
-            assert_eq!(host.desk.is_scheduled(SERVICE), before, "{:?}", case.slots);
+            assert_eq!(host.scheduler.is_scheduled(SERVICE), before, "{:?}", case.slots);
         });
     }
 }
 
-/// A host that does not decide on calls refuses the link, and the next one is asked.
+/// A host that does not schedule calls refuses the link, and the next candidate is asked.
 #[test]
-fn a_host_that_knows_no_calls_is_passed_over() {
+fn hosts_that_do_not_schedule_calls_are_skipped() {
     run_paused(async {
         let net = MemoryNet::new();
         let _without = TestHost::start(&net, 1, &[1, 2, 3], 0.0).await;
@@ -354,9 +367,9 @@
     });
 }
 
-/// Where the setting is 0 a ticket decides nothing, and no host asks another one.
+/// If `slots_per_host` is 0, tickets return no decision and hosts open no links.
 #[test]
-fn nothing_is_decided_where_the_setting_is_zero() {
+fn zero_slots_per_host_disables_call_scheduling() {
     run_paused(async {
         let net = MemoryNet::new();
         let deciding = TestHost::start(&net, 1, &[1, 2], 0.0).await;
@@ -365,6 +378,6 @@
         let (ticket, decision) = host.ask().await;
         assert!(!ticket.is_scheduled());
         assert_eq!(decision, None);
-        assert!(deciding.desk.snapshots().is_empty(), "no queue is made");
+        assert!(deciding.scheduler.snapshots().is_empty(), "no queue is created");
     });
 }
