--- a/crates/dillspool_scheduler/tests/fleet_news.rs
+++ b/crates/dillspool_scheduler/tests/fleet_updates.rs
@@ -1,5 +1,5 @@
-//! News on the links of a pool, of suspects and of limits that backend servers name: who hears them, and what
-//! is passed over.
+//! Gossip updates on the links of a pool, on suspects, request rates and leaving servers: which
+//! hosts receive them, and which are skipped.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -30,15 +30,15 @@
 use tokio_util::sync::CancellationToken;
 
 const ADDRESS: &str = "10.0.0.1:7661";
-const PRINT: &str = "00112233445566778899aabbccddeeff";
+const FINGERPRINT: &str = "00112233445566778899aabbccddeeff";
 
 fn address() -> SocketAddr {
     ADDRESS.parse().expect("an address")
 }
 
-/// A desk that knows one pool of one engine.
-fn desk() -> PlacementScheduler {
-    let desk = PlacementScheduler::new(
+/// A scheduler that knows one pool with one engine.
+fn scheduler() -> PlacementScheduler {
+    let scheduler = PlacementScheduler::new(
         AdmissionPolicy::default(),
         1,
         DemandMeter::default(),
@@ -78,8 +78,8 @@
         entries: [("e1".into(), Arc::new(engine))].into(),
         ..DirectoryView::default()
     };
-    desk.set_pools(&config, &view);
-    desk
+    scheduler.set_pools(&config, &view);
+    scheduler
 }
 
 type HostSocket = WebSocketStream<NetStream>;
@@ -106,25 +106,26 @@
     socket.send(Message::Binary(bytes.into())).await.expect("an open link");
 }
 
-/// The backend servers in the news that come within a second, and whether the link still beats.
-async fn heard(socket: &mut HostSocket) -> (Vec<String>, bool) {
-    heard_within(socket, Duration::from_secs(1)).await
+/// Returns the backend servers in the updates of the next second, and whether the link still has
+/// heartbeats.
+async fn received(socket: &mut HostSocket) -> (Vec<String>, bool) {
+    received_within(socket, Duration::from_secs(1)).await
 }
 
-async fn heard_within(socket: &mut HostSocket, time: Duration) -> (Vec<String>, bool) {
+async fn received_within(socket: &mut HostSocket, time: Duration) -> (Vec<String>, bool) {
     let (mut backends, mut beats) = (Vec::new(), false);
     let reading = async {
         while let Some(Ok(Message::Binary(bytes))) = socket.next().await {
             match ciborium::from_reader(&bytes[..]).expect("a message") {
-                ScheduleMessage::Suspect(news) => {
-                    backends.push(news.backend.as_deref().unwrap_or("whole").to_owned());
+                ScheduleMessage::Suspect(update) => {
+                    backends.push(update.backend.as_deref().unwrap_or("whole").to_owned());
                 }
-                ScheduleMessage::Throttle(news) => {
-                    let rate = news.per_s.map_or("none".to_owned(), |per_s| per_s.to_string());
-                    backends.push(format!("{} takes {rate}", &*news.backend));
+                ScheduleMessage::Throttle(update) => {
+                    let rate = update.per_s.map_or("none".to_owned(), |per_s| per_s.to_string());
+                    backends.push(format!("{} takes {rate}", &*update.backend));
                 }
-                ScheduleMessage::Leaving(news) => {
-                    backends.push(format!("{} leaves", &*news.backend));
+                ScheduleMessage::Leaving(update) => {
+                    backends.push(format!("{} leaves", &*update.backend));
                 }
                 ScheduleMessage::Beat(_) => beats = true,
                 other => panic!("{other:?}"),
@@ -136,41 +137,41 @@
     (backends, beats)
 }
 
-struct NewsCase {
+struct SuspectCase {
     name: &'static str,
     print: &'static str,
     backend: Option<String>,
-    /// Whether the scheduler takes it and the other host hears it.
-    is_taken: bool,
+    /// Whether the scheduler applies it and the other host receives it.
+    is_applied: bool,
 }
 
 #[tokio::test(start_paused = true)]
-async fn other_hosts_hear_what_can_be_read_and_the_link_goes_on() {
-    let case = |name, print, backend: Option<&str>, is_taken| NewsCase {
+async fn valid_suspect_updates_are_forwarded_and_malformed_ones_skipped() {
+    let case = |name, print, backend: Option<&str>, is_applied| SuspectCase {
         name,
         print,
         backend: backend.map(str::to_owned),
-        is_taken,
+        is_applied,
     };
     let long = "e".repeat(300);
     let cases = [
-        case("an end", PRINT, Some("e1 5"), true),
-        case("a good end", PRINT, None, true),
-        case("no print", "0011", Some("e1 5"), false),
-        case("an empty print", "", Some("e1 5"), false),
-        case("a backend server without a name", PRINT, Some(""), false),
-        case("a name that is too long", PRINT, Some(&long), false),
+        case("a crash", FINGERPRINT, Some("e1 5"), true),
+        case("a success", FINGERPRINT, None, true),
+        case("a fingerprint that is too short", "0011", Some("e1 5"), false),
+        case("an empty fingerprint", "", Some("e1 5"), false),
+        case("a backend server without a name", FINGERPRINT, Some(""), false),
+        case("a name that is too long", FINGERPRINT, Some(&long), false),
     ];
     for case in cases {
         let net = MemoryNet::new();
-        let learnt: Arc<Mutex<Vec<SuspectUpdate>>> = Arc::default();
-        let learning = Arc::clone(&learnt);
+        let applied: Arc<Mutex<Vec<SuspectUpdate>>> = Arc::default();
+        let applying = Arc::clone(&applied);
         let handlers = SuspectHandlers {
-            apply_update: Arc::new(move |news| {
-                learning.lock().unwrap().push(news.clone());
+            apply_update: Arc::new(move |update| {
+                applying.lock().unwrap().push(update.clone());
                 true
             }),
-            updates_to_forward: Arc::new(|news| vec![news.clone()]),
+            updates_to_forward: Arc::new(|update| vec![update.clone()]),
             newest_updates: Arc::new(|_most| Vec::new()),
             newest_repeated: Arc::new(|_most| Vec::new()),
         };
@@ -183,21 +184,21 @@
         let cancel = CancellationToken::new();
         tokio::spawn(serve_schedule(
             listener,
-            ScheduleServices { pools: desk(), limits, backend_limits, calls: no_calls(), bus },
+            ScheduleServices { pools: scheduler(), limits, backend_limits, calls: no_calls(), bus },
             cancel.clone(),
         ));
         let (mut one, mut two) = (link(&net, "10.0.0.2").await, link(&net, "10.0.0.3").await);
-        assert_eq!(heard(&mut one).await, (vec![], true), "{}: before", case.name);
-        assert_eq!(heard(&mut two).await, (vec![], true), "{}: before", case.name);
+        assert_eq!(received(&mut one).await, (vec![], true), "{}: before", case.name);
+        assert_eq!(received(&mut two).await, (vec![], true), "{}: before", case.name);
         let backend = case.backend.as_deref().map(Into::into);
-        let news = ScheduleSuspect { print: case.print.into(), backend, age_ms: 7 };
-        send(&mut one, &ScheduleMessage::Suspect(news)).await;
+        let update = ScheduleSuspect { print: case.print.into(), backend, age_ms: 7 };
+        send(&mut one, &ScheduleMessage::Suspect(update)).await;
         let expected = case.backend.unwrap_or_else(|| "whole".to_owned());
-        let expected = if case.is_taken { vec![expected] } else { vec![] };
-        assert_eq!(heard(&mut two).await, (expected, true), "{}", case.name);
-        // Whoever told it does not hear it again.
-        assert_eq!(heard(&mut one).await, (vec![], true), "{}: itself", case.name);
-        assert_eq!(learnt.lock().unwrap().len(), usize::from(case.is_taken), "{}", case.name);
+        let expected = if case.is_applied { vec![expected] } else { vec![] };
+        assert_eq!(received(&mut two).await, (expected, true), "{}", case.name);
+        // The sender does not get its own update back.
+        assert_eq!(received(&mut one).await, (vec![], true), "{}: itself", case.name);
+        assert_eq!(applied.lock().unwrap().len(), usize::from(case.is_applied), "{}", case.name);
         cancel.cancel();
     }
 }
@@ -206,23 +207,23 @@
     name: &'static str,
     backend: String,
     per_s: Option<f64>,
-    /// Whether the scheduler takes it and the other host hears it.
-    is_taken: bool,
+    /// Whether the scheduler applies it and the other host receives it.
+    is_applied: bool,
 }
 
-/// Desks of a host that knows what this desk does.
-fn desks_knowing(throttle: &ThrottleTracker) -> ScheduleServices {
-    let (learning, knowing) = (throttle.clone(), throttle.clone());
+/// The services of a host whose bus uses this tracker.
+fn services_with_throttle(throttle: &ThrottleTracker) -> ScheduleServices {
+    let (applying, listing) = (throttle.clone(), throttle.clone());
     let throttle = NoticeHandlers {
-        apply_update: Arc::new(move |news: &ThrottleUpdate| learning.apply_update(news)),
-        newest_updates: Arc::new(move |most| knowing.newest_updates(most)),
+        apply_update: Arc::new(move |update: &ThrottleUpdate| applying.apply_update(update)),
+        newest_updates: Arc::new(move |most| listing.newest_updates(most)),
     };
-    desks_of(BusHandlers { throttle, ..BusHandlers::none() })
+    services_with(BusHandlers { throttle, ..BusHandlers::none() })
 }
 
-fn desks_of(handlers: BusHandlers) -> ScheduleServices {
+fn services_with(handlers: BusHandlers) -> ScheduleServices {
     ScheduleServices {
-        pools: desk(),
+        pools: scheduler(),
         limits: RateLimiter::new(
             RateLimiterSettings { slack: 0.0, shares: 1 },
             HostClock::steady(),
@@ -234,20 +235,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_hosts_hear_what_a_backend_server_takes() {
-    let case = |name, backend: &str, per_s, is_taken| ThrottleCase {
+async fn request_rates_are_forwarded_to_all_hosts() {
+    let case = |name, backend: &str, per_s, is_applied| ThrottleCase {
         name,
         backend: backend.to_owned(),
         per_s,
-        is_taken,
+        is_applied,
     };
     let cases = [
         case("a limit", "e1", Some(5.7), true),
-        case("none is taken at all", "e1", Some(0.0), true),
-        case("the end of one that is not known", "e1", None, false),
-        case("no rate", "e1", Some(f64::NAN), false),
+        case("no requests at all", "e1", Some(0.0), true),
+        case("the end of an unknown limit", "e1", None, false),
+        case("not a number", "e1", Some(f64::NAN), false),
         case("below zero", "e1", Some(-1.0), false),
-        case("more than anything takes", "e1", Some(1e300), false),
+        case("above any possible rate", "e1", Some(1e300), false),
         case("a backend server without a name", "", Some(5.0), false),
         case("a name that is too long", &"e".repeat(300), Some(5.0), false),
     ];
@@ -256,30 +257,30 @@
         let throttle = ThrottleTracker::new(HostClock::steady());
         let listener = net.stack(address().ip()).listen(address()).await.expect("a free address");
         let cancel = CancellationToken::new();
-        tokio::spawn(serve_schedule(listener, desks_knowing(&throttle), cancel.clone()));
+        tokio::spawn(serve_schedule(listener, services_with_throttle(&throttle), cancel.clone()));
         let (mut one, mut two) = (link(&net, "10.0.0.2").await, link(&net, "10.0.0.3").await);
-        assert_eq!(heard(&mut one).await, (vec![], true), "{}: before", case.name);
-        assert_eq!(heard(&mut two).await, (vec![], true), "{}: before", case.name);
-        let news = ScheduleThrottle {
+        assert_eq!(received(&mut one).await, (vec![], true), "{}: before", case.name);
+        assert_eq!(received(&mut two).await, (vec![], true), "{}: before", case.name);
+        let update = ScheduleThrottle {
             backend: case.backend.as_str().into(),
             start: None,
             per_s: case.per_s,
             age_ms: 7,
         };
-        let told = format!("{} takes {}", case.backend, case.per_s.unwrap_or_default());
-        let expected = if case.is_taken { vec![told] } else { vec![] };
-        send(&mut one, &ScheduleMessage::Throttle(news.clone())).await;
+        let sent = format!("{} takes {}", case.backend, case.per_s.unwrap_or_default());
+        let expected = if case.is_applied { vec![sent] } else { vec![] };
+        send(&mut one, &ScheduleMessage::Throttle(update.clone())).await;
         send(&mut two, &ScheduleMessage::Beat(ScheduleBeat { hosts: 0 })).await;
-        assert_eq!(heard(&mut two).await, (expected.clone(), true), "{}", case.name);
-        // Whoever told it does not hear it again, nobody hears the same twice.
-        assert_eq!(heard(&mut one).await, (vec![], true), "{}: itself", case.name);
-        let later = ScheduleThrottle { age_ms: 2_500, ..news };
+        assert_eq!(received(&mut two).await, (expected.clone(), true), "{}", case.name);
+        // The sender does not get its own update back, and no host gets an update twice.
+        assert_eq!(received(&mut one).await, (vec![], true), "{}: itself", case.name);
+        let later = ScheduleThrottle { age_ms: 2_500, ..update };
         send(&mut two, &ScheduleMessage::Throttle(later)).await;
-        assert_eq!(heard(&mut one).await, (vec![], true), "{}: again", case.name);
-        // A host that comes later is told what holds.
+        assert_eq!(received(&mut one).await, (vec![], true), "{}: again", case.name);
+        // A host that links later receives the current state.
         let mut three = link(&net, "10.0.0.4").await;
-        assert_eq!(heard(&mut three).await, (expected, true), "{}: later", case.name);
-        assert_eq!(throttle.counts().0, usize::from(case.is_taken), "{}", case.name);
+        assert_eq!(received(&mut three).await, (expected, true), "{}: later", case.name);
+        assert_eq!(throttle.counts().0, usize::from(case.is_applied), "{}", case.name);
         cancel.cancel();
     }
 }
@@ -287,14 +288,17 @@
 struct LeavingCase {
     name: &'static str,
     backend: String,
-    /// Whether the scheduler takes it and the other hosts hear it.
-    is_taken: bool,
+    /// Whether the scheduler applies it and the other hosts receive it.
+    is_applied: bool,
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_hosts_hear_that_a_backend_server_leaves() {
-    let case =
-        |name, backend: &str, is_taken| LeavingCase { name, backend: backend.to_owned(), is_taken };
+async fn leaving_updates_are_forwarded_to_all_hosts() {
+    let case = |name, backend: &str, is_applied| LeavingCase {
+        name,
+        backend: backend.to_owned(),
+        is_applied,
+    };
     let cases = [
         case("it leaves", "e1", true),
         case("a backend server without a name", "", false),
@@ -302,69 +306,69 @@
     ];
     for case in cases {
         let net = MemoryNet::new();
-        let desk = LeavingTracker::new(HostClock::steady());
+        let tracker = LeavingTracker::new(HostClock::steady());
         let listener = net.stack(address().ip()).listen(address()).await.expect("a free address");
         let cancel = CancellationToken::new();
-        let (learning, knowing) = (desk.clone(), desk.clone());
+        let (applying, listing) = (tracker.clone(), tracker.clone());
         let leaving = NoticeHandlers {
-            apply_update: Arc::new(move |news: &LeavingUpdate| learning.apply_update(news)),
-            newest_updates: Arc::new(move |most| knowing.newest_updates(most)),
+            apply_update: Arc::new(move |update: &LeavingUpdate| applying.apply_update(update)),
+            newest_updates: Arc::new(move |most| listing.newest_updates(most)),
         };
         let handlers = BusHandlers { leaving, ..BusHandlers::none() };
-        let desks = desks_of(handlers);
-        tokio::spawn(serve_schedule(listener, desks, cancel.clone()));
+        let services = services_with(handlers);
+        tokio::spawn(serve_schedule(listener, services, cancel.clone()));
         let (mut one, mut two) = (link(&net, "10.0.0.2").await, link(&net, "10.0.0.3").await);
-        assert_eq!(heard(&mut one).await, (vec![], true), "{}: before", case.name);
-        assert_eq!(heard(&mut two).await, (vec![], true), "{}: before", case.name);
+        assert_eq!(received(&mut one).await, (vec![], true), "{}: before", case.name);
+        assert_eq!(received(&mut two).await, (vec![], true), "{}: before", case.name);
         let backend = case.backend.as_str().into();
-        let news = ScheduleLeaving { backend, start: Some(7), age_ms: 7 };
-        let told = if case.is_taken { vec!["e1 leaves".to_owned()] } else { vec![] };
-        send(&mut one, &ScheduleMessage::Leaving(news.clone())).await;
-        assert_eq!(heard(&mut two).await, (told.clone(), true), "{}", case.name);
-        send(&mut two, &ScheduleMessage::Leaving(news)).await;
-        assert_eq!(heard(&mut one).await, (vec![], true), "{}: again", case.name);
+        let update = ScheduleLeaving { backend, start: Some(7), age_ms: 7 };
+        let sent = if case.is_applied { vec!["e1 leaves".to_owned()] } else { vec![] };
+        send(&mut one, &ScheduleMessage::Leaving(update.clone())).await;
+        assert_eq!(received(&mut two).await, (sent.clone(), true), "{}", case.name);
+        send(&mut two, &ScheduleMessage::Leaving(update)).await;
+        assert_eq!(received(&mut one).await, (vec![], true), "{}: again", case.name);
         let mut three = link(&net, "10.0.0.4").await;
-        assert_eq!(heard(&mut three).await, (told, true), "{}: later", case.name);
+        assert_eq!(received(&mut three).await, (sent, true), "{}: later", case.name);
         let start = |start| BackendInstance { id: "e1".into(), start: Some(BackendStart(start)) };
-        let leaves = |at| desk.subscribe().borrow().is_leaving(&start(at));
-        assert_eq!([leaves(7), leaves(8)], [case.is_taken, false], "{}", case.name);
+        let leaves = |at| tracker.subscribe().borrow().is_leaving(&start(at));
+        assert_eq!([leaves(7), leaves(8)], [case.is_applied, false], "{}", case.name);
         cancel.cancel();
     }
 }
 
-/// A host links to a scheduler once for each pool, and hears each piece of news once.
+/// A host has one link for each pool to a scheduler, but receives each update once.
 #[tokio::test(start_paused = true)]
-async fn a_host_hears_news_on_one_of_its_links() {
+async fn a_host_gets_each_update_on_one_of_its_links() {
     let net = MemoryNet::new();
     let throttle = ThrottleTracker::new(HostClock::steady());
     let listener = net.stack(address().ip()).listen(address()).await.expect("a free address");
     let cancel = CancellationToken::new();
-    tokio::spawn(serve_schedule(listener, desks_knowing(&throttle), cancel.clone()));
-    let mut teller = [link(&net, "10.0.0.2").await, link(&net, "10.0.0.2").await];
-    let mut listening = vec![link(&net, "10.0.0.3").await, link(&net, "10.0.0.3").await];
+    tokio::spawn(serve_schedule(listener, services_with_throttle(&throttle), cancel.clone()));
+    let mut senders = [link(&net, "10.0.0.2").await, link(&net, "10.0.0.2").await];
+    let mut receivers = vec![link(&net, "10.0.0.3").await, link(&net, "10.0.0.3").await];
     let moment = Duration::from_millis(50);
-    while !listening.is_empty() {
-        for socket in teller.iter_mut().chain(&mut listening) {
-            let _before = heard_within(socket, moment).await;
+    while !receivers.is_empty() {
+        for socket in senders.iter_mut().chain(&mut receivers) {
+            let _before = received_within(socket, moment).await;
         }
-        let backend = format!("e{}", listening.len());
-        let news = ScheduleThrottle {
+        let backend = format!("e{}", receivers.len());
+        let update = ScheduleThrottle {
             backend: backend.as_str().into(),
             start: None,
             per_s: Some(5.0),
             age_ms: 7,
         };
-        send(&mut teller[0], &ScheduleMessage::Throttle(news)).await;
-        let mut told = Vec::new();
-        for socket in &mut listening {
-            told.extend(heard_within(socket, moment).await.0);
+        send(&mut senders[0], &ScheduleMessage::Throttle(update)).await;
+        let mut seen = Vec::new();
+        for socket in &mut receivers {
+            seen.extend(received_within(socket, moment).await.0);
         }
-        assert_eq!(told, [format!("{backend} takes 5")]);
-        for socket in &mut teller {
-            assert_eq!(heard_within(socket, moment).await.0, [""; 0], "whoever told it");
+        assert_eq!(seen, [format!("{backend} takes 5")]);
+        for socket in &mut senders {
+            assert_eq!(received_within(socket, moment).await.0, [""; 0], "whoever sent it");
         }
-        // The link that has told it ends, another one goes on.
-        listening.pop();
+        // The link that received the update closes; another one takes over.
+        receivers.pop();
     }
     cancel.cancel();
 }
--- a/crates/dillspool_scheduler/tests/limit_links.rs
+++ b/crates/dillspool_scheduler/tests/limit_links.rs
@@ -23,7 +23,7 @@
 
 const RATE: LimitRate = LimitRate { per_s: 30.0, burst: 30.0 };
 /// How long a request waits for a holder.
-const PATIENCE: Duration = Duration::from_millis(450);
+const MAX_WAIT: Duration = Duration::from_millis(450);
 
 fn address(host: u8) -> SocketAddr {
     format!("10.0.0.{host}:7661").parse().expect("an address")
@@ -58,11 +58,11 @@
         Self::start_listing(net, host, &Arc::new(Mutex::new(order.to_vec()))).await
     }
 
-    /// A host whose list of others changes.
+    /// A host whose list of candidates changes.
     async fn start_listing(net: &MemoryNet, host: u8, order: &Arc<Mutex<Vec<u8>>>) -> Self {
         let stack = net.stack(address(host).ip());
         let cancel = CancellationToken::new();
-        let desk =
+        let limiter =
             RateLimiter::new(RateLimiterSettings { slack: 0.0, shares: 2 }, HostClock::steady());
         let pools = PlacementScheduler::new(
             AdmissionPolicy::default(),
@@ -75,14 +75,14 @@
             listener,
             ScheduleServices {
                 pools,
-                limits: desk.clone(),
+                limits: limiter.clone(),
                 backend_limits: no_limits(),
                 calls: no_calls(),
-                bus: no_news(),
+                bus: no_updates(),
             },
             cancel.clone(),
         ));
-        let client = LimitClient::new(desk);
+        let client = LimitClient::new(limiter);
         let (own, order) = (Some(address(host)), Arc::clone(order));
         let peers = move |_share: &str| {
             let ranked = order.lock().unwrap().iter().map(|host| address(*host)).collect();
@@ -95,10 +95,10 @@
     }
 
     async fn ask(&self) -> Option<SpendDecision> {
-        self.client.spend(&request(), PATIENCE).await
+        self.client.spend(&request(), MAX_WAIT).await
     }
 
-    /// Requests that are granted of many at once.
+    /// Sends requests one after another and returns how many are granted.
     async fn granted(&self, tries: usize) -> usize {
         let mut granted = 0;
         for _try in 0..tries {
@@ -128,7 +128,7 @@
     hosts
 }
 
-/// Hosts whose start is over, in which holders grant half.
+/// Hosts after the start-up phase in which holders grant half.
 async fn three_hosts(net: &MemoryNet) -> Vec<TestHost> {
     let hosts = fresh_hosts(net).await;
     pass(2_000).await;
@@ -143,7 +143,8 @@
 fn holders_grant_half_of_a_limit_at_the_start() {
     run_paused(async {
         let hosts = fresh_hosts(&MemoryNet::new()).await;
-        // The holder, which would know of three hosts by their rows, has not been asked by itself.
+        // The holder has not learned of three hosts from their rows, since it has made no request
+        // of its own.
         assert_eq!(hosts[2].granted(40).await, 15);
         pass(2_000).await;
         assert_eq!(hosts[2].granted(40).await, 30);
@@ -151,14 +152,14 @@
 }
 
 #[test]
-fn one_count_holds_for_all_hosts() {
+fn all_hosts_share_one_limit() {
     run_paused(async {
         let hosts = fresh_hosts(&MemoryNet::new()).await;
         let mut granted = 0;
         for host in &hosts {
             granted += host.granted(20).await;
         }
-        // The burst, whoever asks.
+        // The burst, whichever hosts ask.
         assert_eq!(granted, 30);
         pass(1000).await;
         let mut granted = 0;
@@ -170,20 +171,20 @@
 }
 
 #[test]
-fn what_did_not_run_is_given_back_wherever_it_was_counted() {
+fn refunds_from_any_host_reach_the_holder() {
     run_paused(async {
         let hosts = three_hosts(&MemoryNet::new()).await;
         let half = SpendRequest { amount: 0.5, ..request() };
-        assert_eq!(hosts[2].client.spend(&half, PATIENCE).await, Some(SpendDecision::Allowed));
-        // From now on next to nothing comes back by time.
+        assert_eq!(hosts[2].client.spend(&half, MAX_WAIT).await, Some(SpendDecision::Allowed));
+        // From now on the rate replenishes almost nothing.
         let rate = LimitRate { per_s: 0.001, burst: 30.0 };
         let lowered = SpendRequest { rate, version: RateVersion::Config(2), ..request() };
         let mut granted = 0;
         for _try in 0..40 {
-            let decision = hosts[2].client.spend(&lowered, PATIENCE).await;
+            let decision = hosts[2].client.spend(&lowered, MAX_WAIT).await;
             granted += usize::from(decision == Some(SpendDecision::Allowed));
         }
-        // What was left, half of the last one on credit.
+        // The remaining balance; half of the last grant is on credit.
         assert_eq!(granted, 30);
         for host in &hosts {
             host.client.grant(&lowered).refund();
@@ -194,35 +195,35 @@
 }
 
 #[test]
-fn what_is_granted_to_a_caller_that_has_left_goes_back() {
+fn grants_to_callers_that_left_are_refunded() {
     run_paused(async {
         let hosts = three_hosts(&MemoryNet::new()).await;
         let half = SpendRequest { amount: 0.5, ..request() };
-        assert_eq!(hosts[2].client.spend(&half, PATIENCE).await, Some(SpendDecision::Allowed));
-        // From now on next to nothing comes back by time.
+        assert_eq!(hosts[2].client.spend(&half, MAX_WAIT).await, Some(SpendDecision::Allowed));
+        // From now on the rate replenishes almost nothing.
         let rate = LimitRate { per_s: 0.001, burst: 30.0 };
         let lowered = SpendRequest { rate, version: RateVersion::Config(2), ..request() };
         for _left in 0..5 {
-            let asking = hosts[2].client.spend(&lowered, PATIENCE);
+            let asking = hosts[2].client.spend(&lowered, MAX_WAIT);
             assert!(tokio::time::timeout(Duration::ZERO, asking).await.is_err(), "an answer");
         }
         pass(5).await;
-        assert_eq!(hosts[2].client.pending_requests(), 0, "questions that nobody waits for");
-        // What was left, half of the last one on credit.
+        assert_eq!(hosts[2].client.pending_requests(), 0, "requests without a caller");
+        // The remaining balance; half of the last grant is on credit.
         assert_eq!(hosts[1].granted(40).await, 30);
     });
 }
 
 struct LossCase {
     name: &'static str,
-    /// What becomes of the holder's links; `None` if its process ends.
+    /// How the holder's links fail; `None` if its process ends.
     mode: Option<LinkMode>,
-    /// Time until another host decides, at most.
+    /// Maximum time until another host decides.
     within_ms: u64,
 }
 
 #[test]
-fn another_host_takes_over_and_counts_what_it_does_not_know_as_spent() {
+fn a_new_holder_treats_unknown_grants_as_spent() {
     let cases = [
         LossCase { name: "its process ends", mode: None, within_ms: 450 },
         LossCase { name: "it is silent", mode: Some(LinkMode::Frozen), within_ms: 900 },
@@ -241,7 +242,8 @@
                 }
             }
             let started = Instant::now();
-            // The second host counts for itself and the third; the first one's part is left to it.
+            // The second host counts for itself and the third one; the share of the first one stays
+            // reserved.
             let mut granted = 0;
             while started.elapsed() < Duration::from_secs(3) {
                 granted += hosts[1].granted(3).await + hosts[2].granted(3).await;
@@ -251,14 +253,14 @@
                 }
                 pass(10).await;
             }
-            // Up to three seconds' worth, two thirds of it; the burst was spent.
+            // Up to two thirds of three seconds' worth; the burst was spent before.
             assert!((40..=62).contains(&granted), "{}: {granted}", case.name);
         });
     }
 }
 
 #[test]
-fn a_host_that_reaches_nobody_spends_its_own_part_for_a_while() {
+fn an_isolated_host_spends_its_own_share() {
     run_paused(async {
         let net = MemoryNet::new();
         let hosts = three_hosts(&net).await;
@@ -272,9 +274,9 @@
             granted += hosts[2].granted(2).await;
             pass(10).await;
         }
-        // It lists itself as a holder, and grants the third that it knows to be its own: 10 a second.
+        // It is its own holder and grants the third that it knows to be its share: 10 a second.
         assert!((150..=210).contains(&granted), "{granted}");
-        // The others have two thirds, and nobody passes the limit.
+        // The others have two thirds, and the limit is not exceeded.
         pass(2000).await;
         let before = Instant::now();
         let mut granted = 0;
@@ -286,10 +288,11 @@
     });
 }
 
-/// A host that lost its holder and counted for itself for the first time took the time since its start for time in
-/// which nobody had spent: all hosts granted the burst again, each its part, when they lost each other.
+/// Guards against hosts that grant the burst again when they lose each other. A host that lost its
+/// holder and counted for itself for the first time treated the time since its start as time
+/// without spending, so each host granted its share of the burst again.
 #[test]
-fn hosts_that_lost_each_other_granted_the_burst_again() {
+fn partitioned_hosts_do_not_grant_the_burst_again() {
     run_paused(async {
         let net = MemoryNet::new();
         let hosts = three_hosts(&net).await;
@@ -305,15 +308,16 @@
             }
             pass(10).await;
         }
-        // Two seconds' worth at most; the burst was spent.
+        // Two seconds' worth at most; the burst was spent before.
         assert!((30..=60).contains(&granted), "{granted}");
     });
 }
 
-/// A holder told how many hosts there are only while it had no answer to send for 0.4 s, so under load no host knew. A
-/// host that asked it, and came to hold the limit for one that could not reach it, granted the whole limit as well.
+/// Guards against a limit that is granted twice under load. A holder reported the number of hosts
+/// only after 0.4 s without a response to send, so under load no host knew it. A host that then
+/// became the holder for one that could not reach the old holder granted the whole limit as well.
 #[test]
-fn a_busy_holder_did_not_tell_how_many_hosts_there_are() {
+fn a_busy_holder_reports_the_number_of_hosts() {
     run_paused(async {
         let net = MemoryNet::new();
         let mut hosts = Vec::new();
@@ -338,13 +342,13 @@
         // Until the next holder counts as settled.
         ask_all(Duration::from_secs(6)).await;
         let granted = ask_all(Duration::from_secs(4)).await;
-        // Four seconds' worth, and what balances may hold.
+        // Four seconds' worth, plus what balances may hold.
         assert!(granted <= 4 * 30 + 15, "{granted}");
     });
 }
 
 #[test]
-fn a_host_that_learns_that_it_comes_first_counts_for_itself() {
+fn a_host_that_ranks_first_becomes_the_holder() {
     run_paused(async {
         let net = MemoryNet::new();
         let order = Arc::new(Mutex::new(vec![2, 3]));
@@ -365,7 +369,7 @@
     RateLimiter::for_backend_servers(1, HostClock::steady())
 }
 
-fn no_news() -> FleetBus {
+fn no_updates() -> FleetBus {
     FleetBus::new(BusHandlers::none(), HostClock::steady())
 }
 
--- a/crates/dillspool_scheduler/tests/links.rs
+++ b/crates/dillspool_scheduler/tests/links.rs
@@ -58,7 +58,7 @@
     view_since(None)
 }
 
-/// The pool's engines, all with one start.
+/// The pool's engines, all with the same start.
 fn view_since(start: Option<BackendStart>) -> DirectoryView {
     let entry = |id: &str, stage| BackendEntry {
         id: id.into(),
@@ -98,7 +98,8 @@
     }
 }
 
-/// A host with its own desk, which serves others and asks the first in `order` that answers.
+/// A host with its own scheduler, which serves others and asks the first host in `order` that
+/// answers.
 struct TestHost {
     client: ScheduleClient,
     cancel: CancellationToken,
@@ -110,7 +111,7 @@
     async fn start(net: &MemoryNet, host: u8, order: &[u8]) -> Self {
         let stack = net.stack(address(host).ip());
         let cancel = CancellationToken::new();
-        let desk = PlacementScheduler::new(
+        let scheduler = PlacementScheduler::new(
             AdmissionPolicy::default(),
             u64::from(host),
             DemandMeter::default(),
@@ -118,22 +119,22 @@
         );
         let (config_sender, known) = watch::channel(Some(Arc::new(config())));
         let (view_sender, directory) = watch::channel(Arc::new(view()));
-        tokio::spawn(desk.clone().run(known.clone(), directory, cancel.clone()));
+        tokio::spawn(scheduler.clone().run(known.clone(), directory, cancel.clone()));
         let listener = stack.listen(address(host)).await.expect("a free address");
         let limits =
             RateLimiter::new(RateLimiterSettings { slack: 0.0, shares: 1 }, HostClock::steady());
         tokio::spawn(serve_schedule(
             listener,
             ScheduleServices {
-                pools: desk.clone(),
+                pools: scheduler.clone(),
                 limits,
                 backend_limits: no_limits(),
                 calls: no_calls(),
-                bus: no_news(),
+                bus: no_updates(),
             },
             cancel.clone(),
         ));
-        let client = ScheduleClient::new(desk, no_news());
+        let client = ScheduleClient::new(scheduler, no_updates());
         let ranked: Vec<_> = order.iter().map(|host| address(*host)).collect();
         let own = Some(address(host));
         let peers =
@@ -165,7 +166,7 @@
     matches!(decision, Some(PlacementDecision::Place(placement)) if placement.prefill_engine.is_some())
 }
 
-/// Three hosts of which the first schedules.
+/// Three hosts, of which the first is the scheduler.
 async fn three_hosts(net: &MemoryNet) -> Vec<TestHost> {
     let mut hosts = Vec::new();
     for host in 1..=3 {
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn what_one_host_placed_all_others_know() {
+fn placements_are_shared_by_all_hosts() {
     run_paused(async {
         let hosts = three_hosts(&MemoryNet::new()).await;
         let (_first, one) = hosts[1].ask().await;
@@ -184,7 +185,7 @@
         let mut engines = [engine(one.as_ref()), engine(two.as_ref())];
         engines.sort();
         assert_eq!(engines, [Some("decode-1".to_owned()), Some("decode-2".to_owned())]);
-        // Both engines are full: nobody is placed, whichever host asks.
+        // Both engines are full: no request is placed, whichever host asks.
         for host in &hosts {
             let (_ticket, decision) = host.ask().await;
             assert_eq!(engine(decision.as_ref()), None);
@@ -196,11 +197,12 @@
     });
 }
 
-/// A fault is told with the start that it is of: the scheduler blames no other one for it.
+/// A fault is reported with the engine's start, so the scheduler does not count it against another
+/// instance.
 #[test]
-fn the_start_travels_with_a_fault() {
+fn a_fault_counts_only_against_its_engine_instance() {
     let known = Some(BackendStart(9));
-    // Engines that take one more request each at once.
+    // Engines that accept one more request each at once.
     for (told, open) in [(known, 1), (None, 1), (Some(BackendStart(7)), 2)] {
         run_paused(async move {
             let hosts = three_hosts(&MemoryNet::new()).await;
@@ -230,14 +232,14 @@
 
 struct LossCase {
     name: &'static str,
-    /// What becomes of the scheduler's links.
+    /// How the scheduler's links fail; `None` if its process ends.
     mode: Option<LinkMode>,
     /// Time within which a request is decided right after that.
     within_ms: u64,
 }
 
 #[test]
-fn a_host_decides_alone_until_it_finds_another_scheduler() {
+fn a_host_decides_locally_until_it_finds_another_scheduler() {
     let cases = [
         LossCase { name: "its process ends", mode: None, within_ms: 5 },
         LossCase { name: "it is cut off", mode: Some(LinkMode::Frozen), within_ms: 100 },
@@ -265,12 +267,12 @@
             assert!(engine(decision.as_ref()).is_some(), "{}", case.name);
             assert!(took <= Duration::from_millis(case.within_ms), "{}: {took:?}", case.name);
             drop(ticket);
-            // The second host schedules now, and has been told what the third one holds.
+            // The second host is the scheduler now, and the third one has reported its placement.
             tokio::time::sleep(Duration::from_secs(4)).await;
             let (_one_more, decision) = hosts[1].ask().await;
             let other = engine(decision.as_ref());
             assert!(other.is_some() && other != engine(one.as_ref()), "{}", case.name);
-            // Its prompt was read long ago, and holds no prefill engine up.
+            // The prefill of that request finished long ago and occupies no prefill engine.
             assert!(has_prefill(decision.as_ref()), "{}", case.name);
             let (_ticket, decision) = hosts[1].ask().await;
             assert_eq!(engine(decision.as_ref()), None, "{}: both are full", case.name);
@@ -279,7 +281,7 @@
 }
 
 #[test]
-fn hosts_come_back_to_the_better_scheduler() {
+fn hosts_return_to_the_better_scheduler() {
     run_paused(async {
         let net = MemoryNet::new();
         let hosts = three_hosts(&net).await;
@@ -292,7 +294,8 @@
         tokio::time::sleep(Duration::from_secs(5)).await;
         cut(LinkMode::Open);
         tokio::time::sleep(Duration::from_secs(5)).await;
-        // All three decide with one desk again: the first host's own request is seen by the others.
+        // All three hosts use one scheduler again: the first host's own request is visible to the
+        // others.
         let (_first, one) = hosts[0].ask().await;
         let (_second, two) = hosts[1].ask().await;
         assert!(engine(one.as_ref()).is_some() && engine(two.as_ref()).is_some());
@@ -310,7 +313,7 @@
 }
 
 #[test]
-fn wide_links_come_first_and_all_hosts_agree() {
+fn hosts_rank_candidates_by_bandwidth_and_agree() {
     let cases = [
         RankCase { name: "one wide", service: "a", links: [20.0, 200.0, 20.0, 20.0], first: &[1] },
         RankCase {
@@ -346,7 +349,7 @@
     RateLimiter::for_backend_servers(1, HostClock::steady())
 }
 
-fn no_news() -> FleetBus {
+fn no_updates() -> FleetBus {
     FleetBus::new(BusHandlers::none(), HostClock::steady())
 }
 
