--- a/crates/dillspool_version/src/lib.rs
+++ b/crates/dillspool_version/src/lib.rs
@@ -1,4 +1,4 @@
-//! Versions of a store that may come back from a copy.
+//! Versions of a store that may be restored from a snapshot.
 
 mod store_version;
 
--- a/crates/dillspool_version/src/store_version.rs
+++ b/crates/dillspool_version/src/store_version.rs
@@ -1,31 +1,31 @@
-//! Orders what the store has acknowledged, also when it comes back from a copy.
+//! Orders the writes that the store has acknowledged, including across restores from a snapshot.
 //!
-//! A restored store gives out again the versions that it lost, so its numbers order nothing by themselves. Within an era they
-//! do, and every version of a later era is newer; `docs/design/store_eras.md` has the reasons.
+//! A restored store reuses the version numbers that it lost, so a number alone doesn't order writes. Numbers are
+//! ordered within an era, and every version of a later era is newer. See `docs/design/store_eras.md` for the reasons.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Bits of a version within its era; the era has the others. An order's fence, which is such a version, stays exact as
-/// a JSON number up to era 8,191.
+/// Low bits of a packed version, which hold the number within the era; the high bits hold the era. Fencing tokens of
+/// orders are packed versions and stay exact as JSON numbers up to era 8,191.
 const NUMBER_BITS: u32 = 40;
-/// Highest version within an era.
-const LAST_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
+/// Highest number within an era.
+const MAX_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
 /// Highest era.
-const LAST_ERA: u64 = (1 << (u64::BITS - NUMBER_BITS)) - 1;
+const MAX_ERA: u64 = (1 << (u64::BITS - NUMBER_BITS)) - 1;
 
-/// How often the store came back from a copy; 0 where it does not tell.
+/// Number of times the store was restored from a snapshot; 0 if the store doesn't report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreEra(u64);
 
 impl StoreEra {
-    /// The era of a number; numbers that are too high are the last era.
+    /// Creates an era, capping the number at the highest era.
     pub fn new(number: u64) -> Self {
-        Self(number.min(LAST_ERA))
+        Self(number.min(MAX_ERA))
     }
 
-    /// Its number.
+    /// Number of this era.
     pub fn number(self) -> u64 {
         self.0
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// A version of the store, newer than all of earlier eras; the default one is before all others.
+/// A version of the store, newer than all versions of earlier eras. The default is older than every other version.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize,
 )]
@@ -45,28 +45,28 @@
 pub struct StoreVersion(u64);
 
 impl StoreVersion {
-    /// The version that the store gave a number in an era.
+    /// Packs an era and the store's number within it, capping the number at the highest of the era.
     pub fn new(era: StoreEra, number: u64) -> Self {
-        Self(era.0 << NUMBER_BITS | number.min(LAST_NUMBER))
+        Self(era.0 << NUMBER_BITS | number.min(MAX_NUMBER))
     }
 
-    /// The era in which the store gave it.
+    /// The era in which the store assigned this version.
     pub fn era(self) -> StoreEra {
         StoreEra(self.0 >> NUMBER_BITS)
     }
 
-    /// The store's own number, which says nothing without the era.
+    /// The store's own number, which is meaningful only together with the era.
     pub fn number(self) -> u64 {
-        self.0 & LAST_NUMBER
+        self.0 & MAX_NUMBER
     }
 
-    /// Whether it is any version at all.
+    /// Whether this is a version that the store assigned, rather than the default.
     pub fn is_known(self) -> bool {
         self != Self::default()
     }
 }
 
-/// For messages between hosts, where it is one number.
+/// Unpacks the single number that messages between hosts carry.
 impl From<u64> for StoreVersion {
     fn from(packed: u64) -> Self {
         Self(packed)
@@ -79,7 +79,7 @@
     }
 }
 
-/// The number, behind the era where the store tells one.
+/// Formats as `era:number`, or as the number alone if the era is 0.
 impl fmt::Display for StoreVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.era() == StoreEra::default() {
--- a/crates/dillspool_version/tests/store_version.rs
+++ b/crates/dillspool_version/tests/store_version.rs
@@ -1,4 +1,4 @@
-//! Versions of one store and of the copies from which it came back.
+//! Ordering of store versions within an era and across restores.
 
 use dillspool_version::{StoreEra, StoreVersion};
 
@@ -6,21 +6,21 @@
     name: &'static str,
     older: (u64, u64),
     newer: (u64, u64),
-    /// How the newer one is written.
+    /// The newer version, formatted.
     text: &'static str,
 }
 
 #[test]
-fn versions_are_ordered_by_era_first() {
+fn versions_are_ordered_by_era_then_number() {
     let cases = [
         OrderCase { name: "no era", older: (0, 46), newer: (0, 47), text: "47" },
         OrderCase { name: "one era", older: (3, 46), newer: (3, 47), text: "3:47" },
-        OrderCase { name: "a copy", older: (3, 47), newer: (4, 28), text: "4:28" },
-        OrderCase { name: "an empty copy", older: (3, 47), newer: (4, 0), text: "4:0" },
-        OrderCase { name: "eras are told now", older: (0, 47), newer: (1, 28), text: "1:28" },
-        OrderCase { name: "none", older: (0, 0), newer: (0, 1), text: "1" },
+        OrderCase { name: "restored snapshot", older: (3, 47), newer: (4, 28), text: "4:28" },
+        OrderCase { name: "restored empty snapshot", older: (3, 47), newer: (4, 0), text: "4:0" },
+        OrderCase { name: "first reported era", older: (0, 47), newer: (1, 28), text: "1:28" },
+        OrderCase { name: "default version", older: (0, 0), newer: (0, 1), text: "1" },
         OrderCase {
-            name: "more versions than an era has",
+            name: "number above the highest of an era",
             older: (3, u64::MAX),
             newer: (4, 0),
             text: "4:0",
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_fence_is_an_exact_json_number() {
+fn fencing_tokens_are_exact_json_numbers() {
     let last_exact = StoreVersion::new(StoreEra::new(8_191), u64::MAX);
     assert!(u64::from(last_exact) < 1 << 53);
     let text = serde_json::to_string(&last_exact).expect("a number");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn only_the_default_is_no_version() {
+fn only_the_default_version_is_unknown() {
     assert!(!StoreVersion::default().is_known());
     assert!(StoreVersion::new(StoreEra::new(1), 0).is_known());
 }
