--- a/crates/dillspool_router/src/directory_tracker.rs
+++ b/crates/dillspool_router/src/directory_tracker.rs
@@ -66,8 +66,8 @@
         })
     }
 
-    /// Entry to publish: that of its row, as draining if the backend server announced that it is
-    /// leaving.
+    /// Entry to publish: that of its row, but draining if the backend server announced that it is
+    /// leaving or the row is not trusted.
     fn effective_entry(&self, leaving: &LeavingRegistry) -> Option<Arc<BackendEntry>> {
         let entry = self.entry.as_ref()?;
         if entry.is_ready() == self.is_ready(leaving) {
--- a/crates/dillspool_router/src/policy.rs
+++ b/crates/dillspool_router/src/policy.rs
@@ -5,7 +5,7 @@
 
 use crate::settings::SettingsError;
 
-/// Maximum of the reserved part of an estimate, and of deviations, mean lifetimes and weights:
+/// Upper bound of the reserved fraction of an estimate, and of deviations, lifetimes and weights:
 /// larger values would leave engines idle.
 const MAX_FACTOR: f64 = 4.0;
 /// Largest fraction of the remaining time that a refused caller may be told to wait before a retry;
--- a/crates/dillspool_router/src/retry_detector.rs
+++ b/crates/dillspool_router/src/retry_detector.rs
@@ -15,7 +15,7 @@
 
 /// Time after which a maximum budget that was not confirmed expires; callers change their budgets
 /// with their releases, not within minutes.
-const MAX_BUDGET_EXPIRY: Duration = Duration::from_mins(2);
+const BUDGET_EXPIRY: Duration = Duration::from_mins(2);
 /// Fraction of the maximum budget from which a request confirms it; the way to the host takes
 /// milliseconds out of seconds.
 const CONFIRMATION_RATIO: f64 = 0.98;
@@ -74,7 +74,7 @@
     /// attempts; zero if the request does not seem to be a retry.
     pub fn record_request(&self, route: &Name, remaining: Duration) -> Duration {
         self.with_route(route, remaining, |budgets, now| {
-            if remaining >= budgets.max_budget || budgets.confirmed_at + MAX_BUDGET_EXPIRY <= now {
+            if remaining >= budgets.max_budget || budgets.confirmed_at + BUDGET_EXPIRY <= now {
                 (budgets.max_budget, budgets.confirmed_at) = (remaining, now);
             } else if remaining >= budgets.max_budget.mul_f64(CONFIRMATION_RATIO) {
                 budgets.confirmed_at = now;
@@ -105,7 +105,7 @@
         let now = Instant::now();
         let mut routes = self.routes.lock().unwrap_or_else(PoisonError::into_inner);
         if routes.len() >= MAX_ROUTES {
-            routes.retain(|_route, budgets| budgets.confirmed_at + MAX_BUDGET_EXPIRY > now);
+            routes.retain(|_route, budgets| budgets.confirmed_at + BUDGET_EXPIRY > now);
         }
         let zero = DecayingCounter::zero(now);
         let empty =
--- a/crates/dillspool_router/src/sources.rs
+++ b/crates/dillspool_router/src/sources.rs
@@ -124,7 +124,8 @@
     (all_registered && !rows.is_empty()).then_some(rows.len())
 }
 
-/// Selects the first host of all large failure domains, and the first one of another large domain.
+/// Selects the first host of all large failure domains, and the first one of another large domain
+/// or, if there is none, the second host.
 fn choose_roots(rows: &[HostRow]) -> Vec<SocketAddr> {
     let is_large = |row: &&HostRow| {
         let domain_rows = rows.iter().filter(|other| other.failure_domain == row.failure_domain);
