--- a/crates/dillspool_scheduler/src/call_scheduler/state.rs
+++ b/crates/dillspool_scheduler/src/call_scheduler/state.rs
@@ -124,8 +124,8 @@
         if decision == CallDecision::Wait {
             // A call that goes ahead of others may leave them too little time.
             decided = self.poll_queue(name);
-            if let Some(place) = decided.iter().position(|(decided, _decision)| *decided == id) {
-                decision = decided.swap_remove(place).1;
+            if let Some(index) = decided.iter().position(|(decided, _decision)| *decided == id) {
+                decision = decided.swap_remove(index).1;
             }
         }
         let waiter = (decision == CallDecision::Wait).then_some(waiter);
@@ -150,12 +150,12 @@
 
     pub(super) fn remove_link(&mut self, name: &Name, number: u64) -> Decided {
         let now = self.clock.now();
-        let gone = self
+        let removed = self
             .calls
             .extract_if(|id, record| record.service == *name && id.0 >> TICKET_BITS == number);
-        let gone: Vec<_> = gone.map(|(id, _record)| id).collect();
+        let removed: Vec<_> = removed.map(|(id, _record)| id).collect();
         if let Some(service) = self.services.get_mut(name) {
-            for id in gone {
+            for id in removed {
                 service.queue.forget(id, now);
             }
         }
@@ -214,7 +214,7 @@
     directory: &DirectoryView,
 ) -> BTreeMap<Name, ServiceView> {
     let is_subset = |name: &Name| {
-        directory.subset.as_ref().is_some_and(|part| part.for_class(name).sampling_bits > 0)
+        directory.subset.as_ref().is_some_and(|subset| subset.for_class(name).sampling_bits > 0)
     };
     let plain = config.services.values().filter(|service| service.engine.is_none());
     let mut views: BTreeMap<_, _> = plain
--- a/crates/dillspool_scheduler/src/call_wire.rs
+++ b/crates/dillspool_scheduler/src/call_wire.rs
@@ -82,7 +82,7 @@
 /// Decodes a decision; `None` for a message that has none.
 pub(crate) fn decision_from_wire(message: ScheduleCallDecision) -> Option<CallDecision> {
     if let Some(id) = message.backend {
-        return Some(CallDecision::Send { backend: started(id, message.start) });
+        return Some(CallDecision::Send { backend: decode_instance(id, message.start) });
     }
     if let Some(rejected) = message.rejected {
         let cause = match rejected {
@@ -112,7 +112,7 @@
 
 /// Decodes the request, backend server and elapsed time of a call that is already in flight.
 pub(crate) fn held_from_wire(held: ScheduleCallHeld) -> (CallRequest, BackendInstance, Duration) {
-    let backend = started(held.backend, held.start);
+    let backend = decode_instance(held.backend, held.start);
     (request_from_wire(held.request), backend, Duration::from_millis(held.ran_ms))
 }
 
@@ -140,6 +140,6 @@
     (end, Duration::from_millis(message.took_ms))
 }
 
-fn started(id: Name, start: Option<u64>) -> BackendInstance {
+fn decode_instance(id: Name, start: Option<u64>) -> BackendInstance {
     BackendInstance { id, start: start.map(BackendStart) }
 }
--- a/crates/dillspool_scheduler/src/fleet_bus.rs
+++ b/crates/dillspool_scheduler/src/fleet_bus.rs
@@ -232,13 +232,13 @@
         let age_ms = |at| millis(self.clock.since(at));
         match update {
             FleetUpdate::Suspect(update) => {
-                let (print, backend, at) = match update {
+                let (fingerprint, backend, at) = match update {
                     SuspectUpdate::Crashed(end) => {
                         (end.fingerprint, Some(Name::clone(&end.backend)), end.at)
                     }
-                    SuspectUpdate::Succeeded { fingerprint: print, at } => (*print, None, *at),
+                    SuspectUpdate::Succeeded { fingerprint, at } => (*fingerprint, None, *at),
                 };
-                let (print, age_ms) = (print.to_string().into(), age_ms(at));
+                let (print, age_ms) = (fingerprint.to_string().into(), age_ms(at));
                 ScheduleMessage::Suspect(ScheduleSuspect { print, backend, age_ms })
             }
             FleetUpdate::Throttle(update) => ScheduleMessage::Throttle(ScheduleThrottle {
@@ -256,12 +256,12 @@
     }
 
     fn decode_suspect(&self, message: ScheduleSuspect) -> Result<SuspectUpdate, String> {
-        let print = message.print.parse().map_err(|error| format!("{error}"))?;
+        let fingerprint = message.print.parse().map_err(|error| format!("{error}"))?;
         let at = self.reported_at(message.age_ms);
         match message.backend {
-            None => Ok(SuspectUpdate::Succeeded { fingerprint: print, at }),
+            None => Ok(SuspectUpdate::Succeeded { fingerprint, at }),
             Some(backend) if is_backend_name(&backend) => {
-                Ok(SuspectUpdate::Crashed(BackendCrash { fingerprint: print, backend, at }))
+                Ok(SuspectUpdate::Crashed(BackendCrash { fingerprint, backend, at }))
             }
             Some(_unnamed) => Err(BAD_BACKEND_NAME.to_owned()),
         }
--- a/crates/dillspool_scheduler/src/placement_scheduler.rs
+++ b/crates/dillspool_scheduler/src/placement_scheduler.rs
@@ -216,7 +216,7 @@
             }
             loop {
                 let waited = self.with(|state| !state.waiters.is_empty());
-                let look = async {
+                let poll_timer = async {
                     if waited {
                         tokio::time::sleep(POLL_INTERVAL).await;
                     } else {
@@ -227,7 +227,7 @@
                     changed = config.changed() => if changed.is_err() { return } else { break },
                     changed = directory.changed() => if changed.is_err() { return } else { break },
                     () = self.changed.notified() => self.notify_waiters(),
-                    () = look => self.notify_waiters(),
+                    () = poll_timer => self.notify_waiters(),
                     () = cancel.cancelled() => return,
                 }
             }
