--- a/crates/dillspool_config/src/check.rs
+++ b/crates/dillspool_config/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks that the parts of a configuration fit together.
+//! Validates that the sections of a configuration are consistent.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 
 use crate::ConfigError;
 
-/// Highest priority number; few classes keep the bound against starvation small.
+/// Highest priority number; a small number of classes keeps the starvation bound low.
 const MAX_PRIORITY: u32 = 7;
-/// Weights are given in hundredths.
-const FULL_WEIGHT: u32 = 100;
+/// Highest weight or percentage.
+const MAX_PERCENT: u32 = 100;
 
 type CheckFn = fn(&Configuration, &mut Vec<String>);
 
-/// Each check adds its problems; all run, so that one pass shows every problem.
+/// Checks that each append their problems. All of them run, so that one pass reports every problem.
 const CHECKS: [CheckFn; 6] =
     [check_policy, check_groups, check_keys, check_pools, check_backends, check_routes];
 
-/// Checks a whole configuration.
+/// Validates a whole configuration.
 ///
 /// # Errors
 ///
@@ -42,16 +42,16 @@
             problems.push(format!("a {what} has an empty name: give it one"));
         }
         if !seen.insert(name) {
-            problems.push(format!("{what} `{name}` stands twice: rename or remove one"));
+            problems.push(format!("{what} `{name}` is declared twice: rename or remove one"));
         }
     }
 }
 
 fn check_policy(configuration: &Configuration, problems: &mut Vec<String>) {
-    if configuration.policy.goodput_weight > FULL_WEIGHT {
+    if configuration.policy.goodput_weight > MAX_PERCENT {
         problems.push("policy.goodput_weight is over 100: give 0 to 100".to_owned());
     }
-    if configuration.policy.retry_percent > FULL_WEIGHT {
+    if configuration.policy.retry_percent > MAX_PERCENT {
         problems.push("policy.retry_percent is over 100: give 0 to 100".to_owned());
     }
 }
@@ -82,8 +82,9 @@
     for hash in hashes {
         let hexadecimal = hash.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
         if hash.len() != HASH_LENGTH || !hexadecimal {
-            problems
-                .push(format!("`{hash}` is no key hash: take the output of `dillspool hash-key`"));
+            problems.push(format!(
+                "`{hash}` is not a key hash: use the output of `dillspool hash-key`"
+            ));
         }
     }
 }
--- a/crates/dillspool_config/src/delta.rs
+++ b/crates/dillspool_config/src/delta.rs
@@ -8,14 +8,14 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::parse::sort;
+use crate::parse::sort_entries;
 
-/// Entries of one kind that were added or changed, and names that were removed.
+/// Entries of one section that were added or changed, and the names of those removed.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct SectionDelta<T> {
-    /// Entries as they are after the change.
+    /// Added and changed entries, as they are after the change.
     pub set: Vec<T>,
-    /// Names that are gone.
+    /// Names of removed entries.
     pub removed: Vec<Name>,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// What changes from one version to the next; meaningful only on its base.
+/// The changes from one version to the next; valid only when applied to its base version.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct ConfigDelta {
     /// The policy, if it changed.
@@ -70,7 +70,7 @@
 }
 
 impl ConfigDelta {
-    /// What changes from `base` to `next`.
+    /// Computes the changes from `base` to `next`.
     pub fn between(base: &Configuration, next: &Configuration) -> Self {
         Self {
             policy: (base.policy != next.policy).then(|| next.policy.clone()),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The configuration that follows `base`.
+    /// Applies the changes to `base` and returns the next configuration in canonical order.
     pub fn apply(&self, base: &Configuration) -> Configuration {
         let mut next = Configuration {
             policy: self.policy.clone().unwrap_or_else(|| base.policy.clone()),
@@ -90,7 +90,7 @@
             backend: apply_section(&base.backend, &self.backend, |entry| &entry.name),
             route: apply_section(&base.route, &self.route, |entry| &entry.prefix),
         };
-        sort(&mut next);
+        sort_entries(&mut next);
         next
     }
 
@@ -103,26 +103,26 @@
             && self.route.is_empty()
     }
 
-    /// One line for each change, for `dillspool diff` and the audit trail.
+    /// Returns one line per change, for `dillspool diff` and the audit trail.
     pub fn summary_lines(&self) -> Vec<String> {
         let mut lines = Vec::new();
         if self.policy.is_some() {
             lines.push("~ policy".to_owned());
         }
-        add_lines(&mut lines, "group", &self.group, |entry| &entry.name);
-        add_lines(&mut lines, "pool", &self.pool, |entry| &entry.name);
-        add_lines(&mut lines, "backend", &self.backend, |entry| &entry.name);
-        add_lines(&mut lines, "route", &self.route, |entry| &entry.prefix);
+        append_section_lines(&mut lines, "group", &self.group, |entry| &entry.name);
+        append_section_lines(&mut lines, "pool", &self.pool, |entry| &entry.name);
+        append_section_lines(&mut lines, "backend", &self.backend, |entry| &entry.name);
+        append_section_lines(&mut lines, "route", &self.route, |entry| &entry.prefix);
         lines
     }
 }
 
-fn add_lines<T>(
+fn append_section_lines<T>(
     lines: &mut Vec<String>,
-    what: &str,
+    section_name: &str,
     section: &SectionDelta<T>,
     name: fn(&T) -> &Name,
 ) {
-    lines.extend(section.set.iter().map(|entry| format!("~ {what} {}", name(entry))));
-    lines.extend(section.removed.iter().map(|name| format!("- {what} {name}")));
+    lines.extend(section.set.iter().map(|entry| format!("~ {section_name} {}", name(entry))));
+    lines.extend(section.removed.iter().map(|name| format!("- {section_name} {name}")));
 }
--- a/crates/dillspool_config/src/error.rs
+++ b/crates/dillspool_config/src/error.rs
@@ -1,8 +1,8 @@
-//! What is wrong with a configuration or a settings file.
+//! Errors of configuration and settings files.
 
 use snafu::Snafu;
 
-/// A file that cannot be taken, with the remedy.
+/// Why a configuration or settings file was rejected, and how to correct it.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigError {
@@ -11,10 +11,10 @@
     Read {
         /// Path of the file.
         path: String,
-        /// What the system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The text is no TOML, or has a field that is unknown or of another type.
+    /// The text is not valid TOML, or a field is unknown or has the wrong type.
     #[snafu(display(
         "{path}: {message}remedy: correct the line shown, or see docs/operators/configuration.md"
     ))]
@@ -24,18 +24,20 @@
         /// The parser's message, with line and column.
         message: String,
     },
-    /// The parts do not fit together.
+    /// The sections are inconsistent, or a value is out of range.
     #[snafu(display("{path}: {}", problems.join("; ")))]
     Invalid {
         /// Path of the file.
         path: String,
-        /// Each problem with its remedy.
+        /// All problems, each with its remedy.
         problems: Vec<String>,
     },
-    /// A delta or a transfer does not lead to the digest it promised.
-    #[snafu(display("the configuration of version {version} has another digest; read it whole"))]
+    /// Applying a delta or completing a transfer produced another digest than the announced one.
+    #[snafu(display(
+        "digest mismatch for configuration version {version}; fetch the full configuration"
+    ))]
     Digest {
-        /// Version that was to be reached.
+        /// Target version.
         version: u64,
     },
 }
--- a/crates/dillspool_config/src/lib.rs
+++ b/crates/dillspool_config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Declared configuration and host settings: parsing, checks, versions and deltas.
+//! Declared configuration and host settings: parsing, validation, versions and deltas.
 //!
-//! A configuration is applied as a whole, under a version that only grows. Between versions it
-//! travels as a delta bound to its base. See `docs/design/configuration.md`.
+//! A configuration is applied atomically under a version that only increases. Changes between
+//! versions are sent as deltas, each of which applies to one base version. See `docs/design/configuration.md`.
 
 mod check;
 mod delta;
--- a/crates/dillspool_config/src/parse.rs
+++ b/crates/dillspool_config/src/parse.rs
@@ -1,4 +1,4 @@
-//! From TOML text to a checked configuration in canonical order.
+//! Parses TOML text into a validated configuration in canonical order.
 
 use dillspool_schema::configuration::Configuration;
 
@@ -6,7 +6,7 @@
 use crate::check::check_configuration;
 use crate::error::SyntaxSnafu;
 
-/// Parses and checks a declared configuration; `path` is only named in messages.
+/// Parses and validates a declared configuration. `path` is used only in error messages.
 ///
 /// # Errors
 ///
@@ -18,13 +18,13 @@
             return SyntaxSnafu { path, message: error.to_string() }.fail();
         }
     };
-    sort(&mut configuration);
+    sort_entries(&mut configuration);
     check_configuration(path, &configuration)?;
     Ok(configuration)
 }
 
-/// Orders all entries by name, so that equal configurations have equal digests.
-pub(crate) fn sort(configuration: &mut Configuration) {
+/// Sorts the entries of each section by name, so that equal configurations have equal digests.
+pub(crate) fn sort_entries(configuration: &mut Configuration) {
     configuration.group.sort_by(|a, b| a.name.cmp(&b.name));
     configuration.pool.sort_by(|a, b| a.name.cmp(&b.name));
     configuration.backend.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/dillspool_config/src/settings.rs
+++ b/crates/dillspool_config/src/settings.rs
@@ -10,39 +10,39 @@
 use crate::ConfigError;
 use crate::error::{InvalidSnafu, ReadSnafu, SyntaxSnafu};
 
-/// Shortest peer key that is taken, in bytes.
+/// Minimum length of a peer key.
 const MIN_PEER_KEY_BYTES: usize = 16;
 
-/// The addresses of a settings file, parsed.
+/// Parsed addresses of a settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct HostAddresses {
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Where other hosts connect.
+    /// Listen address for other hosts.
     pub peers: SocketAddr,
-    /// The table service.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// The object store.
+    /// Address of the object store.
     pub objects: SocketAddr,
-    /// The host list.
+    /// Address of the host list service.
     pub hosts: SocketAddr,
 }
 
 impl HostAddresses {
-    /// Parses all addresses of the settings.
+    /// Parses all addresses of the settings. `path` is used only in error messages.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::Invalid`] naming each address that is none.
+    /// [`ConfigError::Invalid`] with every address that is malformed.
     pub fn from_settings(path: &str, settings: &HostSettings) -> Result<Self, ConfigError> {
         let mut problems = Vec::new();
-        let unset = SocketAddr::from(([0, 0, 0, 0], 0));
+        let placeholder = SocketAddr::from(([0, 0, 0, 0], 0));
         let mut parse = |field: &str, text: &str| {
             text.parse().unwrap_or_else(|_ignored| {
                 problems.push(format!("{field} is `{text}`: give IP number and port"));
-                unset
+                placeholder
             })
         };
         let addresses = Self {
@@ -57,22 +57,22 @@
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads, parses and validates a settings file.
 ///
 /// # Errors
 ///
-/// [`ConfigError`] with the remedy.
+/// [`ConfigError`] with the remedy, when the settings are rejected.
 pub fn load_settings(path: &Path) -> Result<HostSettings, ConfigError> {
-    let shown = path.display().to_string();
-    let text = std::fs::read_to_string(path).context(ReadSnafu { path: &shown })?;
-    parse_settings(&shown, &text)
+    let display_path = path.display().to_string();
+    let text = std::fs::read_to_string(path).context(ReadSnafu { path: &display_path })?;
+    parse_settings(&display_path, &text)
 }
 
-/// Parses and checks the text of a settings file; `path` is only named in messages.
+/// Parses and validates the text of a settings file. `path` is used only in error messages.
 ///
 /// # Errors
 ///
-/// [`ConfigError`] with the remedy.
+/// [`ConfigError`] with the remedy, when the settings are rejected.
 pub fn parse_settings(path: &str, text: &str) -> Result<HostSettings, ConfigError> {
     let settings = match toml::from_str::<HostSettings>(text) {
         Ok(settings) => settings,
@@ -81,26 +81,26 @@
         }
     };
     HostAddresses::from_settings(path, &settings)?;
-    let problems = settings_problems(&settings);
+    let problems = validate_settings(&settings);
     if problems.is_empty() { Ok(settings) } else { InvalidSnafu { path, problems }.fail() }
 }
 
-fn settings_problems(settings: &HostSettings) -> Vec<String> {
+fn validate_settings(settings: &HostSettings) -> Vec<String> {
     let mut problems = Vec::new();
-    let valid = |byte: u8| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'-');
-    if settings.host.is_empty() || !settings.host.bytes().all(valid) {
+    let is_valid = |byte: u8| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'-');
+    if settings.host.is_empty() || !settings.host.bytes().all(is_valid) {
         problems.push(format!(
             "host is `{}`: use lower case letters, digits and hyphens",
             settings.host
         ));
     }
     if settings.keys.peer_key.expose().len() < MIN_PEER_KEY_BYTES {
-        problems.push(format!("keys.peer_key is short: give at least {MIN_PEER_KEY_BYTES} bytes"));
+        problems.push(format!("keys.peer_key is short: use at least {MIN_PEER_KEY_BYTES} bytes"));
     }
     for operator in &settings.keys.operators {
         if operator.key_hash.len() != HASH_LENGTH {
             problems.push(format!(
-                "operator `{}` has no key hash: take the output of `dillspool hash-key`",
+                "operator `{}` has no valid key hash: use the output of `dillspool hash-key`",
                 operator.name
             ));
         }
--- a/crates/dillspool_config/src/snapshot.rs
+++ b/crates/dillspool_config/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! One version of the configuration, indexed for the request path.
+//! One version of the configuration, indexed for lookups on the request path.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Number of a configuration; grows by one with each accepted change, 0 before the first.
+/// Version number of a configuration: 0 before the first, incremented by each accepted change.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize,
 )]
@@ -24,19 +24,19 @@
     }
 }
 
-/// The digest of a configuration in canonical order.
+/// Returns the SHA-256 digest, in hexadecimal, of a configuration in canonical order.
 pub fn digest_configuration(configuration: &Configuration) -> Name {
-    // Plain structs of numbers and texts always serialize.
+    // Serialization can't fail: the structs hold only numbers, strings and lists.
     let bytes = serde_json::to_vec(configuration).unwrap_or_default();
     hex::encode(Sha256::digest(bytes)).into()
 }
 
-/// A configuration in force, with the look-ups that requests need.
+/// A committed configuration, with the lookups that request handling needs.
 #[derive(Debug)]
 pub struct ConfigSnapshot {
-    /// Version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Digest of the whole.
+    /// Digest of the whole configuration.
     pub digest: Name,
     /// The configuration itself.
     pub configuration: Configuration,
@@ -44,7 +44,7 @@
 }
 
 impl ConfigSnapshot {
-    /// Indexes a configuration.
+    /// Computes the digest of a configuration and indexes its caller keys.
     pub fn new(version: ConfigVersion, configuration: Configuration) -> Self {
         let mut group_by_key = BTreeMap::new();
         for (index, group) in configuration.group.iter().enumerate() {
@@ -56,30 +56,30 @@
         Self { version, digest, configuration, group_by_key }
     }
 
-    /// The group that a caller's key belongs to.
+    /// Looks up the group that a caller's key belongs to.
     pub fn group_of_key(&self, key: &CallerKey) -> Option<&GroupEntry> {
         let index = self.group_by_key.get(key.digest())?;
         self.configuration.group.get(*index)
     }
 
-    /// A group by name.
+    /// Looks up a group by name.
     pub fn group(&self, name: &str) -> Option<&GroupEntry> {
         let groups = &self.configuration.group;
         let index = groups.binary_search_by(|group| (*group.name).cmp(name)).ok()?;
         groups.get(index)
     }
 
-    /// Pools that serve a model.
+    /// Iterates over the pools that serve a model.
     pub fn pools_of_model<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a PoolEntry> {
         self.configuration.pool.iter().filter(move |pool| &*pool.model == model)
     }
 
-    /// A pool by name.
+    /// Looks up a pool by name.
     pub fn pool(&self, name: &str) -> Option<&PoolEntry> {
         self.configuration.pool.iter().find(|pool| &*pool.name == name)
     }
 
-    /// Backend servers of a pool or service in one role.
+    /// Iterates over the backend servers of a pool or service that have a role.
     pub fn backends<'a>(
         &'a self,
         pool: &'a str,
@@ -91,25 +91,25 @@
             .filter(move |backend| &*backend.pool == pool && backend.role == role)
     }
 
-    /// A backend server by name.
+    /// Looks up a backend server by name.
     pub fn backend(&self, name: &str) -> Option<&BackendEntry> {
         let backends = &self.configuration.backend;
         let index = backends.binary_search_by(|backend| (*backend.name).cmp(name)).ok()?;
         backends.get(index)
     }
 
-    /// The route with the longest prefix of a path.
+    /// Looks up the route with the longest prefix that matches a path.
     pub fn route(&self, path: &str) -> Option<&RouteEntry> {
         self.configuration
             .route
             .iter()
-            .filter(|route| takes(&route.prefix, path))
+            .filter(|route| matches_prefix(&route.prefix, path))
             .max_by_key(|route| route.prefix.len())
     }
 }
 
-/// Whether a route's prefix is the path or a folder above it.
-fn takes(prefix: &str, path: &str) -> bool {
+/// Whether a route's prefix matches a path, in whole path segments.
+fn matches_prefix(prefix: &str, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else { return false };
     rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/')
 }
--- a/crates/dillspool_config/src/store.rs
+++ b/crates/dillspool_config/src/store.rs
@@ -1,7 +1,7 @@
-//! Configuration in the platform's table and object store.
+//! Stores configurations in the platform's table and object store.
 //!
-//! The row `config/head` is the one commit record: it names version, digest and base, and changes
-//! only by compare-and-set, in one transaction with its audit row. See
+//! The row `config/head` is the only commit record. It holds the version, digest and base, and
+//! changes only by compare-and-set, in one transaction with the audit row of the change. See
 //! `docs/design/configuration.md`.
 
 use std::time::Duration;
@@ -21,25 +21,26 @@
 
 /// Key of the commit record.
 const HEAD_KEY: &str = "config/head";
-/// Prefix of the audit rows; a fixed width keeps them in order.
+/// Key prefix of the audit rows. The version follows with a fixed width, so that keys sort by
+/// version.
 const AUDIT_PREFIX: &str = "audit/";
-/// How often an unclear commit is settled before the operator is told that it is unclear.
-const SETTLE_TRIES: u32 = 20;
-/// Pause between two tries to settle.
-const SETTLE_PAUSE: Duration = Duration::from_millis(250);
+/// Commit attempts before a commit of unknown outcome is reported to the operator as such.
+const MAX_COMMIT_ATTEMPTS: u32 = 20;
+/// Delay between commit attempts.
+const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The commit record of the newest configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ConfigHead {
     /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Digest of the whole.
+    /// Digest of the whole configuration.
     pub digest: Name,
-    /// Version that the stored delta is bound to; 0 for none.
+    /// Base version of the stored delta; 0 if there is none.
     pub base: ConfigVersion,
-    /// Token of the attempt that wrote the record.
+    /// Unique token of the apply attempt that wrote the record.
     pub token: Name,
-    /// Operator who applied it.
+    /// Operator who applied the configuration.
     pub operator: Name,
 }
 
@@ -48,58 +49,58 @@
 pub struct AuditRow {
     /// Operator who made the change.
     pub operator: Name,
-    /// When.
+    /// Time of the change.
     pub at: UnixMillis,
-    /// Version before.
+    /// Version before the change.
     pub from: ConfigVersion,
-    /// Version after.
+    /// Version after the change.
     pub to: ConfigVersion,
-    /// Token of the attempt.
+    /// Unique token of the apply attempt.
     pub token: Name,
-    /// What changed, a line each.
+    /// Summary of the change, one line per entry.
     pub changes: Vec<String>,
 }
 
-/// A configuration that was committed.
+/// Result of applying a configuration.
 #[derive(Clone, Debug)]
 pub struct AppliedConfig {
-    /// Version that it got.
+    /// Version of the configuration after the call.
     pub version: ConfigVersion,
-    /// What changed, a line each; empty when nothing did.
+    /// Summary of the changes, one line per entry; empty when the configuration is unchanged.
     pub changes: Vec<String>,
 }
 
 /// Why a configuration was not applied.
 #[derive(Debug, Snafu)]
 pub enum ApplyError {
-    /// Another operator's change came first.
+    /// Another operator's change was committed first.
     #[snafu(display(
-        "version {version} by `{winner}` came first; look at it with `dillspool diff`, then apply again"
+        "version {version} by `{winner}` was committed first; review it with `dillspool diff`, then apply again"
     ))]
     LostRace {
-        /// Operator whose change won.
+        /// Operator whose change was committed.
         winner: Name,
         /// Version in the table.
         version: ConfigVersion,
     },
-    /// The platform refused.
-    #[snafu(display("nothing was changed: {source}"))]
+    /// The platform rejected the call or couldn't be reached.
+    #[snafu(display("the configuration was not changed: {source}"))]
     NotApplied {
-        /// What the platform said.
+        /// The platform's error.
         source: PlatformError,
     },
-    /// It could not be found out whether the change took effect.
+    /// The outcome of the commit is unknown.
     #[snafu(display(
-        "it is unclear whether version {version} took effect; see `dillspool status`"
+        "cannot determine whether version {version} took effect; check `dillspool status`"
     ))]
     Unclear {
-        /// Version that was tried.
+        /// Version that was to be committed.
         version: ConfigVersion,
     },
-    /// What the table and the object store hold does not fit.
+    /// The stored configuration is missing, malformed or has the wrong digest.
     #[snafu(display("the stored configuration cannot be read: {reason}; restore the object"))]
     Corrupt {
-        /// What does not fit.
+        /// Which check failed.
         reason: String,
     },
 }
@@ -118,12 +119,12 @@
 }
 
 impl ConfigStore {
-    /// A store over the platform's services.
+    /// Creates a store backed by the platform's table and object store.
     pub fn new(table: TableStore, objects: ObjectStore, clock: WallClock) -> Self {
         Self { table, objects, clock }
     }
 
-    /// The newest commit record, `None` before the first.
+    /// Reads the newest commit record; `None` before the first commit.
     ///
     /// # Errors
     ///
@@ -141,11 +142,11 @@
         }
     }
 
-    /// Reads the configuration that a commit record names, as a delta where `current` is its base.
+    /// Reads the configuration that a commit record refers to, as a delta if `current` is its base.
     ///
     /// # Errors
     ///
-    /// [`ApplyError`] when the store does not answer or the digest does not fit.
+    /// [`ApplyError`] when the store does not answer or the digest differs.
     pub async fn fetch(
         &self,
         head: &ConfigHead,
@@ -157,9 +158,12 @@
         {
             return Ok(snapshot);
         }
-        let text = self.object(full_key(&head.digest)).await?;
+        let text = self.get_object(full_key(&head.digest)).await?;
         let Some(text) = text else {
-            return CorruptSnafu { reason: format!("no object for {}", head.digest) }.fail();
+            return CorruptSnafu {
+                reason: format!("object with digest {} is missing", head.digest),
+            }
+            .fail();
         };
         let configuration = match serde_json::from_str(&text) {
             Ok(configuration) => configuration,
@@ -169,18 +173,22 @@
         };
         let snapshot = ConfigSnapshot::new(head.version, configuration);
         if snapshot.digest != head.digest {
-            return CorruptSnafu { reason: format!("digest of {} differs", head.version) }.fail();
+            return CorruptSnafu {
+                reason: format!("digest mismatch for version {}", head.version),
+            }
+            .fail();
         }
         Ok(snapshot)
     }
 
-    /// A delta that does not lead to the promised digest is left aside: the full read recovers.
+    /// Reads and applies the delta. `None` if it is missing, malformed or leads to another digest, in which case the
+    /// caller falls back to the full configuration.
     async fn fetch_delta(
         &self,
         head: &ConfigHead,
         current: &ConfigSnapshot,
     ) -> Result<Option<ConfigSnapshot>, ApplyError> {
-        let Some(text) = self.object(delta_key(head.base, &head.digest)).await? else {
+        let Some(text) = self.get_object(delta_key(head.base, &head.digest)).await? else {
             return Ok(None);
         };
         let Ok(delta) = serde_json::from_str::<ConfigDelta>(&text) else {
@@ -190,19 +198,20 @@
         Ok((snapshot.digest == head.digest).then_some(snapshot))
     }
 
-    async fn object(&self, key: Name) -> Result<Option<String>, ApplyError> {
+    async fn get_object(&self, key: Name) -> Result<Option<String>, ApplyError> {
         let reply = (self.objects.get)(key).await.context(NotAppliedSnafu)?;
         Ok(reply.text)
     }
 
     /// Commits a configuration as the version after `expected`.
     ///
-    /// Without `expected` the change is made on whatever is newest when it is read. `token` names
-    /// this attempt and must never be used for another.
+    /// Without `expected`, the change is based on the newest version at the time of the read. `token`
+    /// identifies this attempt and must never be reused.
     ///
     /// # Errors
     ///
-    /// [`ApplyError::LostRace`] names the operator who came first.
+    /// [`ApplyError::LostRace`] with the operator whose change was committed first, and the other
+    /// variants when the store fails.
     pub async fn apply(
         &self,
         expected: Option<ConfigVersion>,
@@ -230,7 +239,7 @@
         self.put_objects(from, &digest, next, delta.as_ref()).await?;
         let to = ConfigVersion(from.0 + 1);
         let changes =
-            delta.map_or_else(|| vec!["+ first version".to_owned()], |it| it.summary_lines());
+            delta.map_or_else(|| vec!["+ first version".to_owned()], |delta| delta.summary_lines());
         let head = ConfigHead {
             version: to,
             digest,
@@ -246,12 +255,12 @@
         Ok(AppliedConfig { version: to, changes })
     }
 
-    /// Writes a configuration again that hosts act on and the store has lost, since it came back from a copy; false
-    /// where it has not.
+    /// Rewrites the configuration in use if the store lost it when it was restored from an older snapshot. Returns
+    /// whether it had to.
     ///
     /// # Errors
     ///
-    /// [`ApplyError`] when the store does not answer, or an operator's change came first.
+    /// [`ApplyError`] when the store does not answer, or an operator's change was committed first.
     pub async fn restore(&self, current: &ConfigSnapshot) -> Result<bool, ApplyError> {
         let before = self.head_row().await?;
         let from = before.as_ref().map_or(ConfigVersion(0), |row| row.head.version);
@@ -261,7 +270,7 @@
         let ConfigSnapshot { version: to, digest, .. } = current;
         self.put_objects(from, digest, &current.configuration, None).await?;
         let row_version = before.as_ref().map(|row| row.row_version).unwrap_or_default();
-        // All hosts that write this row again write the same.
+        // The token is deterministic, so that all hosts which restore this row write the same token.
         let token: Name = format!("again.{to}.{digest}.{row_version}").into();
         let operator = Name::from("dillspool");
         let head = ConfigHead {
@@ -295,8 +304,8 @@
         (self.objects.put)(put).await.context(NotAppliedSnafu)
     }
 
-    /// Commits head and audit row; an unclear answer is settled by committing again on the same
-    /// condition, which can take effect only once, and by reading back the attempt's token.
+    /// Commits the head and its audit row. If the outcome is unknown, it retries with the same
+    /// precondition, which can succeed only once, and identifies its own commit by the token.
     async fn commit_head(
         &self,
         head: &ConfigHead,
@@ -307,21 +316,21 @@
             row_write(HEAD_KEY.into(), expect, head),
             row_write(audit_key(head.version), RowPrecondition::Absent, audit),
         ];
-        let mut unclear = false;
-        for attempt in 0..SETTLE_TRIES {
+        let mut may_be_committed = false;
+        for attempt in 0..MAX_COMMIT_ATTEMPTS {
             if attempt > 0 {
-                tokio::time::sleep(SETTLE_PAUSE).await;
+                tokio::time::sleep(COMMIT_RETRY_DELAY).await;
             }
             match self.table.commit(writes.clone()).await {
                 Ok(CommitReply::Committed) => return Ok(()),
                 Ok(CommitReply::Conflict(_)) => {
-                    if let Ok(outcome) = self.settle_conflict(head).await {
+                    if let Ok(outcome) = self.resolve_conflict(head).await {
                         return outcome;
                     }
-                    unclear = true;
+                    may_be_committed = true;
                 }
-                Err(PlatformError::Unknown { .. }) => unclear = true,
-                Err(source @ PlatformError::NotDone { .. }) if !unclear => {
+                Err(PlatformError::Unknown { .. }) => may_be_committed = true,
+                Err(source @ PlatformError::NotDone { .. }) if !may_be_committed => {
                     return Err(ApplyError::NotApplied { source });
                 }
                 Err(PlatformError::NotDone { .. }) => {}
@@ -330,8 +339,9 @@
         UnclearSnafu { version: head.version }.fail()
     }
 
-    /// After a conflict the audit row of the version tells whose change it is.
-    async fn settle_conflict(
+    /// Reads the audit row of the version after a conflict, to learn whether this attempt or another one
+    /// committed it.
+    async fn resolve_conflict(
         &self,
         head: &ConfigHead,
     ) -> Result<Result<(), ApplyError>, PlatformError> {
@@ -340,11 +350,14 @@
         Ok(match audit {
             Some(audit) if audit.token == head.token => Ok(()),
             Some(audit) => LostRaceSnafu { winner: audit.operator, version: audit.to }.fail(),
-            None => CorruptSnafu { reason: format!("no audit row of {}", head.version) }.fail(),
+            None => {
+                CorruptSnafu { reason: format!("audit row of version {} is missing", head.version) }
+                    .fail()
+            }
         })
     }
 
-    /// The newest `limit` rows of the audit trail after a version, oldest first.
+    /// Reads the newest `limit` audit rows after a version, oldest first.
     ///
     /// # Errors
     ///
--- a/crates/dillspool_config/tests/apply_interleavings.rs
+++ b/crates/dillspool_config/tests/apply_interleavings.rs
@@ -1,4 +1,4 @@
-//! Operators who race one another while the table fails: one commit for each version.
+//! Concurrent applies while the table fails: each version is committed exactly once.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,22 +14,22 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-struct OperatorMove {
+struct ApplyAttempt {
     at_ms: u64,
     share: u32,
 }
 
 #[derive(Clone, Debug)]
 struct ApplyRace {
-    moves: Vec<OperatorMove>,
+    attempts: Vec<ApplyAttempt>,
     faults: Vec<StoreFault>,
 }
 
 fn race() -> impl Strategy<Value = ApplyRace> {
-    let one = (0_u64..3000, 1_u32..1000);
-    let moves = one.prop_map(|(at_ms, share)| OperatorMove { at_ms, share });
-    (proptest::collection::vec(moves, 1..7), proptest::collection::vec(commit_fault(2000), 0..8))
-        .prop_map(|(moves, faults)| ApplyRace { moves, faults })
+    let fields = (0_u64..3000, 1_u32..1000);
+    let attempt = fields.prop_map(|(at_ms, share)| ApplyAttempt { at_ms, share });
+    (proptest::collection::vec(attempt, 1..7), proptest::collection::vec(commit_fault(2000), 0..8))
+        .prop_map(|(attempts, faults)| ApplyRace { attempts, faults })
 }
 
 fn configuration(share: u32) -> Configuration {
@@ -40,18 +40,18 @@
     parse_configuration("test", &text).expect("it is valid")
 }
 
-async fn play(race: ApplyRace) {
+async fn run_race(race: ApplyRace) {
     let (table, objects) = (MemoryTable::new(), MemoryObjects::new());
     let clock = WallClock::tokio(UnixMillis(1));
     let store = ConfigStore::new(table.store(), objects.store(), clock);
     table.fail_commits(race.faults);
     let mut racing = tokio::task::JoinSet::new();
-    for (number, operator_move) in race.moves.into_iter().enumerate() {
+    for (number, attempt) in race.attempts.into_iter().enumerate() {
         let store = store.clone();
         let token: Name = format!("attempt-{number}").into();
         racing.spawn(async move {
-            tokio::time::sleep(Duration::from_millis(operator_move.at_ms)).await;
-            let next = configuration(operator_move.share);
+            tokio::time::sleep(Duration::from_millis(attempt.at_ms)).await;
+            let next = configuration(attempt.share);
             let applied = store.apply(None, &next, "operator".into(), Name::clone(&token)).await;
             (token, applied)
         });
@@ -66,19 +66,23 @@
     let rows = store.audit(ConfigVersion(0), 100).await.expect("the table answers");
     let versions: Vec<u64> = rows.iter().map(|row| row.to.0).collect();
     let expected: Vec<u64> = (1..=rows.len() as u64).collect();
-    assert_eq!(versions, expected, "each version has one row, none is left out");
+    assert_eq!(versions, expected, "each version has exactly one audit row");
     let tokens: BTreeSet<Name> = rows.iter().map(|row| Name::clone(&row.token)).collect();
-    assert_eq!(tokens.len(), rows.len(), "no attempt took effect twice");
+    assert_eq!(tokens.len(), rows.len(), "no attempt is committed twice");
     for (token, outcome) in outcomes {
         let took_effect = tokens.contains(&token);
         match outcome {
             Ok(applied) if applied.changes.is_empty() => assert!(!took_effect),
             Ok(applied) => {
                 let row = rows.iter().find(|row| row.token == token);
-                assert_eq!(row.map(|row| row.to), Some(applied.version), "told of its own version");
+                assert_eq!(
+                    row.map(|row| row.to),
+                    Some(applied.version),
+                    "the attempt returned its own version"
+                );
             }
             Err(ApplyError::LostRace { .. } | ApplyError::NotApplied { .. }) => {
-                assert!(!took_effect, "{token} was told that nothing changed");
+                assert!(!took_effect, "{token} reported a failure but was committed");
             }
             Err(ApplyError::Unclear { .. }) => {}
             Err(error @ ApplyError::Corrupt { .. }) => panic!("{error}"),
@@ -96,7 +100,7 @@
     #![proptest_config(fixed_cases(256))]
 
     #[test]
-    fn racing_applies_leave_one_line_of_versions(race in race()) {
-        run_paused(play(race));
+    fn concurrent_applies_commit_each_version_once(race in race()) {
+        run_paused(run_race(race));
     }
 }
--- a/crates/dillspool_config/tests/files.rs
+++ b/crates/dillspool_config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Configuration and settings files: what is wrong is said with line and remedy.
+//! Errors of configuration and settings files contain the location and a remedy.
 
 use assert_matches::assert_matches;
 use dillspool_cases::fixed_cases;
@@ -8,85 +8,85 @@
 const VALID: &str = include_str!("../../../examples/hewa-safi.toml");
 const SETTINGS: &str = include_str!("../../../examples/dillspoold.toml");
 
-/// A change to a valid file, and what the message must contain.
-struct FileRow {
+/// A change that makes a valid file invalid, and what the error message must contain.
+struct InvalidFileCase {
     name: &'static str,
     from: &'static str,
     to: &'static str,
     message: &'static [&'static str],
 }
 
-const CONFIGURATIONS: [FileRow; 8] = [
-    FileRow {
+const CONFIGURATIONS: [InvalidFileCase; 8] = [
+    InvalidFileCase {
         name: "unknown field",
         from: "retry_percent = 10",
         to: "retry_procent = 10",
         message: &["line 8", "retry_procent", "remedy"],
     },
-    FileRow {
-        name: "another type",
+    InvalidFileCase {
+        name: "wrong type",
         from: "share = 60 ",
         to: "share = \"60\" ",
         message: &["line 13", "share", "remedy"],
     },
-    FileRow {
-        name: "group twice",
+    InvalidFileCase {
+        name: "duplicate group",
         from: "name = \"stations\"",
         to: "name = \"clinic-alerts\"",
-        message: &["`clinic-alerts` stands twice", "rename or remove"],
+        message: &["`clinic-alerts` is declared twice", "rename or remove"],
     },
-    FileRow {
+    InvalidFileCase {
         name: "share 0",
         from: "share = 60 ",
         to: "share = 0 ",
         message: &["share 0", "at least 1"],
     },
-    FileRow {
+    InvalidFileCase {
         name: "host name in place of an IP number",
         from: "127.0.0.1:9001",
         to: "engine-1:9001",
         message: &["prefill-westlands", "give IP number and port"],
     },
-    FileRow {
+    InvalidFileCase {
         name: "undeclared pool",
         from: "pool = \"alerts\"\naddress = \"127.0.0.1:9011\"",
         to: "pool = \"alarms\"\naddress = \"127.0.0.1:9011\"",
         message: &["`alarms`, which is not declared"],
     },
-    FileRow {
+    InvalidFileCase {
         name: "route without a backend server",
         from: "service = \"ingest\"",
         to: "service = \"digest\"",
         message: &["`digest`, which has no plain backend server"],
     },
-    FileRow {
-        name: "route over the models",
+    InvalidFileCase {
+        name: "route that shadows the model API",
         from: "prefix = \"/readings\"",
         to: "prefix = \"/v1/readings\"",
         message: &["must start with `/` and stay outside `/v1/`"],
     },
 ];
 
-const HOST_SETTINGS: [FileRow; 4] = [
-    FileRow {
+const HOST_SETTINGS: [InvalidFileCase; 4] = [
+    InvalidFileCase {
         name: "unknown field",
         from: "timeout_ms = 1000",
         to: "timeout = 1000",
         message: &["timeout", "remedy"],
     },
-    FileRow {
+    InvalidFileCase {
         name: "host name with dots",
         from: "host = \"entry-1\"",
         to: "host = \"entry.1\"",
         message: &["entry.1", "lower case letters, digits and hyphens"],
     },
-    FileRow {
-        name: "address that is none",
+    InvalidFileCase {
+        name: "malformed address",
         from: "callers = \"127.0.0.1:8080\"",
         to: "callers = \"localhost\"",
         message: &["listen.callers", "give IP number and port"],
     },
-    FileRow {
+    InvalidFileCase {
         name: "short peer key",
         from: "change-this-peer-key",
         to: "short",
@@ -94,20 +94,20 @@
     },
 ];
 
-fn changed(text: &str, row: &FileRow) -> String {
-    assert!(text.contains(row.from), "{}: the example has changed", row.name);
-    text.replacen(row.from, row.to, 1)
+fn apply_change(text: &str, case: &InvalidFileCase) -> String {
+    assert!(text.contains(case.from), "{}: the example has changed", case.name);
+    text.replacen(case.from, case.to, 1)
 }
 
-fn assert_message(error: &ConfigError, row: &FileRow) {
-    let shown = error.to_string();
-    for part in row.message {
-        assert!(shown.contains(part), "{}: `{part}` is not in: {shown}", row.name);
+fn assert_message(error: &ConfigError, case: &InvalidFileCase) {
+    let message = error.to_string();
+    for part in case.message {
+        assert!(message.contains(part), "{}: `{part}` is not in: {message}", case.name);
     }
 }
 
 #[test]
-fn both_examples_are_valid() {
+fn example_files_are_valid() {
     parse_configuration("hewa-safi.toml", VALID).expect("it is valid");
     let shared_wire = include_str!("../../../examples/shared-wire.toml");
     parse_configuration("shared-wire.toml", shared_wire).expect("it is valid");
@@ -115,29 +115,29 @@
 }
 
 #[test]
-fn each_wrong_configuration_is_refused_with_its_remedy() {
-    for row in &CONFIGURATIONS {
-        let error = parse_configuration("f.toml", &changed(VALID, row)).expect_err(row.name);
-        assert_message(&error, row);
+fn invalid_configurations_are_rejected_with_a_remedy() {
+    for case in &CONFIGURATIONS {
+        let error = parse_configuration("f.toml", &apply_change(VALID, case)).expect_err(case.name);
+        assert_message(&error, case);
     }
 }
 
 #[test]
-fn each_wrong_settings_file_is_refused_with_its_remedy() {
-    for row in &HOST_SETTINGS {
-        let error = parse_settings("f.toml", &changed(SETTINGS, row)).expect_err(row.name);
-        assert_message(&error, row);
+fn invalid_settings_are_rejected_with_a_remedy() {
+    for case in &HOST_SETTINGS {
+        let error = parse_settings("f.toml", &apply_change(SETTINGS, case)).expect_err(case.name);
+        assert_message(&error, case);
     }
 }
 
 #[test]
-fn secrets_do_not_show() {
+fn debug_output_redacts_secrets() {
     let settings = parse_settings("f.toml", SETTINGS).expect("it is valid");
     assert!(!format!("{settings:?}").contains("change-this-peer-key"));
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn a_missing_file_is_a_read_error() {
     let missing = std::path::Path::new("no-such-file.toml");
     assert_matches!(dillspool_config::load_settings(missing), Err(ConfigError::Read { .. }));
 }
@@ -146,13 +146,13 @@
     #![proptest_config(fixed_cases(256))]
 
     #[test]
-    fn any_text_is_parsed_or_refused(text in ".{0,400}") {
-        let _refused = parse_configuration("f.toml", &text);
-        let _refused = parse_settings("f.toml", &text);
+    fn parsing_arbitrary_text_does_not_panic(text in ".{0,400}") {
+        let _result = parse_configuration("f.toml", &text);
+        let _result = parse_settings("f.toml", &text);
     }
 
     #[test]
-    fn a_delta_leads_from_any_base_to_any_next(
+    fn applying_a_delta_to_its_base_gives_the_next_configuration(
         shares in proptest::collection::vec(1_u32..5, 0..6),
         next in proptest::collection::vec(1_u32..5, 0..6),
     ) {
