--- a/crates/dillspool_entry/src/stream.rs
+++ b/crates/dillspool_entry/src/completion_stream.rs
@@ -1,8 +1,8 @@
-//! One model request: its answer, and how it goes on when an engine fails.
+//! The token stream of one model request, which fails over when an engine fails.
 //!
-//! [`placing`] finds it engines: placed, prefilled, decoded.
+//! [`open`] gets a placement, runs the prefill and opens the stream on the decode engine.
 
-mod placing;
+mod open;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,23 +18,23 @@
 
 use crate::context::EntryContext;
 use crate::openai::GenerationRequest;
-use crate::placement::{EngineRef, Placement};
+use crate::placement::{BackendRef, Placement};
 use crate::problem::{RequestProblem, WorkOutcome};
 
-/// Placements of one request at most.
-const MOST_ATTEMPTS: u32 = 4;
-/// Tokens' time of silence after which a stream counts as stalled.
-const STALL_TOKENS: u32 = 20;
-/// Shortest silence that counts as a stall.
-const SHORTEST_STALL: Duration = Duration::from_secs(1);
+/// Maximum number of placements for one request.
+const MAX_PLACEMENTS: u32 = 4;
+/// A stream counts as stalled after this many times the per-token target without a token.
+const STALL_TOKEN_INTERVALS: u32 = 20;
+/// Minimum time without a token that counts as a stall.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a caller asked, with the terms of its group and pool.
+/// A caller's request with the settings of its group and pool.
 #[derive(Clone, Debug)]
-pub(crate) struct AnswerTerms {
-    /// Names the request in the log and in its answer.
+pub(crate) struct CompletionParams {
+    /// Identifies the request in the log and in the response.
     pub(crate) id: StreamId,
-    /// The same for all copies of the request.
-    pub(crate) print: RequestFingerprint,
+    /// Equal for all copies of the request.
+    pub(crate) fingerprint: RequestFingerprint,
     pub(crate) snapshot: Arc<ConfigSnapshot>,
     pub(crate) group: GroupEntry,
     pub(crate) pool: PoolEntry,
@@ -42,61 +42,62 @@
     pub(crate) arrived: Instant,
 }
 
-impl AnswerTerms {
-    fn first_token(&self) -> Duration {
+impl CompletionParams {
+    fn first_token_target(&self) -> Duration {
         Duration::from_millis(self.group.first_token_ms.into())
     }
 
-    fn per_token(&self) -> Duration {
+    fn per_token_target(&self) -> Duration {
         Duration::from_millis(self.group.per_token_ms.into())
     }
 
-    fn stall_limit(&self) -> Duration {
-        (self.per_token() * STALL_TOKENS).max(SHORTEST_STALL)
+    fn stall_timeout(&self) -> Duration {
+        (self.per_token_target() * STALL_TOKEN_INTERVALS).max(MIN_STALL_TIMEOUT)
     }
 
-    fn engine(&self, name: &str) -> Option<EngineRef> {
+    fn engine(&self, name: &str) -> Option<BackendRef> {
         let entry = self.snapshot.backend(name)?;
         let address = entry.address.parse().ok()?;
-        Some(EngineRef { name: Name::clone(&entry.name), address })
+        Some(BackendRef { name: Name::clone(&entry.name), address })
     }
 }
 
-/// The next part of an answer.
+/// An event of a completion: a token, or the end with its finish reason.
 #[derive(Debug)]
-pub(crate) enum AnswerPart {
+pub(crate) enum CompletionEvent {
     Token(Name),
     End(Name),
 }
 
-/// A stream that is open on a decode engine.
+/// A stream that is open on a decode engine, and its placement.
 struct OpenStream {
     placement: Placement,
     tokens: TokenStream,
 }
 
-/// An answer under way; dropping it frees all that it holds.
-pub(crate) struct AnswerStream {
+/// The completion of a request in progress; dropping it releases everything that it holds.
+pub(crate) struct CompletionStream {
     context: EntryContext,
-    terms: AnswerTerms,
+    params: CompletionParams,
     open: Option<OpenStream>,
-    /// Tokens given out so far, to go on elsewhere behind them.
+    /// Tokens returned so far, so that another engine can continue after them.
     sent: Vec<Name>,
+    /// Engines that failed, which the scheduler should avoid.
     avoid: Vec<Name>,
     attempts: u32,
     pub(crate) prompt_tokens: u64,
     first_token_at: Option<Instant>,
 }
 
-impl AnswerStream {
+impl CompletionStream {
     /// Places the request and opens its stream.
     pub(crate) async fn open(
         context: EntryContext,
-        terms: AnswerTerms,
+        params: CompletionParams,
     ) -> Result<Self, RequestProblem> {
-        let mut answer = Self {
+        let mut stream = Self {
             context,
-            terms,
+            params,
             open: None,
             sent: Vec::new(),
             avoid: Vec::new(),
@@ -104,31 +105,32 @@
             prompt_tokens: 0,
             first_token_at: None,
         };
-        answer.place().await?;
-        Ok(answer)
+        stream.open_with_retries().await?;
+        Ok(stream)
     }
 
-    /// The next token, in order and once; an error means that no whole answer will come.
-    pub(crate) async fn next(&mut self) -> Result<AnswerPart, RequestProblem> {
+    /// Returns the next event. Each token is returned once and in order; after an error the
+    /// completion stays incomplete.
+    pub(crate) async fn next(&mut self) -> Result<CompletionEvent, RequestProblem> {
         loop {
             let Some(open) = &mut self.open else {
-                self.place().await?;
+                self.open_with_retries().await?;
                 continue;
             };
             match open.tokens.next().await {
                 Ok(event) => {
                     if let Some(finish) = event.finish {
-                        self.finish();
-                        return Ok(AnswerPart::End(finish));
+                        self.complete();
+                        return Ok(CompletionEvent::End(finish));
                     }
-                    return Ok(AnswerPart::Token(self.take_token(event.text)));
+                    return Ok(CompletionEvent::Token(self.record_token(event.text)));
                 }
                 Err(error) => self.recover(error).await?,
             }
         }
     }
 
-    fn take_token(&mut self, text: Option<Name>) -> Name {
+    fn record_token(&mut self, text: Option<Name>) -> Name {
         let text = text.unwrap_or_else(|| "".into());
         self.sent.push(Name::clone(&text));
         self.context.metrics.count_token();
@@ -138,28 +140,28 @@
         if self.first_token_at.is_none() {
             let now = Instant::now();
             self.first_token_at = Some(now);
-            self.context.metrics.observe_first_token(now - self.terms.arrived);
+            self.context.metrics.observe_first_token(now - self.params.arrived);
         }
         text
     }
 
-    /// The answer is whole: give the placement back and count whether it met its targets.
-    fn finish(&mut self) {
+    /// Releases the placement of a complete response and counts whether it met its targets.
+    fn complete(&mut self) {
         if let Some(open) = self.open.take() {
-            open.placement.end(ReleaseCause::Done);
+            open.placement.release(ReleaseCause::Done);
         }
-        let percent = self.terms.snapshot.configuration.policy.retry_percent;
+        let percent = self.params.snapshot.configuration.policy.retry_percent;
         self.context.retry_budget.record_success(percent);
         let outcome = if self.met_targets() { "good" } else { "late" };
-        let group = &self.terms.group.name;
+        let group = &self.params.group.name;
         self.context.metrics.count_request(group, outcome, "");
-        let first = self.first_token_at.map_or(0, |at| (at - self.terms.arrived).as_millis());
+        let first = self.first_token_at.map_or(0, |at| (at - self.params.arrived).as_millis());
         log::info!(
             "event=request_whole request={} group={group} outcome={outcome} tokens={} first_token_ms={first} \
              total_ms={} placements={}",
-            self.terms.id,
+            self.params.id,
             self.sent.len(),
-            self.terms.arrived.elapsed().as_millis(),
+            self.params.arrived.elapsed().as_millis(),
             self.attempts
         );
     }
@@ -173,22 +175,23 @@
         if further > 0 {
             self.context.metrics.observe_per_token(per_token);
         }
-        first - self.terms.arrived <= self.terms.first_token()
-            && per_token <= self.terms.per_token()
+        first - self.params.arrived <= self.params.first_token_target()
+            && per_token <= self.params.per_token_target()
     }
 
-    /// Goes on after a stream failed: on the same engine if it still runs there, else elsewhere.
+    /// Recovers from a failed stream: resumes it on the same engine if it still runs there, or
+    /// releases it so that another engine continues.
     async fn recover(&mut self, error: EngineError) -> Result<(), RequestProblem> {
         let Some(mut open) = self.open.take() else {
             return Ok(());
         };
         log::info!(
             "event=stream_failed request={} stream={} error=\"{error}\"",
-            self.terms.id,
+            self.params.id,
             open.placement.stream()
         );
         if matches!(error, EngineError::BrokenOff { .. })
-            && let Some(tokens) = self.reopen(&open.placement).await
+            && let Some(tokens) = self.resume(&open.placement).await
         {
             open.tokens = tokens;
             self.open = Some(open);
@@ -198,15 +201,15 @@
         if let Some(engine) = &engine {
             self.avoid.push(Name::clone(&engine.name));
         }
-        let ended = self.ended_under_it(engine.as_ref(), &error).await;
-        open.placement.end_at(ReleaseCause::DecodeFailed, ended);
-        self.allow_retry("engine_failed", &error)
+        let crashed = self.crashed_engine(engine.as_ref(), &error).await;
+        open.placement.release_after_failure(ReleaseCause::DecodeFailed, crashed);
+        self.check_retry("engine_failed", &error)
     }
 
-    /// The engine, if its process has ended while the request ran there.
-    async fn ended_under_it(
+    /// Returns the engine if its process crashed while the request ran there.
+    async fn crashed_engine(
         &self,
-        engine: Option<&EngineRef>,
+        engine: Option<&BackendRef>,
         error: &EngineError,
     ) -> Option<Name> {
         let engine = engine?;
@@ -216,30 +219,33 @@
             | EngineError::OutOfReach { .. }
             | EngineError::Wrong { .. } => return None,
         }
-        let ended = self.context.engines.has_ended(engine.address).await;
-        ended.then(|| Name::clone(&engine.name))
+        let has_crashed = self.context.engines.has_ended(engine.address).await;
+        has_crashed.then(|| Name::clone(&engine.name))
     }
 
-    async fn reopen(&self, placement: &Placement) -> Option<TokenStream> {
+    async fn resume(&self, placement: &Placement) -> Option<TokenStream> {
         let engine = placement.decode_engine()?;
         let from = self.sent.len() as u64;
-        let limit = self.terms.stall_limit();
-        let resumed =
-            self.context.engines.resume(engine.address, placement.stream(), from, limit).await;
+        let stall_timeout = self.params.stall_timeout();
+        let resumed = self
+            .context
+            .engines
+            .resume(engine.address, placement.stream(), from, stall_timeout)
+            .await;
         resumed.ok()
     }
 
-    /// Whether another placement may be tried: within the attempts and the budget of retries.
-    fn allow_retry(
+    /// Allows another placement within the limit of attempts and the retry budget.
+    fn check_retry(
         &mut self,
         code: &'static str,
         error: &EngineError,
     ) -> Result<(), RequestProblem> {
-        if self.attempts < MOST_ATTEMPTS && self.context.retry_budget.try_withdraw() {
+        if self.attempts < MAX_PLACEMENTS && self.context.retry_budget.try_withdraw() {
             self.context.metrics.count_retry();
             return Ok(());
         }
-        let detail = format!("the answer could not be finished: {error}");
+        let detail = format!("the response could not be completed: {error}");
         Err(self.problem(StatusCode::BAD_GATEWAY, code, detail, Duration::from_secs(1)))
     }
 
@@ -250,11 +256,13 @@
         detail: String,
         retry: Duration,
     ) -> RequestProblem {
-        self.after_attempts(RequestProblem::not_run(status, code, detail).retry_after(retry))
+        self.with_work_outcome(
+            RequestProblem::not_run(status, code, detail).with_retry_after(retry),
+        )
     }
 
-    /// Tells what is true of the work so far.
-    fn after_attempts(&self, problem: RequestProblem) -> RequestProblem {
-        if self.attempts == 0 { problem } else { problem.outcome(WorkOutcome::Incomplete) }
+    /// Marks the work as incomplete if a placement was granted.
+    fn with_work_outcome(&self, problem: RequestProblem) -> RequestProblem {
+        if self.attempts == 0 { problem } else { problem.with_outcome(WorkOutcome::Incomplete) }
     }
 }
--- a/crates/dillspool_entry/src/context.rs
+++ b/crates/dillspool_entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What every request of an entry host shares.
+//! State shared by all requests of an entry host.
 
 use std::fmt;
 use std::sync::Arc;
@@ -19,25 +19,26 @@
 use crate::ids::StreamIds;
 use crate::metrics::EntryMetrics;
 use crate::placement::PlacementRegistry;
-use crate::retry::RetryBudget;
+use crate::retry_budget::RetryBudget;
 
-/// An answer of a scheduler, and which host gave it.
+/// A scheduler's reply to a reservation request, with the host that sent it.
 #[derive(Clone, Debug)]
 pub struct ReserveReply {
     /// Host that schedules the pool.
     pub scheduler: Name,
-    /// Its answer.
+    /// The scheduler's reply.
     pub answer: ReserveAnswer,
 }
 
 type ReserveFn = dyn Fn(ReserveMessage) -> BoxFuture<ReserveReply> + Send + Sync;
 
-/// Where placements are asked for and given back.
+/// Requests and releases placements.
 #[derive(Clone)]
 pub struct PlacementClient {
-    /// Asks the host that schedules the pool; falls back to this host's own scheduler.
+    /// Asks the host that schedules the pool, or this host's own scheduler as a fallback.
     pub reserve: Arc<ReserveFn>,
-    /// Gives a placement back to the host that granted it, `None` for any that may know it.
+    /// Releases a placement at the host that granted it; with `None`, at the pool's current
+    /// scheduler.
     pub release: Arc<dyn Fn(Option<Name>, ReleaseMessage) + Send + Sync>,
 }
 
@@ -47,12 +48,12 @@
     }
 }
 
-/// What a request must know of the host it came to.
+/// State of the host that requests check.
 #[derive(Clone)]
 pub struct HostStatus {
-    /// Why the host takes no new requests now, `None` while it does.
+    /// Why the host rejects new requests, `None` while it accepts them.
     pub closed_reason: Arc<dyn Fn() -> Option<&'static str> + Send + Sync>,
-    /// Whether the host list shows a backend server as leaving.
+    /// Whether the host list marks a backend server as leaving.
     pub is_leaving: Arc<dyn Fn(&str) -> bool + Send + Sync>,
 }
 
@@ -62,46 +63,46 @@
     }
 }
 
-/// Shared by all requests of an entry host.
+/// Dependencies and limits shared by all requests of an entry host.
 #[derive(Clone, Debug)]
 pub struct EntryContext {
-    /// Configuration in force, `None` before the first.
+    /// Active configuration, `None` until one has been applied.
     pub config: watch::Receiver<Option<Arc<ConfigSnapshot>>>,
-    /// Calls engines.
+    /// Client for engines.
     pub engines: EngineClient,
-    /// Calls plain services, a connection for each call.
+    /// Client for plain services; opens a connection for each call.
     pub plain_client: HttpClient,
-    /// Asks schedulers.
+    /// Client for the pools' schedulers.
     pub placement_client: PlacementClient,
     /// Placements held by this host.
     pub placements: PlacementRegistry,
-    /// Ledger of unrepeatable calls.
+    /// Ledger of calls that must not run twice.
     pub ledger: CallLedger,
     /// Wall clock.
     pub clock: WallClock,
-    /// Spreads plain calls over the backend servers of a service.
+    /// Round-robin counter over the backend servers of plain services.
     pub next_backend: Arc<AtomicUsize>,
-    /// Stream ids.
+    /// Generator of stream ids.
     pub ids: StreamIds,
-    /// Calls of plain services under which backend servers ended. Model requests are decided on where their
-    /// pool is scheduled.
+    /// Plain calls during which backend servers crashed. For model requests the host that schedules
+    /// the pool decides.
     pub suspects: SuspectTracker,
-    /// The fleet's key for what names a request whichever copy of it this is.
+    /// Key, shared by the fleet, for fingerprints that are equal for all copies of a request.
     pub fingerprint_key: FingerprintKey,
-    /// Budget of retries.
+    /// Retry budget of the host.
     pub retry_budget: RetryBudget,
-    /// Counters.
+    /// Counters and histograms.
     pub metrics: EntryMetrics,
-    /// Requests that may be in flight.
+    /// Limits the number of requests in flight.
     pub in_flight: Arc<Semaphore>,
-    /// Longest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Time to receive a request body.
+    /// Timeout for receiving a request body.
     pub body_timeout: Duration,
-    /// Work that goes on when its connection is gone, such as cancels and recorded answers.
+    /// Tasks that outlive their connection, such as cancels and writes to the ledger.
     pub tasks: TaskTracker,
     /// State of the host.
     pub host_status: HostStatus,
-    /// Ends all answers when the host's drain time is over.
+    /// Cancels all responses when the host's drain timeout expires.
     pub cancel: CancellationToken,
 }
--- a/crates/dillspool_entry/src/ids.rs
+++ b/crates/dillspool_entry/src/ids.rs
@@ -1,11 +1,11 @@
-//! Stream ids of this process.
+//! Generator of stream ids.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use dillspool_schema::{Name, StreamId};
 
-/// Gives out stream ids, none of them twice.
+/// Generates unique stream ids from the host, its incarnation and a sequence number.
 #[derive(Clone, Debug)]
 pub struct StreamIds {
     host: Name,
@@ -14,12 +14,12 @@
 }
 
 impl StreamIds {
-    /// Ids of an incarnation of a host.
+    /// Creates the generator for an incarnation of a host.
     pub fn new(host: Name, incarnation: u64) -> Self {
         Self { host, incarnation, next: Arc::default() }
     }
 
-    /// The next id.
+    /// Returns the next id.
     pub fn next(&self) -> StreamId {
         StreamId {
             host: Name::clone(&self.host),
--- a/crates/dillspool_entry/src/lib.rs
+++ b/crates/dillspool_entry/src/lib.rs
@@ -1,24 +1,24 @@
-//! The callers' side: authentication, model requests and plain routes.
+//! The HTTP API for callers: authentication, model requests and plain routes.
 //!
-//! A model request is placed by the pool's scheduler, prefilled, handed to a decode engine and
-//! streamed; whatever happens, the caller gets the whole answer or an unmistakable error. See
-//! `docs/design/path.md`.
+//! The pool's scheduler places a model request, a prefill engine computes its KV cache, and a
+//! decode engine streams the tokens. The caller gets either the complete response or an explicit
+//! error, never a truncated response that looks complete. See `docs/design/path.md`.
 
-mod answer;
+mod completion_stream;
+mod completions;
 mod context;
 mod ids;
 mod metrics;
 mod openai;
 mod placement;
-mod plain;
+mod plain_calls;
 mod problem;
-mod retry;
+mod retry_budget;
 mod router;
-mod stream;
 
 pub use context::{EntryContext, HostStatus, PlacementClient, ReserveReply};
 pub use ids::StreamIds;
 pub use metrics::EntryMetrics;
 pub use placement::PlacementRegistry;
-pub use retry::RetryBudget;
+pub use retry_budget::RetryBudget;
 pub use router::callers_handler;
--- a/crates/dillspool_entry/src/metrics.rs
+++ b/crates/dillspool_entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What an entry host counts.
+//! Metrics of an entry host.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use dillspool_metrics::write_labels;
 use dillspool_schema::Name;
 
-/// A group and how its request ended.
+/// Labels of a finished request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestLabels {
     /// Name of the group.
     pub group: Name,
     /// `good`, `late`, `refused`, `incomplete`, `gone` or `failed`.
     pub outcome: &'static str,
-    /// Cause of a refusal or failure, empty for answers.
+    /// Cause of a refusal or failure, empty for complete responses.
     pub cause: &'static str,
 }
 
@@ -30,10 +30,10 @@
     }
 }
 
-/// Why a prefill was wasted.
+/// Label that says why a prefill was wasted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CauseLabels {
-    /// The cause.
+    /// Short cause, such as `transfer_failed`.
     pub cause: &'static str,
 }
 
@@ -43,12 +43,12 @@
     }
 }
 
-/// Counters and histograms of the callers' side.
+/// Counters and histograms of the callers' API.
 #[derive(Clone, Debug)]
 pub struct EntryMetrics {
     requests: Family<RequestLabels, Counter>,
     prefills: Counter,
-    wasted: Family<CauseLabels, Counter>,
+    wasted_prefills: Family<CauseLabels, Counter>,
     tokens: Counter,
     retries: Counter,
     first_token: Histogram,
@@ -63,7 +63,7 @@
         Self {
             requests: Family::default(),
             prefills: Counter::default(),
-            wasted: Family::default(),
+            wasted_prefills: Family::default(),
             tokens: Counter::default(),
             retries: Counter::default(),
             first_token: buckets(),
@@ -75,11 +75,11 @@
 }
 
 impl EntryMetrics {
-    /// Registers everything under the names that Prometheus asks for.
+    /// Registers all metrics under their Prometheus names.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("requests", "Requests by group and outcome", self.requests.clone());
         registry.register("prefills", "Prefills started", self.prefills.clone());
-        registry.register("wasted_prefills", "Prefills never used", self.wasted.clone());
+        registry.register("wasted_prefills", "Prefills never used", self.wasted_prefills.clone());
         registry.register("tokens", "Tokens streamed to callers", self.tokens.clone());
         registry.register("retries", "Placements tried again", self.retries.clone());
         registry.register("in_flight", "Requests in flight", self.in_flight.clone());
@@ -100,8 +100,8 @@
         self.prefills.inc();
     }
 
-    pub(crate) fn count_wasted(&self, cause: &'static str) {
-        self.wasted.get_or_create(&CauseLabels { cause }).inc();
+    pub(crate) fn count_wasted_prefill(&self, cause: &'static str) {
+        self.wasted_prefills.get_or_create(&CauseLabels { cause }).inc();
     }
 
     pub(crate) fn count_token(&self) {
@@ -120,28 +120,28 @@
         self.per_token.observe(time.as_secs_f64());
     }
 
-    pub(crate) fn observe_queue(&self, time: Duration) {
+    pub(crate) fn observe_queue_time(&self, time: Duration) {
         self.queue_time.observe(time.as_secs_f64());
     }
 
-    /// Requests in flight now.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> i64 {
         self.in_flight.get()
     }
 
-    pub(crate) fn enter(&self) -> InFlight {
+    pub(crate) fn start_request(&self) -> InFlightGuard {
         self.in_flight.inc();
-        InFlight { gauge: self.in_flight.clone() }
+        InFlightGuard { gauge: self.in_flight.clone() }
     }
 }
 
-/// Counts a request while it lives.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightGuard {
     gauge: Gauge,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.gauge.dec();
     }
--- a/crates/dillspool_entry/src/openai.rs
+++ b/crates/dillspool_entry/src/openai.rs
@@ -1,16 +1,16 @@
-//! The `OpenAI` forms of requests and answers.
+//! `OpenAI` formats of requests and responses.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
 use dillspool_schema::Name;
 
-/// Output tokens of a request that names no limit.
+/// Output token limit of a request that sets none.
 const DEFAULT_MAX_TOKENS: u64 = 256;
 
-/// Which form a caller used.
+/// Endpoint that a caller used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ApiForm {
+pub(crate) enum ApiEndpoint {
     /// `/v1/chat/completions`
     Chat,
     /// `/v1/completions`
@@ -47,10 +47,10 @@
     n: Option<u64>,
 }
 
-/// A model request in one form.
+/// A model request, independent of the endpoint's format.
 #[derive(Clone, Debug)]
 pub(crate) struct GenerationRequest {
-    pub(crate) form: ApiForm,
+    pub(crate) endpoint: ApiEndpoint,
     pub(crate) model: Name,
     pub(crate) prompt: Name,
     pub(crate) max_tokens: u64,
@@ -58,32 +58,32 @@
 }
 
 impl GenerationRequest {
-    /// Parses a body; the error says what to correct.
-    pub(crate) fn parse(form: ApiForm, body: &[u8]) -> Result<Self, String> {
+    /// Parses a request body; the error says what to correct.
+    pub(crate) fn parse(endpoint: ApiEndpoint, body: &[u8]) -> Result<Self, String> {
         let body: RequestBody = serde_json::from_slice(body)
-            .map_err(|error| format!("the body is no valid request: {error}; correct it"))?;
+            .map_err(|error| format!("the request body is invalid: {error}; correct it"))?;
         if body.n.is_some_and(|n| n != 1) {
-            return Err("`n` other than 1 is not offered: send one request for each".to_owned());
+            return Err("`n` must be 1: send a separate request for each completion".to_owned());
         }
-        let prompt = match form {
-            ApiForm::Chat => {
+        let prompt = match endpoint {
+            ApiEndpoint::Chat => {
                 let Some(messages) = body.messages else {
-                    return Err("`messages` is missing: give at least one".to_owned());
+                    return Err("`messages` is missing: provide at least one".to_owned());
                 };
                 chat_prompt(&messages)
             }
-            ApiForm::Text => match body.prompt {
+            ApiEndpoint::Text => match body.prompt {
                 Some(prompt) => prompt,
-                None => return Err("`prompt` is missing: give a text".to_owned()),
+                None => return Err("`prompt` is missing: provide a string".to_owned()),
             },
         };
         let max_tokens = body.max_completion_tokens.or(body.max_tokens);
         let max_tokens = max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         if max_tokens == 0 {
-            return Err("`max_tokens` is 0: give at least 1".to_owned());
+            return Err("`max_tokens` is 0: it must be at least 1".to_owned());
         }
         Ok(Self {
-            form,
+            endpoint,
             model: body.model.into(),
             prompt: prompt.into(),
             max_tokens,
@@ -111,11 +111,11 @@
     prompt
 }
 
-/// What the answers of one request have in common.
+/// Encodes the responses of one request in the format of its endpoint.
 #[derive(Clone, Debug)]
-pub(crate) struct AnswerHead {
-    form: ApiForm,
-    /// Start of every event up to its choice, so that a token costs one small text.
+pub(crate) struct CompletionEncoder {
+    endpoint: ApiEndpoint,
+    /// JSON of every event up to its choice, built once so that a token costs one short string.
     chunk_start: String,
     id: String,
     model: Name,
@@ -123,51 +123,57 @@
     created: u64,
 }
 
-impl AnswerHead {
-    pub(crate) fn new(form: ApiForm, id: String, model: Name, created: u64) -> Self {
-        let object = match form {
-            ApiForm::Chat => "chat.completion.chunk",
-            ApiForm::Text => "text_completion",
+impl CompletionEncoder {
+    pub(crate) fn new(endpoint: ApiEndpoint, id: String, model: Name, created: u64) -> Self {
+        let object = match endpoint {
+            ApiEndpoint::Chat => "chat.completion.chunk",
+            ApiEndpoint::Text => "text_completion",
         };
-        let shown = serde_json::to_string(&model).unwrap_or_default();
+        let model_json = serde_json::to_string(&model).unwrap_or_default();
         let chunk_start = format!(
-            "{{\"id\":\"{id}\",\"object\":\"{object}\",\"created\":{created},\"model\":{shown},\
+            "{{\"id\":\"{id}\",\"object\":\"{object}\",\"created\":{created},\"model\":{model_json},\
              \"choices\":[{{\"index\":0,"
         );
-        Self { form, chunk_start, id, model, created }
+        Self { endpoint, chunk_start, id, model, created }
     }
 
-    /// One event of a streamed answer that carries a token.
+    /// Event of a streamed response that carries a token.
     pub(crate) fn token_chunk(&self, text: &str) -> String {
         let text = serde_json::to_string(text).unwrap_or_default();
         let start = &self.chunk_start;
-        match self.form {
-            ApiForm::Chat => format!(
+        match self.endpoint {
+            ApiEndpoint::Chat => format!(
                 "{start}\"delta\":{{\"role\":\"assistant\",\"content\":{text}}},\"finish_reason\":null}}]}}"
             ),
-            ApiForm::Text => format!("{start}\"text\":{text},\"finish_reason\":null}}]}}"),
+            ApiEndpoint::Text => format!("{start}\"text\":{text},\"finish_reason\":null}}]}}"),
         }
     }
 
-    /// The event that ends a streamed answer.
+    /// Last event of a streamed response.
     pub(crate) fn last_chunk(&self, finish: &str) -> String {
         let finish = serde_json::to_string(finish).unwrap_or_default();
-        let part = match self.form {
-            ApiForm::Chat => "\"delta\":{}",
-            ApiForm::Text => "\"text\":\"\"",
+        let delta = match self.endpoint {
+            ApiEndpoint::Chat => "\"delta\":{}",
+            ApiEndpoint::Text => "\"text\":\"\"",
         };
-        format!("{}{part},\"finish_reason\":{finish}}}]}}", self.chunk_start)
+        format!("{}{delta},\"finish_reason\":{finish}}}]}}", self.chunk_start)
     }
 
-    /// A whole answer.
-    pub(crate) fn whole(&self, text: &str, finish: &str, prompt: u64, output: u64) -> String {
-        let (object, choice) = match self.form {
-            ApiForm::Chat => {
+    /// Body of a response that is not streamed.
+    pub(crate) fn full_response(
+        &self,
+        text: &str,
+        finish: &str,
+        prompt: u64,
+        output: u64,
+    ) -> String {
+        let (object, choice) = match self.endpoint {
+            ApiEndpoint::Chat => {
                 let message = json!({"role": "assistant", "content": text});
                 let choice = json!({"index": 0, "message": message, "finish_reason": finish});
                 ("chat.completion", choice)
             }
-            ApiForm::Text => {
+            ApiEndpoint::Text => {
                 let choice = json!({"index": 0, "text": text, "finish_reason": finish});
                 ("text_completion", choice)
             }
@@ -188,7 +194,7 @@
     }
 }
 
-/// The list of models.
+/// Body of the model list.
 pub(crate) fn model_list<'a>(models: impl Iterator<Item = &'a Name>) -> String {
     let data: Vec<Value> = models
         .map(|model| json!({"id": model, "object": "model", "created": 0, "owned_by": "dillspool"}))
--- a/crates/dillspool_entry/src/placement.rs
+++ b/crates/dillspool_entry/src/placement.rs
@@ -1,7 +1,7 @@
-//! What a request holds on schedulers and engines, and how it is given back.
+//! Resources that a request holds on schedulers and engines, and their release.
 //!
-//! A guard gives back whatever it stands for when it is dropped, so that a caller who leaves at
-//! any stage leaves nothing behind. See `docs/design/orphans.md`.
+//! Each guard releases its resource when it is dropped, so that nothing leaks when a caller
+//! disconnects, at whatever stage. See `docs/design/orphans.md`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,16 +17,17 @@
 use dillspool_schema::{Name, StreamId};
 use tokio::time::Instant;
 
+use crate::completion_stream::CompletionParams;
 use crate::context::EntryContext;
-use crate::stream::AnswerTerms;
 
-/// First pause before a cancel is tried again.
-const CANCEL_FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// Tries to cancel; the pool's scheduler finds what is left by then.
-const CANCEL_TRIES: usize = 8;
+/// Delay before the first retry of a cancel.
+const CANCEL_INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// Retries of a cancel; after that the pool's scheduler cleans up the orphaned stream.
+const CANCEL_MAX_RETRIES: usize = 8;
 
-/// Ends of engines that a new scheduler is told of at most, the newest; each takes some 100 bytes.
-const MOST_ENDS_TOLD: usize = 256;
+/// Maximum number of engine crashes, the newest, that are reported to a new scheduler; each takes
+/// about 100 bytes.
+const MAX_REPORTED_CRASHES: usize = 256;
 
 #[derive(Clone, Debug)]
 struct RegisteredPlacement {
@@ -34,20 +35,20 @@
     held: HeldPlacement,
 }
 
-/// An engine that ended under a request of this host.
+/// An engine that crashed while it ran a request of this host.
 #[derive(Clone, Debug)]
-struct RegisteredEnd {
+struct RegisteredCrash {
     pool: Name,
-    print: Name,
+    fingerprint: Name,
     engine: Name,
     at: Instant,
 }
 
-/// The placements that this host holds, for reports to new schedulers.
+/// Placements that this host holds, and recent engine crashes, for reports to new schedulers.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementRegistry {
     placements: Arc<Mutex<BTreeMap<StreamId, RegisteredPlacement>>>,
-    ended: Arc<Mutex<VecDeque<RegisteredEnd>>>,
+    crashes: Arc<Mutex<VecDeque<RegisteredCrash>>>,
 }
 
 impl PlacementRegistry {
@@ -55,7 +56,7 @@
         self.placements.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// One report for each pool, also for those in which nothing is held.
+    /// Returns a report for each pool, including pools in which this host holds nothing.
     pub fn reports(&self, pools: &[Name]) -> Vec<PlacementReport> {
         let held = self.lock();
         let report = |pool: &Name| PlacementReport {
@@ -65,45 +66,46 @@
                 .filter(|it| it.pool == *pool)
                 .map(|it| it.held.clone())
                 .collect(),
-            ended: self.ended_in(pool),
+            ended: self.crashes_in(pool),
         };
         pools.iter().map(report).collect()
     }
 
-    fn note_end(&self, pool: &Name, print: &Name, engine: &Name) {
-        let (pool, print, engine) = (Name::clone(pool), Name::clone(print), Name::clone(engine));
-        let mut ended = self.ended.lock().unwrap_or_else(PoisonError::into_inner);
-        ended.push_back(RegisteredEnd { pool, print, engine, at: Instant::now() });
-        if ended.len() > MOST_ENDS_TOLD {
-            ended.pop_front();
+    fn record_crash(&self, pool: &Name, fingerprint: &Name, engine: &Name) {
+        let (pool, fingerprint, engine) =
+            (Name::clone(pool), Name::clone(fingerprint), Name::clone(engine));
+        let mut crashes = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
+        crashes.push_back(RegisteredCrash { pool, fingerprint, engine, at: Instant::now() });
+        if crashes.len() > MAX_REPORTED_CRASHES {
+            crashes.pop_front();
         }
     }
 
-    fn ended_in(&self, pool: &Name) -> Vec<EndedRun> {
-        let ended = self.ended.lock().unwrap_or_else(PoisonError::into_inner);
-        let ended = ended.iter().filter(|end| end.pool == *pool);
-        let run = |end: &RegisteredEnd| EndedRun {
-            print: Name::clone(&end.print),
-            engine: Name::clone(&end.engine),
-            age_ms: u64::try_from(end.at.elapsed().as_millis()).unwrap_or(u64::MAX),
+    fn crashes_in(&self, pool: &Name) -> Vec<EndedRun> {
+        let crashes = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
+        let crashes = crashes.iter().filter(|crash| crash.pool == *pool);
+        let run = |crash: &RegisteredCrash| EndedRun {
+            print: Name::clone(&crash.fingerprint),
+            engine: Name::clone(&crash.engine),
+            age_ms: u64::try_from(crash.at.elapsed().as_millis()).unwrap_or(u64::MAX),
         };
-        ended.map(run).collect()
+        crashes.map(run).collect()
     }
 
-    /// Placements held now.
+    /// Number of placements held.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no placement is held.
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
 }
 
-/// An engine by name and address.
+/// Name and address of an engine or another backend server.
 #[derive(Clone, Debug)]
-pub(crate) struct EngineRef {
+pub(crate) struct BackendRef {
     pub(crate) name: Name,
     pub(crate) address: SocketAddr,
 }
@@ -115,35 +117,35 @@
     stream: StreamId,
     pool: Name,
     group: Name,
-    print: Name,
+    fingerprint: Name,
     scheduler: Option<Name>,
-    decode: Option<EngineRef>,
+    decode: Option<BackendRef>,
     pub(crate) tokens: u64,
     pub(crate) cached: u64,
-    ended: bool,
+    is_released: bool,
 }
 
-/// What a scheduler answered.
+/// A scheduler's decision on a reservation.
 #[derive(Debug)]
-pub(crate) enum ReserveEnd {
+pub(crate) enum ReserveOutcome {
     Granted(PlacementGrant),
     Refused(ReserveRefusal),
 }
 
 impl Placement {
-    /// A placement that is about to be asked for.
-    pub(crate) fn new(context: &EntryContext, terms: &AnswerTerms) -> Self {
+    /// Creates a placement that is not reserved yet.
+    pub(crate) fn new(context: &EntryContext, params: &CompletionParams) -> Self {
         Self {
             context: context.clone(),
             stream: context.ids.next(),
-            pool: Name::clone(&terms.pool.name),
-            group: Name::clone(&terms.group.name),
-            print: terms.print.to_string().into(),
+            pool: Name::clone(&params.pool.name),
+            group: Name::clone(&params.group.name),
+            fingerprint: params.fingerprint.to_string().into(),
             scheduler: None,
             decode: None,
             tokens: 0,
             cached: 0,
-            ended: false,
+            is_released: false,
         }
     }
 
@@ -151,13 +153,13 @@
         &self.stream
     }
 
-    /// Names the request, whichever copy of it this is.
-    pub(crate) fn print(&self) -> &Name {
-        &self.print
+    /// Fingerprint of the request, equal for all its copies.
+    pub(crate) fn fingerprint(&self) -> &Name {
+        &self.fingerprint
     }
 
-    /// Asks the pool's scheduler and notes what it granted.
-    pub(crate) async fn reserve(&mut self, message: ReserveMessage) -> ReserveEnd {
+    /// Asks the pool's scheduler for a reservation and registers the grant.
+    pub(crate) async fn reserve(&mut self, message: ReserveMessage) -> ReserveOutcome {
         let output = message.output;
         let reply = (self.context.placement_client.reserve)(message).await;
         self.scheduler = Some(reply.scheduler);
@@ -171,49 +173,49 @@
             };
             let registered = RegisteredPlacement { pool: Name::clone(&self.pool), held };
             self.context.placements.lock().insert(self.stream.clone(), registered);
-            return ReserveEnd::Granted(grant);
+            return ReserveOutcome::Granted(grant);
         }
-        // Nothing is held: the scheduler answered a refusal.
-        self.ended = true;
-        let silent = ReserveRefusal {
+        // The scheduler refused, so there is nothing to release.
+        self.is_released = true;
+        let default_refusal = ReserveRefusal {
             cause: dillspool_schema::messages::RefuseCause::NoEngine,
             retry_ms: 1000,
         };
-        ReserveEnd::Refused(reply.answer.refusal.unwrap_or(silent))
+        ReserveOutcome::Refused(reply.answer.refusal.unwrap_or(default_refusal))
     }
 
-    /// From now on the decode engine may hold memory for the stream.
-    pub(crate) fn start_decode(&mut self, engine: EngineRef) {
+    /// Records that the decode engine may hold memory for the stream from now on.
+    pub(crate) fn start_decode(&mut self, engine: BackendRef) {
         self.decode = Some(engine);
     }
 
-    pub(crate) fn decode_engine(&self) -> Option<&EngineRef> {
+    pub(crate) fn decode_engine(&self) -> Option<&BackendRef> {
         self.decode.as_ref()
     }
 
-    /// Gives the placement back.
-    pub(crate) fn end(mut self, cause: ReleaseCause) {
-        self.give_back(cause, None);
+    /// Releases the placement.
+    pub(crate) fn release(mut self, cause: ReleaseCause) {
+        self.send_release(cause, None);
     }
 
-    /// Gives the placement back; tells the scheduler if an engine ended under the request.
-    pub(crate) fn end_at(mut self, cause: ReleaseCause, ended: Option<Name>) {
-        if let Some(engine) = &ended {
+    /// Releases the placement and reports the engine that crashed, if any, to the scheduler.
+    pub(crate) fn release_after_failure(mut self, cause: ReleaseCause, crashed: Option<Name>) {
+        if let Some(engine) = &crashed {
             log::info!(
                 "event=engine_ended stream={} print={} engine={engine}",
                 self.stream,
-                self.print,
+                self.fingerprint,
             );
-            self.context.placements.note_end(&self.pool, &self.print, engine);
+            self.context.placements.record_crash(&self.pool, &self.fingerprint, engine);
         }
-        self.give_back(cause, ended);
+        self.send_release(cause, crashed);
     }
 
-    fn give_back(&mut self, cause: ReleaseCause, ended: Option<Name>) {
-        if self.ended {
+    fn send_release(&mut self, cause: ReleaseCause, crashed: Option<Name>) {
+        if self.is_released {
             return;
         }
-        self.ended = true;
+        self.is_released = true;
         self.context.placements.lock().remove(&self.stream);
         let message = ReleaseMessage {
             stream: self.stream.clone(),
@@ -221,14 +223,14 @@
             cause,
             tokens: self.tokens,
             cached: self.cached,
-            print: Some(Name::clone(&self.print)),
-            ended,
+            print: Some(Name::clone(&self.fingerprint)),
+            ended: crashed,
         };
         let release = Arc::clone(&self.context.placement_client.release);
         let scheduler = self.scheduler.take();
-        // A stream that was read to its end holds nothing, and neither does a process that has ended.
-        let holds = cause != ReleaseCause::Done && message.ended.is_none();
-        let decode = self.decode.take().filter(|_| holds);
+        // A stream that was read to its end holds no memory, and neither does a crashed engine.
+        let needs_cancel = cause != ReleaseCause::Done && message.ended.is_none();
+        let decode = self.decode.take().filter(|_| needs_cancel);
         let Some(decode) = decode else {
             release(scheduler, message);
             return;
@@ -236,7 +238,7 @@
         let engines = self.context.engines.clone();
         let stream = self.stream.clone();
         self.context.tasks.spawn(async move {
-            // The slot is free only once the engine has let go of it.
+            // The slot is free only after the engine has released it.
             let cancelled = engines.cancel(decode.address, &stream).await;
             release(scheduler, message);
             if cancelled.is_err() {
@@ -248,63 +250,63 @@
 
 impl Drop for Placement {
     fn drop(&mut self) {
-        self.give_back(ReleaseCause::Cancelled, None);
+        self.send_release(ReleaseCause::Cancelled, None);
     }
 }
 
-/// Cancels again and again; the scheduler's sweep comes after the last try.
-async fn cancel_stream(engines: &EngineClient, engine: &EngineRef, stream: &StreamId) {
+/// Cancels a stream with retries; if all fail, the scheduler's sweep cleans it up.
+async fn cancel_stream(engines: &EngineClient, engine: &BackendRef, stream: &StreamId) {
     let cancel = || engines.cancel(engine.address, stream);
-    let pauses = ExponentialBuilder::default()
-        .with_min_delay(CANCEL_FIRST_PAUSE)
-        .with_max_times(CANCEL_TRIES)
+    let backoff = ExponentialBuilder::default()
+        .with_min_delay(CANCEL_INITIAL_BACKOFF)
+        .with_max_times(CANCEL_MAX_RETRIES)
         .with_jitter();
-    if let Err(error) = cancel.retry(pauses).await {
+    if let Err(error) = cancel.retry(backoff).await {
         log::warn!("event=cancel_failed engine={} stream={stream} error=\"{error}\"", engine.name);
     }
 }
 
-/// A prefill under way or exported, until a decode engine has imported it.
+/// A prefill that is running or exported, until a decode engine has imported its KV cache.
 #[derive(Debug)]
 pub(crate) struct ExportGuard {
     context: EntryContext,
     stream: StreamId,
-    pub(crate) engine: EngineRef,
+    pub(crate) engine: BackendRef,
     /// Handle of the exported KV cache, once there is one.
     pub(crate) kv: Option<Name>,
     /// When the KV cache was exported.
-    pub(crate) since: Instant,
-    used: bool,
+    pub(crate) exported_at: Instant,
+    is_settled: bool,
 }
 
 impl ExportGuard {
-    pub(crate) fn new(context: &EntryContext, stream: &StreamId, engine: EngineRef) -> Self {
+    pub(crate) fn new(context: &EntryContext, stream: &StreamId, engine: BackendRef) -> Self {
         Self {
             context: context.clone(),
             stream: stream.clone(),
             engine,
             kv: None,
-            since: Instant::now(),
-            used: false,
+            exported_at: Instant::now(),
+            is_settled: false,
         }
     }
 
-    /// The export was imported; the prefill was of use.
-    pub(crate) fn mark_used(&mut self) {
-        self.used = true;
+    /// Records that a decode engine imported the KV cache.
+    pub(crate) fn mark_imported(&mut self) {
+        self.is_settled = true;
     }
 
-    /// Gives an unused prefill up, counted with its cause.
-    pub(crate) fn waste(mut self, cause: &'static str) {
-        self.give_up(cause);
+    /// Cancels an unused prefill and counts it as wasted with the cause.
+    pub(crate) fn discard(mut self, cause: &'static str) {
+        self.cancel_unused(cause);
     }
 
-    fn give_up(&mut self, cause: &'static str) {
-        if self.used {
+    fn cancel_unused(&mut self, cause: &'static str) {
+        if self.is_settled {
             return;
         }
-        self.used = true;
-        self.context.metrics.count_wasted(cause);
+        self.is_settled = true;
+        self.context.metrics.count_wasted_prefill(cause);
         let engines = self.context.engines.clone();
         let (engine, stream) = (self.engine.clone(), self.stream.clone());
         self.context.tasks.spawn(async move {
@@ -315,6 +317,6 @@
 
 impl Drop for ExportGuard {
     fn drop(&mut self) {
-        self.give_up("cancelled");
+        self.cancel_unused("cancelled");
     }
 }
--- a/crates/dillspool_entry/src/plain.rs
+++ b/crates/dillspool_entry/src/plain_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services, repeatable or not.
+//! Calls to plain services, idempotent or not.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,27 +16,28 @@
 use hyper::{Method, Request, Response, StatusCode};
 
 use crate::context::EntryContext;
-use crate::placement::EngineRef;
+use crate::placement::BackendRef;
 use crate::problem::{RequestProblem, WorkOutcome, copy_problem};
 
-/// Header that names an unrepeatable call, as in the IETF draft.
+/// Header that identifies a non-idempotent call, as in the IETF draft.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Longest answer that is passed on, in bytes.
-const ANSWER_LIMIT: usize = 8 * 1024 * 1024;
-/// Longest answer that is recorded in a ledger row; of a longer one only the status is kept.
-const RECORD_LIMIT: usize = 64 * 1024;
-/// Age at which a ticket is not used any more: its caller has gone.
-const TICKET_AGE: Duration = Duration::from_secs(10);
-/// When to come back while the platform's table is out of reach.
-const STORE_RETRY: Duration = Duration::from_secs(5);
-/// When to ask again for an answer that may still be recorded.
-const PROGRESS_RETRY: Duration = Duration::from_secs(1);
+/// Maximum size of a forwarded response body.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a body recorded in a ledger row; a longer one is recorded with its status and
+/// content type only.
+const MAX_RECORDED_BYTES: usize = 64 * 1024;
+/// Maximum age of a ticket that is still used; after that the caller has disconnected.
+const MAX_TICKET_AGE: Duration = Duration::from_secs(10);
+/// `Retry-After` while the platform's table is unreachable.
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// `Retry-After` for a response that may still be recorded.
+const PENDING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A call to a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct PlainCall {
-    /// The same for all copies of the call.
-    pub(crate) print: RequestFingerprint,
+    /// Equal for all copies of the call.
+    pub(crate) fingerprint: RequestFingerprint,
     pub(crate) snapshot: Arc<ConfigSnapshot>,
     pub(crate) group: GroupEntry,
     pub(crate) route: RouteEntry,
@@ -46,57 +47,58 @@
     pub(crate) body: Bytes,
 }
 
-/// An answer of a plain service.
-struct PlainAnswer {
+/// A response of a plain service.
+struct PlainResponse {
     status: StatusCode,
     content_type: HeaderValue,
     body: Bytes,
 }
 
-impl PlainAnswer {
-    fn response(self) -> Response<ResponseBody> {
+impl PlainResponse {
+    fn into_response(self) -> Response<ResponseBody> {
         let mut response = Response::new(full_body(self.body));
         *response.status_mut() = self.status;
         response.headers_mut().insert(CONTENT_TYPE, self.content_type);
         response
     }
 
-    fn record(&self) -> RecordedResponse {
+    fn to_record(&self) -> RecordedResponse {
         let content_type = self.content_type.to_str().unwrap_or("application/octet-stream");
-        let kept = if self.body.len() <= RECORD_LIMIT { &self.body[..] } else { &[] };
+        let kept = if self.body.len() <= MAX_RECORDED_BYTES { &self.body[..] } else { &[] };
         RecordedResponse::new(self.status.as_u16(), content_type, kept)
     }
 }
 
-/// Serves a plain call.
-pub(crate) async fn answer_plain(
+/// Serves a plain call, through the ledger if it is not idempotent and has a key.
+pub(crate) async fn handle_plain_call(
     context: EntryContext,
     call: PlainCall,
 ) -> Result<Response<ResponseBody>, RequestProblem> {
-    let copy = context.suspects.admit(call.print).map_err(copy_problem)?;
+    let copy = context.suspects.admit(call.fingerprint).map_err(copy_problem)?;
     if call.route.repeatable {
-        return send_repeatable(&context, &call).await.map(PlainAnswer::response);
+        return send_idempotent(&context, &call).await.map(PlainResponse::into_response);
     }
     let key = call.headers.get(IDEMPOTENCY_KEY).and_then(|value| value.to_str().ok());
     let Some(key) = key.filter(|key| !key.is_empty()) else {
-        return detached(&context, |context| async move {
-            let answer = send_once(&context, &call).await.map(PlainAnswer::response);
+        return run_detached(&context, |context| async move {
+            let response = send_once(&context, &call).await.map(PlainResponse::into_response);
             drop(copy);
-            answer
+            response
         })
         .await;
     };
     let key = CallKey::new(&call.group.name, key);
-    detached(&context, |context| async move {
-        let answer = send_with_ledger(&context, &call, key).await;
+    run_detached(&context, |context| async move {
+        let response = send_with_ledger(&context, &call, key).await;
         drop(copy);
-        answer
+        response
     })
     .await
 }
 
-/// Runs to the end even if the caller leaves, so that the answer gets recorded.
-async fn detached<F, R>(
+/// Runs the call as a task of its own, so that its response is recorded even if the caller
+/// disconnects.
+async fn run_detached<F, R>(
     context: &EntryContext,
     work: F,
 ) -> Result<Response<ResponseBody>, RequestProblem>
@@ -106,9 +108,9 @@
 {
     let task = context.tasks.spawn(work(context.clone()));
     task.await.unwrap_or_else(|_join| {
-        let detail = "the call ended unexpectedly; find out whether it ran before sending it again";
+        let detail = "the call failed unexpectedly; check whether it ran before you retry it";
         let status = StatusCode::INTERNAL_SERVER_ERROR;
-        Err(RequestProblem::not_run(status, "internal", detail).outcome(WorkOutcome::Unknown))
+        Err(RequestProblem::not_run(status, "internal", detail).with_outcome(WorkOutcome::Unknown))
     })
 }
 
@@ -119,44 +121,44 @@
 ) -> Result<Response<ResponseBody>, RequestProblem> {
     let request = CallRequest::new(key, call.method.as_str(), &call.path, &call.body);
     match context.ledger.begin(request).await {
-        BeginOutcome::Run(ticket) => run_ticket(context, call, ticket).await,
-        BeginOutcome::Recorded(answer) => Ok(replay(&answer)),
-        BeginOutcome::Unknown { in_progress } => Err(begun_before(in_progress)),
+        BeginOutcome::Run(ticket) => send_with_ticket(context, call, ticket).await,
+        BeginOutcome::Recorded(response) => Ok(replay(&response)),
+        BeginOutcome::Unknown { in_progress } => Err(already_started(in_progress)),
         BeginOutcome::Mismatch => {
-            let detail = "the Idempotency-Key was used for another call; use a new key";
+            let detail = "the Idempotency-Key was already used for a different call; use a new key";
             let status = StatusCode::UNPROCESSABLE_ENTITY;
             Err(RequestProblem::not_run(status, "key_reused", detail))
         }
         BeginOutcome::NotRun => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             let Some(settle_time_left) = context.ledger.settle_time_left() else {
-                let detail = "the call cannot be entered in the ledger now; send it again later";
+                let detail = "the call cannot be recorded in the ledger now; retry it later";
                 let problem = RequestProblem::not_run(status, "store_down", detail);
-                return Err(problem.retry_after(STORE_RETRY));
+                return Err(problem.with_retry_after(STORE_RETRY_AFTER));
             };
             let detail =
-                "the platform's table was restored; send the call again when the ledger is settled";
+                "the platform's table was restored; retry the call once the ledger has settled";
             let problem = RequestProblem::not_run(status, "store_restored", detail);
-            Err(problem.retry_after(settle_time_left))
+            Err(problem.with_retry_after(settle_time_left))
         }
     }
 }
 
-fn begun_before(in_progress: bool) -> RequestProblem {
+fn already_started(in_progress: bool) -> RequestProblem {
     let detail = if in_progress {
-        "a call with this key was begun and has no answer yet; ask again with the same key"
+        "a call with this key has started and has no response yet; retry with the same key"
     } else {
-        "a call with this key was begun before and its answer is not kept; find out at the service"
+        "a call with this key started earlier and its response was not kept; check its outcome at the service"
     };
     let problem = RequestProblem::not_run(StatusCode::CONFLICT, "begun_before", detail)
-        .outcome(WorkOutcome::Unknown);
-    if in_progress { problem.retry_after(PROGRESS_RETRY) } else { problem }
+        .with_outcome(WorkOutcome::Unknown);
+    if in_progress { problem.with_retry_after(PENDING_RETRY_AFTER) } else { problem }
 }
 
-fn replay(answer: &RecordedResponse) -> Response<ResponseBody> {
-    let mut response = Response::new(full_body(answer.body_bytes()));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
-    if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
+fn replay(recorded: &RecordedResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(recorded.body_bytes()));
+    *response.status_mut() = StatusCode::from_u16(recorded.status).unwrap_or(StatusCode::OK);
+    if let Ok(value) = HeaderValue::from_str(&recorded.content_type) {
         response.headers_mut().insert(CONTENT_TYPE, value);
     }
     let replayed = HeaderValue::from_static("true");
@@ -164,22 +166,22 @@
     response
 }
 
-async fn run_ticket(
+async fn send_with_ticket(
     context: &EntryContext,
     call: &PlainCall,
     ticket: CallTicket,
 ) -> Result<Response<ResponseBody>, RequestProblem> {
-    if ticket.age() > TICKET_AGE {
+    if ticket.age() > MAX_TICKET_AGE {
         context.ledger.abandon(ticket);
-        let detail = "this host was held up before it sent the call; send it again";
+        let detail = "this host was delayed before it sent the call; retry it";
         return Err(RequestProblem::not_run(StatusCode::SERVICE_UNAVAILABLE, "held_up", detail)
-            .retry_after(PROGRESS_RETRY));
+            .with_retry_after(PENDING_RETRY_AFTER));
     }
     match send_once(context, call).await {
-        Ok(answer) => {
-            let (ledger, record) = (context.ledger.clone(), answer.record());
+        Ok(response) => {
+            let (ledger, record) = (context.ledger.clone(), response.to_record());
             context.tasks.spawn(async move { ledger.finish(ticket, record).await });
-            Ok(answer.response())
+            Ok(response.into_response())
         }
         Err(problem) => {
             if problem.outcome == WorkOutcome::NotRun {
@@ -190,15 +192,15 @@
     }
 }
 
-/// Backend servers of the call's service, starting at another one each time.
-fn backends(context: &EntryContext, call: &PlainCall) -> Vec<EngineRef> {
-    let mut servers: Vec<EngineRef> = call
+/// Returns the backend servers of the call's service in round-robin order.
+fn backends(context: &EntryContext, call: &PlainCall) -> Vec<BackendRef> {
+    let mut servers: Vec<BackendRef> = call
         .snapshot
         .backends(&call.route.service, BackendRole::Plain)
         .filter(|entry| !entry.leaving && !(context.host_status.is_leaving)(&entry.name))
         .filter_map(|entry| {
             let address = entry.address.parse().ok()?;
-            Some(EngineRef { name: Name::clone(&entry.name), address })
+            Some(BackendRef { name: Name::clone(&entry.name), address })
         })
         .collect();
     if !servers.is_empty() {
@@ -208,60 +210,59 @@
     servers
 }
 
-fn none_reachable(call: &PlainCall) -> RequestProblem {
-    let detail = format!(
-        "no backend server of `{}` can be reached; send the call again later",
-        call.route.service
-    );
+fn no_backend_problem(call: &PlainCall) -> RequestProblem {
+    let detail =
+        format!("no backend server of `{}` is reachable; retry the call later", call.route.service);
     RequestProblem::not_run(StatusCode::SERVICE_UNAVAILABLE, "no_backend", detail)
-        .retry_after(PROGRESS_RETRY)
+        .with_retry_after(PENDING_RETRY_AFTER)
 }
 
-fn outcome_unknown(error: &HttpError) -> RequestProblem {
-    let detail = format!("{error}; find out at the service before sending it as a new call");
+fn unknown_outcome_problem(error: &HttpError) -> RequestProblem {
+    let detail =
+        format!("{error}; check the outcome at the service before you send it as a new call");
     RequestProblem::not_run(StatusCode::GATEWAY_TIMEOUT, "no_answer", detail)
-        .outcome(WorkOutcome::Unknown)
+        .with_outcome(WorkOutcome::Unknown)
 }
 
-/// Sends a call to one backend server; another is tried only if nothing was sent.
+/// Sends a call to one backend server; tries another one only if nothing was sent.
 async fn send_once(
     context: &EntryContext,
     call: &PlainCall,
-) -> Result<PlainAnswer, RequestProblem> {
+) -> Result<PlainResponse, RequestProblem> {
     for server in backends(context, call) {
         match send(context, call, &server).await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(HttpError::NotSent { .. }) => {}
             Err(error) => {
-                note_break(context, call, &server).await;
-                return Err(outcome_unknown(&error));
+                record_crash(context, call, &server).await;
+                return Err(unknown_outcome_problem(&error));
             }
         }
     }
-    Err(none_reachable(call))
+    Err(no_backend_problem(call))
 }
 
-/// Sends a repeatable call, to another backend server if one fails and the budget allows.
-async fn send_repeatable(
+/// Sends an idempotent call; retries it on other backend servers within the retry budget.
+async fn send_idempotent(
     context: &EntryContext,
     call: &PlainCall,
-) -> Result<PlainAnswer, RequestProblem> {
-    let mut last = none_reachable(call);
+) -> Result<PlainResponse, RequestProblem> {
+    let mut last = no_backend_problem(call);
     for server in backends(context, call) {
         match send(context, call, &server).await {
-            Ok(answer) => {
+            Ok(response) => {
                 context
                     .retry_budget
                     .record_success(call.snapshot.configuration.policy.retry_percent);
-                return Ok(answer);
+                return Ok(response);
             }
             Err(HttpError::NotSent { .. }) => {}
             Err(error) => {
-                last = outcome_unknown(&error);
-                note_break(context, call, &server).await;
-                let decision = context.suspects.decide(call.print);
-                let is_deadly = matches!(decision, SuspectDecision::Refused { .. });
-                if is_deadly || !context.retry_budget.try_withdraw() {
+                last = unknown_outcome_problem(&error);
+                record_crash(context, call, &server).await;
+                let decision = context.suspects.decide(call.fingerprint);
+                let is_refused = matches!(decision, SuspectDecision::Refused { .. });
+                if is_refused || !context.retry_budget.try_withdraw() {
                     break;
                 }
                 context.metrics.count_retry();
@@ -271,21 +272,21 @@
     Err(last)
 }
 
-/// Holds it against the call if the process that ran it has ended.
-async fn note_break(context: &EntryContext, call: &PlainCall, server: &EngineRef) {
+/// Records a crash against the call if the backend server that ran it has crashed.
+async fn record_crash(context: &EntryContext, call: &PlainCall, server: &BackendRef) {
     if context.engines.has_ended(server.address).await {
-        log::info!("event=backend_ended print={} backend={}", call.print, server.name);
-        context.suspects.record_unidentified_crash(call.print, &server.name, Duration::ZERO);
+        log::info!("event=backend_ended print={} backend={}", call.fingerprint, server.name);
+        context.suspects.record_unidentified_crash(call.fingerprint, &server.name, Duration::ZERO);
     }
 }
 
 async fn send(
     context: &EntryContext,
     call: &PlainCall,
-    server: &EngineRef,
-) -> Result<PlainAnswer, HttpError> {
+    server: &BackendRef,
+) -> Result<PlainResponse, HttpError> {
     let address = server.address;
-    let lost = |reason: String| HttpError::Lost { address, reason };
+    let connection_lost = |reason: String| HttpError::Lost { address, reason };
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.path.parse().map_err(|error: hyper::http::uri::InvalidUri| {
@@ -303,20 +304,20 @@
         let response = context.plain_client.send(address, request).await?;
         let status = response.status();
         let content_type = response.headers().get(CONTENT_TYPE).cloned();
-        let body = read_body(response.into_body(), ANSWER_LIMIT)
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES)
             .await
-            .map_err(|error| lost(error.to_string()))?;
+            .map_err(|error| connection_lost(error.to_string()))?;
         let content_type =
             content_type.unwrap_or(HeaderValue::from_static("application/octet-stream"));
-        Ok(PlainAnswer { status, content_type, body })
+        Ok(PlainResponse { status, content_type, body })
     };
-    let limit = Duration::from_millis(call.route.timeout_ms.into());
-    match tokio::time::timeout(limit, exchange).await {
-        Ok(Ok(answer)) => {
-            context.suspects.record_success(call.print);
-            Ok(answer)
+    let timeout = Duration::from_millis(call.route.timeout_ms.into());
+    match tokio::time::timeout(timeout, exchange).await {
+        Ok(Ok(response)) => {
+            context.suspects.record_success(call.fingerprint);
+            Ok(response)
         }
         Ok(Err(error)) => Err(error),
-        Err(_elapsed) => Err(lost(format!("no answer within {limit:?}"))),
+        Err(_elapsed) => Err(connection_lost(format!("no response within {timeout:?}"))),
     }
 }
--- a/crates/dillspool_entry/src/router.rs
+++ b/crates/dillspool_entry/src/router.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to the part of the host that serves it.
+//! Authenticates HTTP requests and dispatches them to their handlers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,17 +16,17 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio::time::Instant;
 
-use crate::answer::{RequestPermit, answer_request};
+use crate::completion_stream::CompletionParams;
+use crate::completions::{RequestPermit, handle_completion};
 use crate::context::EntryContext;
-use crate::openai::{ApiForm, GenerationRequest, model_list};
-use crate::plain::{PlainCall, answer_plain};
+use crate::openai::{ApiEndpoint, GenerationRequest, model_list};
+use crate::plain_calls::{PlainCall, handle_plain_call};
 use crate::problem::RequestProblem;
-use crate::stream::AnswerTerms;
 
-/// When to come back to a host that takes no requests now.
-const CLOSED_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` while the host accepts no requests.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The handler of the callers' listener.
+/// Returns the HTTP handler of the callers' listener.
 pub fn callers_handler(context: EntryContext) -> HttpHandler {
     handler(move |request| {
         let context = context.clone();
@@ -47,33 +47,33 @@
     if let Some(reason) = (context.host_status.closed_reason)() {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         let problem = RequestProblem::not_run(status, "host_closed", reason);
-        return Err(problem.retry_after(CLOSED_RETRY));
+        return Err(problem.with_retry_after(UNAVAILABLE_RETRY_AFTER));
     }
     let snapshot = current_config(&context)?;
     let group = authenticate(&snapshot, &request)?;
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, "/v1/chat/completions") => {
-            generate(context, snapshot, group, ApiForm::Chat, request, arrived).await
+            generate(context, snapshot, group, ApiEndpoint::Chat, request, arrived).await
         }
         (&Method::POST, "/v1/completions") => {
-            generate(context, snapshot, group, ApiForm::Text, request, arrived).await
+            generate(context, snapshot, group, ApiEndpoint::Text, request, arrived).await
         }
         (&Method::GET, "/v1/models") => {
             let pools = &snapshot.configuration.pool;
             let models: BTreeSet<&Name> = pools.iter().map(|pool| &pool.model).collect();
             Ok(text_response(StatusCode::OK, "application/json", model_list(models.into_iter())))
         }
-        _ => pass_on(context, snapshot, group, &path, request).await,
+        _ => forward_call(context, snapshot, group, &path, request).await,
     }
 }
 
 fn current_config(context: &EntryContext) -> Result<Arc<ConfigSnapshot>, RequestProblem> {
     let current = context.config.borrow().clone();
     current.ok_or_else(|| {
-        let detail = "no configuration was applied yet; apply one with `dillspool apply`";
+        let detail = "no configuration has been applied yet; apply one with `dillspool apply`";
         RequestProblem::not_run(StatusCode::SERVICE_UNAVAILABLE, "not_configured", detail)
-            .retry_after(CLOSED_RETRY)
+            .with_retry_after(UNAVAILABLE_RETRY_AFTER)
     })
 }
 
@@ -92,14 +92,16 @@
     })
 }
 
-fn enter(context: &EntryContext) -> Result<RequestPermit, RequestProblem> {
+fn try_admit(context: &EntryContext) -> Result<RequestPermit, RequestProblem> {
     match Arc::clone(&context.in_flight).try_acquire_owned() {
-        Ok(permit) => Ok(RequestPermit { _in_flight: context.metrics.enter(), _permit: permit }),
+        Ok(permit) => {
+            Ok(RequestPermit { _in_flight: context.metrics.start_request(), _permit: permit })
+        }
         Err(_full) => {
-            let detail =
-                "this host has too many requests in flight; come back after the time given";
+            let detail = "this host has too many requests in flight; retry after the given delay";
             let status = StatusCode::TOO_MANY_REQUESTS;
-            Err(RequestProblem::not_run(status, "host_full", detail).retry_after(CLOSED_RETRY))
+            Err(RequestProblem::not_run(status, "host_full", detail)
+                .with_retry_after(UNAVAILABLE_RETRY_AFTER))
         }
     }
 }
@@ -107,7 +109,7 @@
 async fn receive_body(context: &EntryContext, body: Incoming) -> Result<Bytes, RequestProblem> {
     let limit = context.max_body_bytes;
     let too_large = || {
-        let detail = format!("the body is over {limit} bytes; send less");
+        let detail = format!("the request body exceeds {limit} bytes; send a smaller one");
         RequestProblem::not_run(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", detail)
     };
     if body.size_hint().lower() > limit as u64 {
@@ -116,12 +118,12 @@
     match tokio::time::timeout(context.body_timeout, read_body(body, limit)).await {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(too_large()),
-        Ok(Err(_broken)) => {
-            let detail = "the body broke off; send the request again";
+        Ok(Err(_incomplete)) => {
+            let detail = "the request body ended early; retry the request";
             Err(RequestProblem::not_run(StatusCode::BAD_REQUEST, "body_broken", detail))
         }
         Err(_elapsed) => {
-            let detail = "the body did not arrive in time; send the request again";
+            let detail = "the request body was not received in time; retry the request";
             Err(RequestProblem::not_run(StatusCode::REQUEST_TIMEOUT, "body_timeout", detail))
         }
     }
@@ -131,29 +133,29 @@
     context: EntryContext,
     snapshot: Arc<ConfigSnapshot>,
     group: GroupEntry,
-    form: ApiForm,
+    endpoint: ApiEndpoint,
     request: Request<Incoming>,
     arrived: Instant,
 ) -> Result<Response<ResponseBody>, RequestProblem> {
-    let permit = enter(&context)?;
+    let permit = try_admit(&context)?;
     let body = receive_body(&context, request.into_body()).await?;
-    let path = match form {
-        ApiForm::Chat => "/v1/chat/completions",
-        ApiForm::Text => "/v1/completions",
+    let path = match endpoint {
+        ApiEndpoint::Chat => "/v1/chat/completions",
+        ApiEndpoint::Text => "/v1/completions",
     };
-    let print = request_print(&context, &group, path, &body);
-    let request = GenerationRequest::parse(form, &body).map_err(|detail| {
+    let fingerprint = request_fingerprint(&context, &group, path, &body);
+    let request = GenerationRequest::parse(endpoint, &body).map_err(|detail| {
         RequestProblem::not_run(StatusCode::BAD_REQUEST, "invalid_request", detail)
     })?;
     let pool = choose_pool(&snapshot, &request.model)?;
     let id = context.ids.next();
-    let terms = AnswerTerms { id, print, snapshot, group, pool, request, arrived };
-    // Its future is large, and would make the one of every other request as large.
-    Box::pin(answer_request(context, terms, permit)).await
+    let params = CompletionParams { id, fingerprint, snapshot, group, pool, request, arrived };
+    // Boxed because its large future would otherwise enlarge the future of every request.
+    Box::pin(handle_completion(context, params, permit)).await
 }
 
-/// Names a request, whichever copy of it this is.
-fn request_print(
+/// Computes the fingerprint of a request, which is equal for all its copies.
+fn request_fingerprint(
     context: &EntryContext,
     group: &GroupEntry,
     path: &str,
@@ -172,7 +174,7 @@
     })
 }
 
-async fn pass_on(
+async fn forward_call(
     context: EntryContext,
     snapshot: Arc<ConfigSnapshot>,
     group: GroupEntry,
@@ -181,16 +183,16 @@
 ) -> Result<Response<ResponseBody>, RequestProblem> {
     let Some(route) = snapshot.route(path).cloned() else {
         let detail =
-            format!("`{path}` is no route; see the [[route]] entries of the configuration");
+            format!("no route matches `{path}`; see the [[route]] entries of the configuration");
         return Err(RequestProblem::not_run(StatusCode::NOT_FOUND, "no_route", detail));
     };
-    let _permit = enter(&context)?;
+    let _permit = try_admit(&context)?;
     let (parts, body) = request.into_parts();
     let body = receive_body(&context, body).await?;
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let print = request_print(&context, &group, path, &body);
+    let fingerprint = request_fingerprint(&context, &group, path, &body);
     let call = PlainCall {
-        print,
+        fingerprint,
         snapshot,
         group,
         route,
@@ -199,5 +201,5 @@
         headers: parts.headers,
         body,
     };
-    answer_plain(context, call).await
+    handle_plain_call(context, call).await
 }
