--- a/crates/dillspool_entry/src/completion_stream.rs
+++ b/crates/dillspool_entry/src/completion_stream.rs
@@ -190,7 +190,7 @@
             self.params.id,
             open.placement.stream()
         );
-        if matches!(error, EngineError::BrokenOff { .. })
+        if matches!(error, EngineError::Interrupted { .. })
             && let Some(tokens) = self.resume(&open.placement).await
         {
             open.tokens = tokens;
@@ -214,12 +214,12 @@
     ) -> Option<Name> {
         let engine = engine?;
         match error {
-            EngineError::BrokenOff { .. } | EngineError::Stalled { .. } => {}
+            EngineError::Interrupted { .. } | EngineError::Stalled { .. } => {}
             EngineError::Refused { .. }
-            | EngineError::OutOfReach { .. }
-            | EngineError::Wrong { .. } => return None,
+            | EngineError::Unreachable { .. }
+            | EngineError::InvalidResponse { .. } => return None,
         }
-        let has_crashed = self.context.engines.has_ended(engine.address).await;
+        let has_crashed = self.context.engines.refuses_connections(engine.address).await;
         has_crashed.then(|| Name::clone(&engine.name))
     }
 
--- a/crates/dillspool_entry/src/plain_calls.rs
+++ b/crates/dillspool_entry/src/plain_calls.rs
@@ -274,7 +274,7 @@
 
 /// Records a crash against the call if the backend server that ran it has crashed.
 async fn record_crash(context: &EntryContext, call: &PlainCall, server: &BackendRef) {
-    if context.engines.has_ended(server.address).await {
+    if context.engines.refuses_connections(server.address).await {
         log::info!("event=backend_ended print={} backend={}", call.fingerprint, server.name);
         context.suspects.record_unidentified_crash(call.fingerprint, &server.name, Duration::ZERO);
     }
