--- a/crates/dillspool_routerd/src/lib.rs
+++ b/crates/dillspool_routerd/src/lib.rs
@@ -15,8 +15,8 @@
     let throttle = ThrottleTracker::new(clock.clone());
     let leaving = LeavingTracker::new(clock.clone());
     SiteProtocol {
-        extract_metadata: dillspool_site::take_terms,
-        set_request_id: dillspool_site::mark_answer,
+        extract_metadata: dillspool_site::extract_metadata,
+        set_request_id: dillspool_site::set_request_id,
         decode_config: dillspool_site::decode_config,
         decode_backend: dillspool_site::decode_backend,
         drained_domain: dillspool_site::drained_domain,
@@ -27,7 +27,7 @@
         throttle,
         leaving,
         watch: dillspool_site::table_watch(&http, config.store, config.store_timeout),
-        store: dillspool_site::host_table(&http, config.store, config.store_timeout),
+        store: dillspool_site::table_store(&http, config.store, config.store_timeout),
         label: "prepared platform".into(),
     }
 }
