--- a/crates/dillspool_log/src/lib.rs
+++ b/crates/dillspool_log/src/lib.rs
@@ -1,7 +1,7 @@
-//! The log of a daemon: one structured line an event on standard output.
+//! Logging of a daemon: one structured line per event on standard output.
 //!
-//! Whoever logs never waits: lines go through a bounded queue to a thread of their own, and what
-//! does not fit is counted in the log itself. See `docs/OPERATIONS.md`.
+//! Logging never blocks the caller: lines go through a bounded queue to a writer thread. Lines that
+//! don't fit are dropped, and the log reports their number. See `docs/OPERATIONS.md`.
 
 mod line_queue;
 mod log_setup;
--- a/crates/dillspool_log/src/line_queue.rs
+++ b/crates/dillspool_log/src/line_queue.rs
@@ -1,4 +1,4 @@
-//! Takes lines without waiting, and writes them from a thread of its own.
+//! A bounded queue of log lines, which never blocks the caller, and the thread that writes them.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -6,51 +6,51 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::{Duration, Instant};
 
-/// Lines that wait for the writer at most, about 1 MB.
+/// Capacity of the queue in lines, about 1 MB.
 pub const QUEUE_LINES: usize = 4096;
-/// Time for which lines are gathered before they are written, to save wake-ups and calls.
-const GATHER: Duration = Duration::from_millis(100);
+/// Time for which lines are batched before they are written, to save wake-ups and system calls.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two looks at the lines that wait, while the process ends.
-const DRAIN_LOOK: Duration = Duration::from_millis(5);
+/// Interval at which [`LogDrain::wait`] polls the number of pending lines.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Lets the last lines of a process out before it ends.
+/// Waits for pending lines to be written before the process exits.
 #[derive(Clone, Debug)]
 pub struct LogDrain {
-    waiting: Arc<AtomicUsize>,
+    pending: Arc<AtomicUsize>,
 }
 
 impl LogDrain {
-    /// Waits until all lines are written, or that takes longer than `limit`.
-    pub fn wait(&self, limit: Duration) {
-        let until = Instant::now() + limit;
-        while self.waiting.load(Ordering::Acquire) > 0 && Instant::now() < until {
-            std::thread::sleep(DRAIN_LOOK);
+    /// Blocks until all lines are written, for at most `timeout`.
+    pub fn wait(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
+        while self.pending.load(Ordering::Acquire) > 0 && Instant::now() < deadline {
+            std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 }
 
-/// Hands lines to the writer, or counts them as lost when it does not keep up.
+/// Sends lines to the writer thread; drops and counts them while the queue is full.
 #[derive(Debug)]
 pub struct LineQueue {
     sender: SyncSender<Vec<u8>>,
     lost: Arc<AtomicU64>,
-    waiting: Arc<AtomicUsize>,
+    pending: Arc<AtomicUsize>,
 }
 
 impl LineQueue {
-    /// Tells when all lines are written.
+    /// Returns a handle that waits for all lines to be written.
     pub fn drain(&self) -> LogDrain {
-        LogDrain { waiting: Arc::clone(&self.waiting) }
+        LogDrain { pending: Arc::clone(&self.pending) }
     }
 }
 
 impl Write for LineQueue {
-    /// Takes one line; never waits and never fails.
+    /// Enqueues one line. Never blocks and never fails; a line that doesn't fit is counted as lost.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.waiting.fetch_add(1, Ordering::AcqRel);
+        self.pending.fetch_add(1, Ordering::AcqRel);
         if self.sender.try_send(line.to_vec()).is_err() {
-            self.waiting.fetch_sub(1, Ordering::AcqRel);
+            self.pending.fetch_sub(1, Ordering::AcqRel);
             self.lost.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
@@ -61,33 +61,33 @@
     }
 }
 
-/// Starts the thread that writes a queue's lines to `out`; it ends with the queue.
+/// Starts the thread that writes the lines of a queue to `out`. It exits when the queue is dropped.
 ///
 /// # Errors
 ///
-/// The system's error when no thread can be started.
+/// The operating system's error when the thread cannot be started.
 pub fn start_writer(out: impl Write + Send + 'static) -> io::Result<LineQueue> {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
     let lost = Arc::new(AtomicU64::new(0));
-    let waiting = Arc::new(AtomicUsize::new(0));
-    let queue = LineQueue { sender, lost: Arc::clone(&lost), waiting: Arc::clone(&waiting) };
+    let pending = Arc::new(AtomicUsize::new(0));
+    let queue = LineQueue { sender, lost: Arc::clone(&lost), pending: Arc::clone(&pending) };
     std::thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || write_lines(&receiver, &lost, &waiting, out))?;
+        .spawn(move || write_lines(&receiver, &lost, &pending, out))?;
     Ok(queue)
 }
 
 fn write_lines(
     receiver: &Receiver<Vec<u8>>,
     lost: &AtomicU64,
-    waiting: &AtomicUsize,
+    pending: &AtomicUsize,
     mut out: impl Write,
 ) {
     let mut batch = Vec::new();
     while let Ok(line) = receiver.recv() {
         let mut lines = 1;
         batch.extend_from_slice(&line);
-        std::thread::sleep(GATHER);
+        std::thread::sleep(BATCH_INTERVAL);
         while let Ok(line) = receiver.try_recv() {
             batch.extend_from_slice(&line);
             lines += 1;
@@ -96,9 +96,9 @@
         if lost > 0 {
             batch.extend_from_slice(format!("event=log_lines_lost lines={lost}\n").as_bytes());
         }
-        // A reader that went away must not stop the daemon; there is nowhere else to report it.
-        let _written = out.write_all(&batch);
-        waiting.fetch_sub(lines, Ordering::AcqRel);
+        // A closed reader must not stop the daemon, and there is nowhere else to report the error.
+        let _result = out.write_all(&batch);
+        pending.fetch_sub(lines, Ordering::AcqRel);
         batch.clear();
     }
 }
--- a/crates/dillspool_log/src/log_setup.rs
+++ b/crates/dillspool_log/src/log_setup.rs
@@ -1,4 +1,4 @@
-//! Sets up the log of a process.
+//! Installs the logger of a process.
 
 use std::io::{self, Write};
 use std::time::SystemTime;
@@ -9,62 +9,62 @@
 
 use crate::line_queue::{LogDrain, start_writer};
 
-/// Start of the names of the project's own crates; what libraries say is logged from warnings on.
-const OWN_CRATES: &str = "dillspool";
+/// Name prefix of the project's own crates. Other crates are logged only at warning level and above.
+const OWN_CRATE_PREFIX: &str = "dillspool";
 
-/// Why the log cannot be set up.
+/// Why the logger could not be installed.
 #[derive(Debug, Snafu)]
 pub enum LogSetupError {
-    /// No thread could be started.
-    #[snafu(display("cannot start the log's thread: {source}; check the limits on threads"))]
+    /// The writer thread could not be started.
+    #[snafu(display("cannot start the log writer thread: {source}; check the thread limits"))]
     Thread {
-        /// What went wrong.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// A logger was there already.
-    #[snafu(display("the log was set up before; set it up once in a process"))]
+    /// The process already has a logger.
+    #[snafu(display("a logger is already installed; set up logging only once per process"))]
     AlreadySet,
 }
 
-/// Form of a line.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LineFormat {
     /// `name=value` pairs.
     #[default]
     Text,
-    /// One JSON object.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is logged, and how.
+/// Logging options of a process.
 #[derive(Clone, Debug)]
 pub struct LogSetup {
-    /// Name of this host, in each line.
+    /// Name of this host, written in each line.
     pub host: Name,
-    /// Least urgent level that is logged.
+    /// Most verbose level that is logged.
     pub level: LevelFilter,
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LineFormat,
 }
 
-/// Sends the log to standard output; returns what lets the last lines out.
+/// Installs a logger that writes to standard output, and returns a handle to drain it on exit.
 ///
 /// # Errors
 ///
-/// [`LogSetupError`] when no thread can be started or a logger was set up before.
+/// [`LogSetupError`] when the writer thread cannot be started or the process already has a logger.
 pub fn set_up_log(setup: LogSetup) -> Result<LogDrain, LogSetupError> {
     let queue = start_writer(io::stdout()).context(ThreadSnafu)?;
     let drain = queue.drain();
     let level = setup.level;
     let dispatch = fern::Dispatch::new()
         .level(level)
-        .filter(|line| line.target().starts_with(OWN_CRATES) || line.level() <= Level::Warn)
+        .filter(|meta| meta.target().starts_with(OWN_CRATE_PREFIX) || meta.level() <= Level::Warn)
         .format(move |out, message, record| {
             let line = format_line(&setup, record, &message.to_string());
             out.finish(format_args!("{line}"));
         })
         .chain(Box::new(queue) as Box<dyn Write + Send>);
-    dispatch.apply().map_err(|_set| LogSetupError::AlreadySet)?;
+    dispatch.apply().map_err(|_error| LogSetupError::AlreadySet)?;
     Ok(drain)
 }
 
--- a/crates/dillspool_log/tests/line_queue.rs
+++ b/crates/dillspool_log/tests/line_queue.rs
@@ -1,4 +1,4 @@
-//! A reader that stops reading holds up nobody, and what it missed is counted.
+//! A blocked reader of the log doesn't block the process, and dropped lines are counted.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -6,22 +6,22 @@
 
 use dillspool_log::{QUEUE_LINES, start_writer};
 
-/// A reader that takes nothing until it is released.
-struct StuckReader {
-    taken: Arc<Mutex<Vec<u8>>>,
+/// A sink that blocks writes until it is released, as a pipe does whose reader stopped reading.
+struct BlockedSink {
+    output: Arc<Mutex<Vec<u8>>>,
     release: Receiver<()>,
     is_released: bool,
     done: Sender<()>,
 }
 
-impl Write for StuckReader {
+impl Write for BlockedSink {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if !self.is_released {
-            // Ends with an error when the sender is dropped, which releases as well.
-            let _released = self.release.recv();
+            // Dropping the sender also releases the sink; `recv` then returns an error.
+            let _result = self.release.recv();
             self.is_released = true;
         }
-        self.taken.lock().unwrap().extend_from_slice(bytes);
+        self.output.lock().unwrap().extend_from_slice(bytes);
         self.done.send(()).map_err(io::Error::other)?;
         Ok(bytes.len())
     }
@@ -31,50 +31,50 @@
     }
 }
 
-struct FloodCase {
+struct QueueCase {
     lines: usize,
-    /// Whether some must be lost.
-    loses: bool,
+    /// Whether some lines must be dropped.
+    expects_loss: bool,
 }
 
 #[test]
-fn lines_beyond_the_queue_are_counted_and_nobody_waits() {
+fn lines_beyond_the_queue_capacity_are_counted_without_blocking() {
     let cases = [
-        FloodCase { lines: 10, loses: false },
-        // The thread may hold one batch beside the queue.
-        FloodCase { lines: 3 * QUEUE_LINES, loses: true },
+        QueueCase { lines: 10, expects_loss: false },
+        // More than the queue and the batch of the writer thread can hold.
+        QueueCase { lines: 3 * QUEUE_LINES, expects_loss: true },
     ];
     for case in cases {
-        let taken = Arc::new(Mutex::new(Vec::new()));
-        let ((releaser, release), (done, written)) = (channel(), channel());
-        let reader = StuckReader { taken: Arc::clone(&taken), release, is_released: false, done };
-        let mut queue = start_writer(reader).expect("a thread");
-        // A queue that waited for its reader would never come to the end of this loop.
+        let output = Arc::new(Mutex::new(Vec::new()));
+        let ((release_sender, release), (done, written)) = (channel(), channel());
+        let sink = BlockedSink { output: Arc::clone(&output), release, is_released: false, done };
+        let mut queue = start_writer(sink).expect("a thread");
+        // If the queue blocked on its reader, this loop would never finish.
         for line in 0..case.lines {
-            queue.write_all(format!("line={line}\n").as_bytes()).expect("it takes the line");
+            queue.write_all(format!("line={line}\n").as_bytes()).expect("the line is accepted");
         }
-        drop(releaser);
+        drop(release_sender);
         drop(queue);
-        // The writer ends with the queue; then its channel does.
+        // The writer thread exits after the queue is dropped, which closes this channel.
         while written.recv().is_ok() {}
-        let text = String::from_utf8(taken.lock().unwrap().clone()).expect("text");
+        let text = String::from_utf8(output.lock().unwrap().clone()).expect("text");
         let kept = text.lines().filter(|line| line.starts_with("line=")).count();
         let lost = text.lines().filter_map(|line| line.strip_prefix("event=log_lines_lost lines="));
         let lost: usize = lost.map(|count| count.parse::<usize>().expect("a number")).sum();
-        assert_eq!(kept + lost, case.lines, "each line is written or counted");
-        assert_eq!(lost > 0, case.loses, "{} lines", case.lines);
+        assert_eq!(kept + lost, case.lines, "each line is either written or counted as lost");
+        assert_eq!(lost > 0, case.expects_loss, "{} lines", case.lines);
     }
 }
 
-/// A reader that takes what it gets.
+/// A sink that accepts all writes.
 #[derive(Clone, Default)]
-struct PromptReader {
-    taken: Arc<Mutex<Vec<u8>>>,
+struct MemorySink {
+    output: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for PromptReader {
+impl Write for MemorySink {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.taken.lock().unwrap().extend_from_slice(bytes);
+        self.output.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -84,13 +84,13 @@
 }
 
 #[test]
-fn the_last_lines_are_out_before_the_process_ends() {
-    let reader = PromptReader::default();
-    let mut queue = start_writer(reader.clone()).expect("a thread");
+fn drain_waits_until_all_lines_are_written() {
+    let sink = MemorySink::default();
+    let mut queue = start_writer(sink.clone()).expect("a thread");
     for line in 0..50 {
-        queue.write_all(format!("line={line}\n").as_bytes()).expect("it takes the line");
+        queue.write_all(format!("line={line}\n").as_bytes()).expect("the line is accepted");
     }
     queue.drain().wait(std::time::Duration::from_secs(10));
-    let text = String::from_utf8(reader.taken.lock().unwrap().clone()).expect("text");
+    let text = String::from_utf8(sink.output.lock().unwrap().clone()).expect("text");
     assert!(text.ends_with("line=49\n"), "{text}");
 }
