--- a/crates/dillspool_pool/benches/decision.rs
+++ b/crates/dillspool_pool/benches/decision.rs
@@ -1,4 +1,4 @@
-//! One decision of a scheduler, submit to release, against the size of the pool.
+//! Measures one scheduling decision, from submit to release, for pools of different sizes.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use dillspool_schema::messages::{ReleaseCause, ReleaseMessage, ReserveMessage};
 use tokio::time::Instant;
 
-/// Groups at the two-year size.
+/// Number of groups projected for two years from now.
 const GROUPS: u32 = 6900;
 
 fn snapshot(engines: u32) -> Arc<ConfigSnapshot> {
--- a/crates/dillspool_pool/src/affinity.rs
+++ b/crates/dillspool_pool/src/affinity.rs
@@ -1,65 +1,70 @@
-//! Which prefill engine probably has a prefix cached, and how much it saves.
+//! Estimates which prefixes each prefill engine has cached, and how many tokens that saves.
 
 use std::collections::BTreeMap;
 
 use dillspool_engine::{CacheEvent, CacheEventKind};
 
-/// Prefixes remembered for each engine.
-const REMEMBERED: usize = 1024;
-/// Weight of a new observation in hundredths.
-const NEW_WEIGHT: u64 = 30;
+/// Maximum number of prefixes tracked per engine.
+const MAX_PREFIXES: usize = 1024;
+/// Weight of a new observation, in percent.
+const NEW_WEIGHT_PERCENT: u64 = 30;
 
 #[derive(Clone, Copy, Debug)]
 struct PrefixRecord {
-    /// Tokens that the cache saved, averaged.
-    saved: u64,
-    /// Order of the last use.
-    used: u64,
+    /// Moving average of the tokens that the cache saved.
+    saved_tokens: u64,
+    /// Use counter at the last use, for LRU eviction.
+    last_use: u64,
 }
 
-/// What one engine probably caches.
+/// Estimated prefix cache of one engine.
 #[derive(Debug, Default)]
-pub(crate) struct PrefixMemory {
+pub(crate) struct PrefixCacheModel {
     records: BTreeMap<u64, PrefixRecord>,
-    uses: u64,
+    use_count: u64,
     last_cache_event: u64,
 }
 
-impl PrefixMemory {
-    /// Prompt tokens that the engine probably has cached.
-    pub(crate) fn expected_saving(&self, prefix: u64) -> u64 {
-        self.records.get(&prefix).map_or(0, |record| record.saved)
+impl PrefixCacheModel {
+    /// Estimates how many prompt tokens the engine has cached.
+    pub(crate) fn expected_cached_tokens(&self, prefix: u64) -> u64 {
+        self.records.get(&prefix).map_or(0, |record| record.saved_tokens)
     }
 
-    /// A prompt ran on the engine and found this many tokens cached.
+    /// Records a prompt that ran on the engine and the number of its tokens that were cached.
     pub(crate) fn observe(&mut self, prefix: u64, cached: u64, prompt: u64) {
         if prefix == 0 {
             return;
         }
-        self.uses += 1;
-        let used = self.uses;
-        // A first run stores the prompt; how much of it the next one shares is not known yet, so
-        // expect one block until an observation tells.
-        let first =
+        self.use_count += 1;
+        let last_use = self.use_count;
+        // The first run stores the prompt. How much of it later prompts share is unknown, so assume one
+        // block until there is an observation.
+        let initial_saving =
             if cached > 0 { cached } else { (dillspool_engine::BLOCK_TOKENS as u64).min(prompt) };
-        let record = self.records.entry(prefix).or_insert(PrefixRecord { saved: first, used });
-        record.used = used;
+        let record = self
+            .records
+            .entry(prefix)
+            .or_insert(PrefixRecord { saved_tokens: initial_saving, last_use });
+        record.last_use = last_use;
         if cached > 0 {
-            record.saved = (record.saved * (100 - NEW_WEIGHT) + cached * NEW_WEIGHT) / 100;
+            record.saved_tokens = (record.saved_tokens * (100 - NEW_WEIGHT_PERCENT)
+                + cached * NEW_WEIGHT_PERCENT)
+                / 100;
         }
-        if self.records.len() > REMEMBERED {
-            self.forget_oldest();
+        if self.records.len() > MAX_PREFIXES {
+            self.evict_least_recent();
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.records.iter().min_by_key(|(_, record)| record.used);
+    fn evict_least_recent(&mut self) {
+        let oldest = self.records.iter().min_by_key(|(_, record)| record.last_use);
         if let Some(prefix) = oldest.map(|(prefix, _)| *prefix) {
             self.records.remove(&prefix);
         }
     }
 
-    /// Takes numbered events in; a gap may hide removals, so all is forgotten.
+    /// Applies numbered cache events; clears the cache estimate on a gap, which may hide removals.
     pub(crate) fn apply_cache_events(&mut self, events: &[CacheEvent]) {
         for event in events {
             if event.number != self.last_cache_event + 1 {
@@ -72,7 +77,7 @@
         }
     }
 
-    /// Number of the last event seen.
+    /// Returns the number of the last event applied.
     pub(crate) fn last_cache_event(&self) -> u64 {
         self.last_cache_event
     }
--- a/crates/dillspool_pool/src/lib.rs
+++ b/crates/dillspool_pool/src/lib.rs
@@ -1,14 +1,14 @@
-//! The scheduler of a pool: group queues, decode slots, links and placements.
+//! Scheduler of a pool: group queues, decode slots, links and placements.
 //!
-//! One host schedules a pool at a time, chosen by rendezvous hashing; two at once may cost goodput
-//! but never a promise. All state is soft. See `docs/design/scheduler.md`.
+//! One host schedules a pool at a time, chosen by rendezvous hashing. Two at once may reduce goodput
+//! but break no guarantee. All state is soft. See `docs/design/scheduler.md`.
 
 mod affinity;
 mod class_service;
+mod dispatch;
 mod engines;
 mod health;
 mod placements;
-mod placing;
 mod queue;
 mod scheduler;
 mod state;
--- a/crates/dillspool_pool/src/scheduler.rs
+++ b/crates/dillspool_pool/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! A pool's scheduler as the rest of the host sees it.
+//! Handle through which the rest of the host uses a pool's scheduler.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,20 +16,21 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::state::{PoolState, ReserveOutcome, refusal};
-use crate::suspects::CopyBook;
+use crate::suspects::CopyRegistry;
 use crate::sweep::sweep_engines;
 
-/// How long a scheduler stays awake after it was last asked.
-const AWAKE_TIME: Duration = Duration::from_secs(10);
+/// How long a scheduler stays active after the last request.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Whether the owner of a stream is dead beyond doubt.
+/// Checks whether the owner of a stream is confirmed dead.
 ///
-/// The first argument is the host, the second its incarnation. See `docs/design/orphans.md`.
+/// See `docs/design/orphans.md`.
 #[derive(Clone)]
 pub struct LivenessCheck {
-    /// Returns true only for an owner that no host has heard of for the lease time.
+    /// Takes host and incarnation; returns true only if no host has heard of that owner for the lease
+    /// time.
     pub is_dead: Arc<dyn Fn(Name, u64) -> dillspool_io::BoxFuture<bool> + Send + Sync>,
-    /// Whether this host is the one that should schedule a pool now.
+    /// Whether this host should currently schedule a pool.
     pub is_scheduler: Arc<dyn Fn(&str) -> bool + Send + Sync>,
 }
 
@@ -39,14 +40,14 @@
     }
 }
 
-/// What a scheduler did so far.
+/// Counters of a scheduler.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SchedulerCounts {
     /// Requests granted.
     pub granted: u64,
     /// Requests refused.
     pub refused: u64,
-    /// Streams of dead owners, or released ones, that were cancelled on engines.
+    /// Streams of dead owners, and released streams, that were cancelled on engines.
     pub orphans: u64,
 }
 
@@ -54,11 +55,11 @@
     pub(crate) state: PoolState,
     waiters: BTreeMap<StreamId, oneshot::Sender<ReserveAnswer>>,
     pub(crate) counts: SchedulerCounts,
-    copies: CopyBook,
-    last_asked: Option<Instant>,
+    copies: CopyRegistry,
+    last_request_at: Option<Instant>,
 }
 
-/// Handle of a pool's scheduler on this host.
+/// Shared handle of a pool's scheduler on this host.
 #[derive(Clone)]
 pub struct PoolScheduler {
     pool: Name,
@@ -73,7 +74,7 @@
 }
 
 impl PoolScheduler {
-    /// Starts a scheduler for a pool; it sleeps until it is asked or chosen.
+    /// Starts a scheduler for a pool; it is idle until the first request or until this host is chosen.
     pub fn start(
         pool: &PoolEntry,
         snapshot: &Arc<ConfigSnapshot>,
@@ -86,8 +87,8 @@
             state: PoolState::new(pool, snapshot, Instant::now()),
             waiters: BTreeMap::new(),
             counts: SchedulerCounts::default(),
-            copies: CopyBook::new(suspects),
-            last_asked: None,
+            copies: CopyRegistry::new(suspects),
+            last_request_at: None,
         };
         let scheduler = Self {
             pool: Name::clone(&pool.name),
@@ -99,7 +100,7 @@
         scheduler
     }
 
-    /// Name of the pool.
+    /// Returns the name of the pool.
     pub fn pool(&self) -> &Name {
         &self.pool
     }
@@ -108,7 +109,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the state and pumps the queue.
+    /// Changes the state and dispatches queued requests.
     pub(crate) fn update<T>(&self, change: impl FnOnce(&mut PoolState, Instant) -> T) -> T {
         let now = Instant::now();
         let mut inner = self.lock();
@@ -119,22 +120,22 @@
         result
     }
 
-    /// Asks for a placement and waits for the answer; dropping the future withdraws the request.
+    /// Requests a placement and waits for the answer; dropping the future withdraws the request.
     pub async fn reserve(&self, message: ReserveMessage) -> Option<ReserveAnswer> {
         let stream = message.stream.clone();
         let (sender, receiver) = oneshot::channel();
         {
             let now = Instant::now();
             let mut inner = self.lock();
-            inner.last_asked = Some(now);
-            if let Err(cause) = inner.copies.enter(&stream, message.print.as_deref()) {
+            inner.last_request_at = Some(now);
+            if let Err(cause) = inner.copies.admit(&stream, message.print.as_deref()) {
                 inner.counts.refused += 1;
                 return Some(refusal(&stream, cause, COPY_RETRY_DELAY));
             }
             match inner.state.submit(message, now) {
                 ReserveOutcome::Answered(answer) => {
                     inner.counts.refused += 1;
-                    inner.copies.leave(&stream);
+                    inner.copies.remove(&stream);
                     return Some(answer);
                 }
                 ReserveOutcome::Queued => inner.waiters.insert(stream, sender),
@@ -145,27 +146,27 @@
         receiver.await.ok()
     }
 
-    /// Gives a placement back.
+    /// Releases a placement.
     pub fn release(&self, message: &ReleaseMessage) {
-        self.lock().copies.note_released(message);
+        self.lock().copies.record_release(message);
         self.update(|state, now| state.release(message, now));
         self.lock().waiters.remove(&message.stream);
     }
 
-    /// Takes over all placements that an entry host, named with its incarnation, holds.
+    /// Replaces the placements of an entry host, given with its incarnation, by those it reports.
     pub fn apply_report(&self, host: &Name, incarnation: u64, report: &PlacementReport) {
-        self.lock().copies.learn(&report.ended);
+        self.lock().copies.apply_reported_crashes(&report.ended);
         self.update(|state, now| state.apply_report((host, incarnation), &report.placements, now));
     }
 
-    /// Drops copies of requests that neither wait nor hold a placement.
+    /// Drops copies of requests that are neither queued nor placed.
     pub(crate) fn drop_lost_copies(&self) {
         let mut inner = self.lock();
         let SchedulerInner { state, copies, .. } = &mut *inner;
         copies.retain(|stream| state.is_known(stream));
     }
 
-    /// Takes a new configuration over.
+    /// Applies a new configuration.
     pub fn apply_config(&self, snapshot: &Arc<ConfigSnapshot>) {
         self.update(|state, now| state.apply_config(snapshot, now));
     }
@@ -180,18 +181,18 @@
         self.update(|state, _now| state.set_draining());
     }
 
-    /// Requests waiting and slots held.
+    /// Returns the number of queued requests and of slots in use.
     pub fn load(&self) -> (usize, usize) {
         self.lock().state.counts()
     }
 
-    /// What was done so far.
+    /// Returns the counters so far.
     pub fn counts(&self) -> SchedulerCounts {
         self.lock().counts
     }
 
-    pub(crate) fn was_asked_lately(&self) -> bool {
-        self.lock().last_asked.is_some_and(|at| at.elapsed() < AWAKE_TIME)
+    pub(crate) fn had_recent_request(&self) -> bool {
+        self.lock().last_request_at.is_some_and(|at| at.elapsed() < IDLE_TIMEOUT)
     }
 }
 
@@ -202,7 +203,7 @@
                 self.counts.granted += 1;
             } else {
                 self.counts.refused += 1;
-                self.copies.leave(&answer.stream);
+                self.copies.remove(&answer.stream);
             }
             let Some(waiter) = self.waiters.remove(&answer.stream) else {
                 continue;
@@ -210,7 +211,7 @@
             let stream = answer.stream.clone();
             let granted = answer.grant.is_some();
             if waiter.send(answer).is_err() && granted {
-                // The asker left while it waited.
+                // The requester gave up while its request was queued.
                 self.release_unused(stream, now);
             }
         }
@@ -228,23 +229,23 @@
             print: None,
             ended: None,
         };
-        self.copies.leave(&message.stream);
+        self.copies.remove(&message.stream);
         self.state.release(&message, now);
     }
 }
 
-/// Pumps the queue whenever a prefill engine becomes free or a deadline may have passed.
+/// Dispatches the queue whenever a prefill engine becomes free or a deadline may have passed.
 async fn dispatch_queue(scheduler: PoolScheduler, cancel: CancellationToken) {
     loop {
-        let wake = scheduler.lock().state.next_dispatch(Instant::now());
-        let nap = async {
-            match wake {
+        let next_dispatch = scheduler.lock().state.next_dispatch(Instant::now());
+        let timer = async {
+            match next_dispatch {
                 Some(at) => tokio::time::sleep_until(at).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = nap => {
+            () = timer => {
                 scheduler.lock().dispatch(Instant::now());
             }
             () = scheduler.changed.notified() => {}
--- a/crates/dillspool_pool/src/state.rs
+++ b/crates/dillspool_pool/src/state.rs
@@ -11,26 +11,26 @@
 use tokio::time::Instant;
 
 use crate::class_service::ClassService;
-use crate::engines::{DecodeState, PrefillState, time_at};
-use crate::placing::LOOKAHEAD;
+use crate::dispatch::GRANT_LOOKAHEAD;
+use crate::engines::{DecodeState, PrefillState, duration_at_rate};
 use crate::queue::{FairQueue, QueuedRequest};
 
-/// Longest time between two looks at a queue that is not empty.
-const LONGEST_NAP: Duration = Duration::from_millis(20);
-/// Requests that may wait in one pool.
-const QUEUE_LIMIT: usize = 4096;
-/// Shortest and longest time after which a refused caller is told to come back.
-pub(crate) const RETRY_RANGE: (Duration, Duration) =
+/// Longest time between two dispatches of a non-empty queue.
+const MAX_DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of queued requests in a pool.
+const MAX_QUEUED: usize = 4096;
+/// Shortest and longest retry delay in a refusal.
+pub(crate) const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_secs(30));
-/// Hold time that is assumed before one was observed.
-const FIRST_HOLD: Duration = Duration::from_secs(4);
+/// Initial estimate of the slot time, used before the first observation.
+const INITIAL_SLOT_TIME: Duration = Duration::from_secs(4);
 
-/// What became of a submitted request.
+/// Outcome of a submitted request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReserveOutcome {
-    /// It waits; its answer comes from a later pump.
+    /// Queued; a later dispatch answers it.
     Queued,
-    /// It was answered at once.
+    /// Answered immediately.
     Answered(ReserveAnswer),
 }
 
@@ -38,20 +38,20 @@
 #[derive(Debug)]
 pub struct PoolState {
     pub(crate) pool: PoolEntry,
-    /// Shared by all pools of a host: the groups are many.
+    /// Shared by all pools of a host, because there are many groups.
     pub(crate) snapshot: Arc<ConfigSnapshot>,
     pub(crate) prefills: Vec<PrefillState>,
     pub(crate) decodes: BTreeMap<Name, DecodeState>,
     pub(crate) placements: BTreeMap<StreamId, Name>,
     pub(crate) queue: FairQueue,
     pub(crate) released: BTreeMap<StreamId, Instant>,
-    pub(crate) mean_hold: Duration,
+    pub(crate) mean_slot_time: Duration,
     pub(crate) service: ClassService,
     draining: bool,
 }
 
 impl PoolState {
-    /// An empty scheduler for a pool of a configuration.
+    /// Creates the state of a pool without requests.
     pub fn new(pool: &PoolEntry, snapshot: &Arc<ConfigSnapshot>, now: Instant) -> Self {
         let mut state = Self {
             pool: pool.clone(),
@@ -61,7 +61,7 @@
             placements: BTreeMap::new(),
             queue: FairQueue::default(),
             released: BTreeMap::new(),
-            mean_hold: FIRST_HOLD,
+            mean_slot_time: INITIAL_SLOT_TIME,
             service: ClassService::new(now),
             draining: false,
         };
@@ -69,7 +69,7 @@
         state
     }
 
-    /// Takes a new configuration over; placements on engines that stay are kept.
+    /// Applies a new configuration; keeps placements on engines that remain.
     pub fn apply_config(&mut self, snapshot: &Arc<ConfigSnapshot>, now: Instant) {
         if let Some(pool) = snapshot.pool(&self.pool.name) {
             self.pool = pool.clone();
@@ -100,7 +100,7 @@
         self.placements.retain(|_, decode| decodes.contains_key(decode));
     }
 
-    /// Marks which backend servers the host list shows as leaving.
+    /// Marks the backend servers that the host list shows as leaving.
     pub fn set_leaving(&mut self, is_leaving: impl Fn(&str) -> bool) {
         for prefill in &mut self.prefills {
             prefill.leaving = is_leaving(&prefill.entry.name);
@@ -110,28 +110,28 @@
         }
     }
 
-    /// Refuses all new requests from now on, because this host drains.
+    /// Refuses all new requests from now on, because this host is draining.
     pub fn set_draining(&mut self) {
         self.draining = true;
     }
 
-    /// Requests waiting and slots held.
+    /// Returns the number of queued requests and of slots in use.
     pub fn counts(&self) -> (usize, usize) {
         (self.queue.len(), self.placements.len())
     }
 
-    /// Takes a request in; [`PoolState::dispatch`] gives the answers.
+    /// Queues or refuses a request; [`PoolState::dispatch`] returns the answers to queued requests.
     pub fn submit(&mut self, message: ReserveMessage, now: Instant) -> ReserveOutcome {
         let refuse =
             |cause, retry| ReserveOutcome::Answered(refusal(&message.stream, cause, retry));
         if self.draining {
-            return refuse(RefuseCause::Draining, RETRY_RANGE.0);
+            return refuse(RefuseCause::Draining, RETRY_AFTER_RANGE.0);
         }
-        if self.queue.len() >= QUEUE_LIMIT {
-            return refuse(RefuseCause::QueueFull, self.mean_hold);
+        if self.queue.len() >= MAX_QUEUED {
+            return refuse(RefuseCause::QueueFull, self.mean_slot_time);
         }
         let Some(group) = self.snapshot.group(&message.group) else {
-            return refuse(RefuseCause::UnknownPool, RETRY_RANGE.1);
+            return refuse(RefuseCause::UnknownPool, RETRY_AFTER_RANGE.1);
         };
         let (share, priority) = (group.share, group.priority);
         let request = QueuedRequest {
@@ -145,41 +145,42 @@
         ReserveOutcome::Queued
     }
 
-    /// Share of the pool's time that a request takes: prefill and slot time in one figure.
+    /// Pool time that a request takes, combining prefill and slot time.
     fn cost(&self, message: &ReserveMessage) -> Duration {
         let rate: u64 = self.prefills.iter().map(|it| it.entry.prefill_tokens_per_s).sum();
         let slots: u32 = self.decodes.values().map(|it| it.entry.slots).sum();
-        let prefill = time_at(message.prompt, rate);
+        let prefill = duration_at_rate(message.prompt, rate);
         let step =
             self.decodes.values().next().map_or(Duration::ZERO, |it| it.step_time(it.entry.slots));
-        let hold = step * u32::try_from(message.output).unwrap_or(u32::MAX);
-        prefill + hold / slots.max(1)
+        let slot_time = step * u32::try_from(message.output).unwrap_or(u32::MAX);
+        prefill + slot_time / slots.max(1)
     }
 
-    /// When to pump again if nothing happens before, `None` when nothing waits.
+    /// When to dispatch next if nothing else happens; `None` if the queue is empty.
     pub fn next_dispatch(&self, now: Instant) -> Option<Instant> {
         if self.queue.is_empty() {
             return None;
         }
-        let starts = self.prefills.iter().filter_map(|it| it.free_at.checked_sub(LOOKAHEAD));
+        let starts =
+            self.prefills.iter().filter_map(|it| it.available_at.checked_sub(GRANT_LOOKAHEAD));
         let next = starts.filter(|start| *start > now).min();
-        let latest = now + LONGEST_NAP;
+        let latest = now + MAX_DISPATCH_INTERVAL;
         Some(next.map_or(latest, |next| next.min(latest)))
     }
 
-    /// Whether a stream waits or is placed.
+    /// Whether a stream is queued or placed.
     pub(crate) fn is_known(&self, stream: &StreamId) -> bool {
         self.placements.contains_key(stream) || self.queue.tag_of(stream).is_some()
     }
 
-    /// Streams placed now.
+    /// Iterates over the streams that are placed.
     pub fn placed_streams(&self) -> impl Iterator<Item = &StreamId> {
         self.placements.keys()
     }
 }
 
 pub(crate) fn refusal(stream: &StreamId, cause: RefuseCause, retry: Duration) -> ReserveAnswer {
-    let retry = retry.clamp(RETRY_RANGE.0, RETRY_RANGE.1);
+    let retry = retry.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1);
     let retry_ms = u32::try_from(retry.as_millis()).unwrap_or(u32::MAX);
     let refusal = ReserveRefusal { cause, retry_ms };
     ReserveAnswer { stream: stream.clone(), grant: None, refusal: Some(refusal) }
--- a/crates/dillspool_pool/src/suspects.rs
+++ b/crates/dillspool_pool/src/suspects.rs
@@ -1,7 +1,8 @@
-//! Requests that may end the engines of a pool: one copy of a suspect runs at a time in the whole fleet.
+//! Limits requests that may crash engines: one copy of a suspect runs at a time in the whole fleet.
 //!
-//! The scheduler is where all copies of a request meet, whatever host they come to. Entry hosts tell it
-//! which engines ended under them, and tell a new scheduler again. See `docs/design/suspects.md`.
+//! The scheduler sees all copies of a request, whichever host they arrive at. Entry hosts report the
+//! engines that crashed under a request, and repeat the report to a new scheduler. See
+//! `docs/design/suspects.md`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,29 +11,31 @@
 use dillspool_schema::messages::{EndedRun, RefuseCause, ReleaseCause, ReleaseMessage};
 use dillspool_suspects::{CopyGuard, CopyRefusal, RequestFingerprint, SuspectTracker};
 
-/// Copies under way in a pool.
+/// Copies of requests that are queued or running in a pool.
 #[derive(Debug)]
-pub(crate) struct CopyBook {
-    desk: SuspectTracker,
-    under_way: BTreeMap<StreamId, CopyGuard>,
+pub(crate) struct CopyRegistry {
+    tracker: SuspectTracker,
+    active: BTreeMap<StreamId, CopyGuard>,
 }
 
-impl CopyBook {
-    pub(crate) fn new(desk: SuspectTracker) -> Self {
-        Self { desk, under_way: BTreeMap::new() }
+impl CopyRegistry {
+    pub(crate) fn new(tracker: SuspectTracker) -> Self {
+        Self { tracker, active: BTreeMap::new() }
     }
 
-    /// Lets a copy wait for engines, or tells why not.
-    pub(crate) fn enter(
+    /// Admits a copy to the queue, or returns why it is refused.
+    pub(crate) fn admit(
         &mut self,
         stream: &StreamId,
-        print: Option<&str>,
+        fingerprint: Option<&str>,
     ) -> Result<(), RefuseCause> {
-        // A sender of another version names no request, or names it otherwise.
-        let Some(print) = print.and_then(|print| print.parse().ok()) else { return Ok(()) };
-        match self.desk.admit(print) {
+        // A host of another version may send no fingerprint or one in another format.
+        let Some(fingerprint) = fingerprint.and_then(|text| text.parse().ok()) else {
+            return Ok(());
+        };
+        match self.tracker.admit(fingerprint) {
             Ok(guard) => {
-                self.under_way.insert(stream.clone(), guard);
+                self.active.insert(stream.clone(), guard);
                 Ok(())
             }
             Err(CopyRefusal::Deadly { .. }) => Err(RefuseCause::Deadly),
@@ -40,35 +43,35 @@
         }
     }
 
-    /// A copy waits or runs no more.
-    pub(crate) fn leave(&mut self, stream: &StreamId) {
-        self.under_way.remove(stream);
+    /// Removes a copy that is no longer queued or running.
+    pub(crate) fn remove(&mut self, stream: &StreamId) {
+        self.active.remove(stream);
     }
 
     /// Drops copies whose owners are gone.
     pub(crate) fn retain(&mut self, is_known: impl Fn(&StreamId) -> bool) {
-        self.under_way.retain(|stream, _guard| is_known(stream));
+        self.active.retain(|stream, _guard| is_known(stream));
     }
 
-    /// Takes what a copy came to.
-    pub(crate) fn note_released(&mut self, message: &ReleaseMessage) {
-        self.leave(&message.stream);
-        let Some(print) = message.print.as_ref().and_then(|print| print.parse().ok()) else {
+    /// Records the outcome of a copy.
+    pub(crate) fn record_release(&mut self, message: &ReleaseMessage) {
+        self.remove(&message.stream);
+        let Some(fingerprint) = message.print.as_ref().and_then(|text| text.parse().ok()) else {
             return;
         };
         if let Some(engine) = &message.ended {
-            self.desk.record_unidentified_crash(print, engine, Duration::ZERO);
+            self.tracker.record_unidentified_crash(fingerprint, engine, Duration::ZERO);
         } else if message.cause == ReleaseCause::Done {
-            self.desk.record_success(print);
+            self.tracker.record_success(fingerprint);
         }
     }
 
-    /// Takes what an entry host had told the scheduler before.
-    pub(crate) fn learn(&self, ended: &[EndedRun]) {
-        for end in ended {
-            if let Ok(print) = end.print.parse::<RequestFingerprint>() {
-                let age = Duration::from_millis(end.age_ms);
-                self.desk.record_unidentified_crash(print, &end.engine, age);
+    /// Records the crashes that an entry host reports to a new scheduler.
+    pub(crate) fn apply_reported_crashes(&self, crashes: &[EndedRun]) {
+        for crash in crashes {
+            if let Ok(fingerprint) = crash.print.parse::<RequestFingerprint>() {
+                let age = Duration::from_millis(crash.age_ms);
+                self.tracker.record_unidentified_crash(fingerprint, &crash.engine, age);
             }
         }
     }
--- a/crates/dillspool_pool/src/sweep.rs
+++ b/crates/dillspool_pool/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Finds streams on engines that no live host owns, and cancels them.
+//! Finds and cancels orphaned streams: those on engines that no live host owns.
 //!
 //! See `docs/design/orphans.md`.
 
@@ -15,45 +15,45 @@
 
 use crate::scheduler::{LivenessCheck, PoolScheduler};
 
-/// How often the owners of placements are looked at.
+/// How often the owners of placements are checked for liveness.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// How often engines are listed while nothing happens; listings cost control traffic.
-const LIST_INTERVAL: Duration = Duration::from_secs(5);
-/// How often a new scheduler lists them, to find what its predecessor left.
-const TAKEOVER_INTERVAL: Duration = Duration::from_secs(1);
+/// How often engines are listed in normal operation; listings cost control traffic.
+const LISTING_INTERVAL: Duration = Duration::from_secs(5);
+/// How often a new scheduler lists engines, to find streams that its predecessor left.
+const TAKEOVER_LISTING_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a scheduler counts as new.
-const TAKEOVER_TIME: Duration = Duration::from_secs(10);
+const TAKEOVER_PERIOD: Duration = Duration::from_secs(10);
 
-/// An owner of streams.
+/// Host and incarnation that own a stream.
 type StreamOwner = (Name, u64);
 
 struct SweepState {
-    awake_since: Option<Instant>,
+    active_since: Option<Instant>,
     listed_at: Option<Instant>,
 }
 
-/// Sweeps while this host schedules the pool.
+/// Sweeps the engines while this host schedules the pool.
 pub(crate) async fn sweep_engines(
     scheduler: PoolScheduler,
     engines: EngineClient,
     liveness: LivenessCheck,
     cancel: CancellationToken,
 ) {
-    let mut state = SweepState { awake_since: None, listed_at: None };
+    let mut state = SweepState { active_since: None, listed_at: None };
     loop {
         tokio::select! {
             () = tokio::time::sleep(SWEEP_INTERVAL) => {}
             () = cancel.cancelled() => return,
         }
         let chosen = (liveness.is_scheduler)(scheduler.pool());
-        if !chosen && !scheduler.was_asked_lately() {
-            state.awake_since = None;
+        if !chosen && !scheduler.had_recent_request() {
+            state.active_since = None;
             continue;
         }
         let now = Instant::now();
-        let since = *state.awake_since.get_or_insert(now);
-        let takeover = now.duration_since(since) < TAKEOVER_TIME;
-        let interval = if takeover { TAKEOVER_INTERVAL } else { LIST_INTERVAL };
+        let since = *state.active_since.get_or_insert(now);
+        let takeover = now.duration_since(since) < TAKEOVER_PERIOD;
+        let interval = if takeover { TAKEOVER_LISTING_INTERVAL } else { LISTING_INTERVAL };
         let due = state.listed_at.is_none_or(|at| now.duration_since(at) >= interval);
         let dead = dead_owners(&liveness, placement_owners(&scheduler)).await;
         if !due && dead.is_empty() {
@@ -73,7 +73,7 @@
     scheduler.lock().state.placed_streams().map(owner).collect()
 }
 
-/// Those of the owners that are dead beyond doubt.
+/// Returns those of the owners that are confirmed dead.
 async fn dead_owners(
     liveness: &LivenessCheck,
     owners: BTreeSet<StreamOwner>,
@@ -86,14 +86,14 @@
     checks.join_all().await.into_iter().flatten().collect()
 }
 
-/// An engine's listing, `None` if the engine did not answer.
+/// Listing of an engine; `None` if the engine did not answer.
 struct EngineListing {
     engine: Name,
     address: SocketAddr,
     listing: Option<StreamListing>,
 }
 
-/// Lists every engine of the pool, and cancels what nobody alive owns.
+/// Lists every engine of the pool and cancels streams without a live owner.
 async fn sweep_pool(
     scheduler: &PoolScheduler,
     engines: &EngineClient,
@@ -107,7 +107,7 @@
     for listing in &listings {
         reconcile_listing(scheduler, engines, listing, &dead).await;
     }
-    forget_placements(scheduler, &dead);
+    release_placements(scheduler, &dead);
 }
 
 fn held_streams(listing: &StreamListing) -> impl Iterator<Item = &StreamId> {
@@ -147,20 +147,20 @@
     let Some(listing) = &listed.listing else {
         return;
     };
-    let lingering = scheduler.update(|state, now| state.reconcile_listing(engine, listing, now));
+    let leftover = scheduler.update(|state, now| state.reconcile_listing(engine, listing, now));
     let orphans = held_streams(listing).filter(|stream| dead.contains(&owner(stream)));
-    let orphans: BTreeSet<StreamId> = orphans.cloned().chain(lingering).collect();
+    let orphans: BTreeSet<StreamId> = orphans.cloned().chain(leftover).collect();
     for stream in orphans {
         if engines.cancel(address, &stream).await.is_ok() {
             scheduler.lock().counts.orphans += 1;
             log::info!("event=orphan_cancelled engine={engine} stream={stream}");
         }
     }
-    follow_cache(scheduler, engines, engine, address).await;
+    update_prefix_cache(scheduler, engines, engine, address).await;
 }
 
-/// Takes the cache events of a prefill engine in.
-async fn follow_cache(
+/// Fetches and applies the cache events of a prefill engine.
+async fn update_prefix_cache(
     scheduler: &PoolScheduler,
     engines: &EngineClient,
     engine: &Name,
@@ -179,7 +179,7 @@
     }
 }
 
-fn forget_placements(scheduler: &PoolScheduler, dead: &BTreeSet<StreamOwner>) {
+fn release_placements(scheduler: &PoolScheduler, dead: &BTreeSet<StreamOwner>) {
     let streams: Vec<StreamId> = {
         let inner = scheduler.lock();
         let placed = inner.state.placed_streams();
--- a/crates/dillspool_pool/tests/scheduling.rs
+++ b/crates/dillspool_pool/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Decisions of a pool's scheduler, by tables: what is granted, what is refused, and to whom.
+//! Table tests of a pool's scheduler: what is granted, what is refused, and to whom.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -97,7 +97,7 @@
         }
     }
 
-    fn ask(&mut self, group: &str, prompt: u64, wait_ms: u32) -> (StreamId, Vec<ReserveAnswer>) {
+    fn submit(&mut self, group: &str, prompt: u64, wait_ms: u32) -> (StreamId, Vec<ReserveAnswer>) {
         let message = self.message(group, prompt, wait_ms);
         let stream = message.stream.clone();
         let submitted = self.state.submit(message, self.now);
@@ -119,11 +119,11 @@
         self.state.dispatch(self.now)
     }
 
-    /// Takes all eight slots with short prompts.
+    /// Fills all eight slots with short prompts.
     fn fill(&mut self) -> Vec<StreamId> {
         let mut streams = Vec::new();
         while streams.len() < 8 {
-            let (stream, answers) = self.ask("heavy", 20, 2000);
+            let (stream, answers) = self.submit("heavy", 20, 2000);
             assert!(answers.iter().all(|it| it.grant.is_some()), "{answers:?}");
             streams.push(stream);
             self.now += Duration::from_millis(50);
@@ -137,7 +137,7 @@
     answers.iter().any(|it| it.stream == *stream && refused(it))
 }
 
-/// One request to an idle pool.
+/// A single request to an idle pool.
 struct IdleRow {
     name: &'static str,
     prompt: u64,
@@ -147,16 +147,21 @@
 
 const IDLE: [IdleRow; 4] = [
     IdleRow { name: "short", prompt: 100, wait_ms: 400, granted: true },
-    IdleRow { name: "just in time: 350 ms of prefill", prompt: 6_000, wait_ms: 420, granted: true },
+    IdleRow {
+        name: "350 ms of prefill, within the target",
+        prompt: 6_000,
+        wait_ms: 420,
+        granted: true,
+    },
     IdleRow { name: "prefill alone is too long", prompt: 10_000, wait_ms: 400, granted: false },
     IdleRow { name: "no time left", prompt: 10, wait_ms: 0, granted: false },
 ];
 
 #[test]
-fn an_idle_pool_grants_at_once_or_refuses_at_once() {
+fn an_idle_pool_answers_immediately() {
     for row in &IDLE {
         let mut pool = TestPool::new();
-        let (stream, answers) = pool.ask("urgent", row.prompt, row.wait_ms);
+        let (stream, answers) = pool.submit("urgent", row.prompt, row.wait_ms);
         assert_eq!(answers.len(), 1, "{}", row.name);
         assert_eq!(answers[0].grant.is_some(), row.granted, "{}: {answers:?}", row.name);
         if !row.granted {
@@ -166,10 +171,10 @@
 }
 
 #[test]
-fn a_slot_is_promised_once() {
+fn a_slot_is_granted_once() {
     let mut pool = TestPool::new();
     let streams = pool.fill();
-    let (ninth, answers) = pool.ask("heavy", 20, 2000);
+    let (ninth, answers) = pool.submit("heavy", 20, 2000);
     assert!(answers.is_empty(), "no slot is free: {answers:?}");
     let answers = pool.release(&streams[3]);
     assert_eq!(answers.len(), 1);
@@ -178,11 +183,11 @@
 }
 
 #[test]
-fn a_hopeless_request_is_refused_when_it_comes_and_told_when_to_come_back() {
+fn a_request_that_cannot_meet_its_target_is_refused_with_a_retry_delay() {
     let mut pool = TestPool::new();
     pool.fill();
-    // A slot becomes free each half second or so; the target is 100 ms.
-    let (stream, answers) = pool.ask("urgent", 20, 100);
+    // A slot becomes free about every half second; the target is 100 ms.
+    let (stream, answers) = pool.submit("urgent", 20, 100);
     assert!(is_refused(&answers, &stream, RefuseCause::TooLate), "{answers:?}");
     let refusal = answers[0].refusal.as_ref().expect("it is refused");
     assert!((100..10_000).contains(&refusal.retry_ms), "{refusal:?}");
@@ -192,8 +197,8 @@
 fn the_urgent_class_goes_first() {
     let mut pool = TestPool::new();
     let streams = pool.fill();
-    pool.ask("light", 20, 2000);
-    let (urgent, _) = pool.ask("urgent", 20, 2000);
+    pool.submit("light", 20, 2000);
+    let (urgent, _) = pool.submit("urgent", 20, 2000);
     let answers = pool.release(&streams[0]);
     let granted: Vec<&StreamId> =
         answers.iter().filter(|it| it.grant.is_some()).map(|it| &it.stream).collect();
@@ -201,17 +206,17 @@
 }
 
 #[test]
-fn service_follows_the_shares_whoever_asks_more() {
+fn service_follows_the_shares_under_unequal_load() {
     let mut pool = TestPool::new();
     let mut streams = pool.fill();
     let mut served = (0_u32, 0_u32);
     let mut waiting = std::collections::BTreeMap::new();
     for round in 0..400 {
-        // The light group floods with five requests for each of the heavy one.
+        // The light group sends five requests for each one of the heavy group.
         for number in 0..6 {
             let group = if number == 0 { "heavy" } else { "light" };
             if waiting.values().filter(|it| **it == group).count() < 6 {
-                let (stream, _) = pool.ask(group, 20, 600_000);
+                let (stream, _) = pool.submit(group, 20, 600_000);
                 waiting.insert(stream, group);
             }
         }
@@ -232,17 +237,17 @@
         }
     }
     // Shares are 30 and 10.
-    let part = f64::from(served.0) / f64::from(served.0 + served.1);
-    assert!((part - 0.75).abs() < 0.05, "{served:?}");
+    let heavy_ratio = f64::from(served.0) / f64::from(served.0 + served.1);
+    assert!((heavy_ratio - 0.75).abs() < 0.05, "{served:?}");
 }
 
 #[test]
 fn a_low_class_is_not_starved() {
     let mut pool = TestPool::new();
     let mut streams = pool.fill();
-    let (low, _) = pool.ask("light", 20, 600_000);
+    let (low, _) = pool.submit("light", 20, 600_000);
     for round in 0..200 {
-        pool.ask("urgent", 20, 600_000);
+        pool.submit("urgent", 20, 600_000);
         pool.now += Duration::from_millis(20);
         let done = streams.remove(0);
         for answer in pool.release(&done) {
@@ -253,16 +258,16 @@
                 streams.push(answer.stream);
             }
         }
-        assert!(round < 60, "the low class waits for more than 60 of the urgent one");
+        assert!(round < 60, "the low class waits for more than 60 requests of the urgent class");
     }
 }
 
 #[test]
-fn an_engine_that_fails_three_times_is_put_aside_and_comes_back() {
+fn an_engine_that_fails_three_times_is_ejected_and_returns() {
     let mut pool = TestPool::new();
     let mut on_first = 0;
     for _ in 0..20 {
-        let (stream, answers) = pool.ask("heavy", 20, 2000);
+        let (stream, answers) = pool.submit("heavy", 20, 2000);
         let grant = answers[0].grant.clone().expect("the pool is idle");
         let failed = &*grant.decode == "d1";
         on_first += u32::from(failed);
@@ -281,14 +286,14 @@
     }
     assert_eq!(on_first, 3, "three failures, then none");
     pool.now += Duration::from_secs(2);
-    let (_, answers) = pool.ask("heavy", 20, 2000);
+    let (_, answers) = pool.submit("heavy", 20, 2000);
     assert_eq!(&*answers[0].grant.as_ref().expect("it is granted").decode, "d1");
 }
 
 #[test]
 fn a_prompt_goes_where_its_prefix_is_cached_unless_that_engine_is_busy() {
     let mut pool = TestPool::new();
-    let ask = |pool: &mut TestPool| {
+    let submit = |pool: &mut TestPool| {
         let mut message = pool.message("heavy", 2000, 2000);
         message.prefix = 7;
         let stream = message.stream.clone();
@@ -297,7 +302,7 @@
         let grant = answers[0].grant.as_ref().expect("it is granted");
         (stream, std::sync::Arc::clone(&grant.prefill))
     };
-    let (first, engine) = ask(&mut pool);
+    let (first, engine) = submit(&mut pool);
     let message = ReleaseMessage {
         stream: first,
         pool: "main".into(),
@@ -309,8 +314,8 @@
     };
     pool.now += Duration::from_millis(200);
     pool.state.release(&message, pool.now);
-    let (_, again) = ask(&mut pool);
-    assert_eq!(again, engine, "the cache is there");
-    let (_, elsewhere) = ask(&mut pool);
-    assert_ne!(elsewhere, engine, "it is busy now, and the other engine is sooner");
+    let (_, again) = submit(&mut pool);
+    assert_eq!(again, engine, "the prefix is cached there");
+    let (_, elsewhere) = submit(&mut pool);
+    assert_ne!(elsewhere, engine, "it is busy now, and the other engine is faster");
 }
