--- a/crates/dillspool_peer/src/codec.rs
+++ b/crates/dillspool_peer/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages on the wire: CBOR in binary WebSocket frames.
+//! Wire format of peer messages: CBOR in binary WebSocket frames.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,10 +15,10 @@
 use crate::PeerError;
 use crate::error::{ConnectionSnafu, MalformedSnafu};
 
-/// Largest message, in bytes; a whole configuration at the two-year size is about 1.4 MB.
-const MESSAGE_LIMIT: usize = 16 * 1024 * 1024;
-/// Bytes that a frame and its TCP/IP headers add to a message, for the control count.
-const FRAME_BYTES: u64 = 46;
+/// Largest message. A full configuration at the size projected for two years from now is about 1.4 MB.
+const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
+/// Bytes that a frame and its TCP/IP headers add to a message; counted as control traffic.
+const FRAME_OVERHEAD_BYTES: u64 = 46;
 
 /// Encodes a message.
 ///
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// [`PeerError::Malformed`] when the bytes are none.
+/// [`PeerError::Malformed`] when the bytes are not a valid message.
 pub fn decode_message(bytes: &[u8]) -> Result<PeerMessage, PeerError> {
     match ciborium::from_reader(bytes) {
         Ok(message) => Ok(message),
@@ -47,13 +47,13 @@
 
 pub(crate) fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MESSAGE_LIMIT))
-        .max_frame_size(Some(MESSAGE_LIMIT))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
         .read_buffer_size(4 * 1024)
         .write_buffer_size(0)
 }
 
-/// Bytes of control traffic, both ways, frames and headers included.
+/// Counts control traffic in both directions, including frames and headers.
 #[derive(Clone, Debug, Default)]
 pub struct ControlBytes {
     count: Arc<AtomicU64>,
@@ -61,16 +61,16 @@
 
 impl ControlBytes {
     fn add(&self, bytes: usize) {
-        self.count.fetch_add(bytes as u64 + FRAME_BYTES, Ordering::Relaxed);
+        self.count.fetch_add(bytes as u64 + FRAME_OVERHEAD_BYTES, Ordering::Relaxed);
     }
 
-    /// Bytes so far.
+    /// Returns the bytes counted so far.
     pub fn total(&self) -> u64 {
         self.count.load(Ordering::Relaxed)
     }
 }
 
-/// A connection between two hosts that carries messages.
+/// A message channel between two hosts.
 #[derive(Debug)]
 pub struct PeerChannel {
     socket: WebSocketStream<NetStream>,
--- a/crates/dillspool_peer/src/dialer.rs
+++ b/crates/dillspool_peer/src/dialer.rs
@@ -1,4 +1,4 @@
-//! One task for each peer that this host dials.
+//! Outgoing connections: one task for each peer that this host dials.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -18,49 +18,56 @@
 use crate::PeerError;
 use crate::codec::{PeerChannel, PeerReceiver, PeerSender, websocket_config};
 use crate::error::ConnectionSnafu;
-use crate::hello::{PeerSide, ProvenPeer, exchange_hello};
-use crate::links::{LinkOrder, PeerLinks};
+use crate::hello::{AuthenticatedPeer, PeerSide, exchange_hello};
+use crate::links::{LinkCommand, PeerLinks};
 
-/// Longest pause between two attempts to connect.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// First pause after a failed attempt.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Longest backoff between two connection attempts.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Backoff after the first failed attempt.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Questions that wait for the peer's answer.
+/// Requests that wait for a response of the peer.
 #[derive(Default)]
-struct OpenQuestions {
+struct PendingRequests {
     reserves: BTreeMap<StreamId, oneshot::Sender<ReserveAnswer>>,
     liveness: Vec<(LivenessQuery, oneshot::Sender<bool>)>,
 }
 
-/// Connects again and again until `cancel`, with pauses that grow and are spread at random.
-pub(crate) async fn keep_link(
+/// Keeps a connection to a host until `cancel`; reconnects with exponential backoff and jitter.
+pub(crate) async fn maintain_link(
     links: PeerLinks,
     host: Name,
     address: SocketAddr,
-    mut orders: mpsc::Receiver<LinkOrder>,
+    mut commands: mpsc::Receiver<LinkCommand>,
     cancel: CancellationToken,
 ) {
-    let pauses = backon::ExponentialBuilder::default()
-        .with_min_delay(FIRST_PAUSE)
-        .with_max_delay(LONGEST_PAUSE)
+    let backoff_builder = backon::ExponentialBuilder::default()
+        .with_min_delay(INITIAL_BACKOFF)
+        .with_max_delay(MAX_BACKOFF)
         .with_jitter()
         .without_max_times();
-    let mut pause = pauses.build();
+    let mut backoff = backoff_builder.build();
     loop {
         let ended = tokio::select! {
-            ended = run_link(&links, &host, address, &mut orders, &mut pause, &pauses) => ended,
+            ended = run_link(
+                &links,
+                &host,
+                address,
+                &mut commands,
+                &mut backoff,
+                &backoff_builder,
+            ) => ended,
             () = cancel.cancelled() => break,
         };
         links.view.record_link(&host, false);
         if let Err(error) = ended {
             log::debug!("event=link_down host={host} error=\"{error}\"");
         }
-        // What waited for this connection is answered as not connected by being dropped.
-        while orders.try_recv().is_ok() {}
-        let nap = pause.next().unwrap_or(LONGEST_PAUSE);
+        // Dropping the queued commands reports them as not connected to their requesters.
+        while commands.try_recv().is_ok() {}
+        let delay = backoff.next().unwrap_or(MAX_BACKOFF);
         tokio::select! {
-            () = tokio::time::sleep(nap) => {}
+            () = tokio::time::sleep(delay) => {}
             () = cancel.cancelled() => break,
         }
     }
@@ -71,15 +78,15 @@
     links: &PeerLinks,
     host: &Name,
     address: SocketAddr,
-    orders: &mut mpsc::Receiver<LinkOrder>,
-    pause: &mut backon::ExponentialBackoff,
-    pauses: &backon::ExponentialBuilder,
+    commands: &mut mpsc::Receiver<LinkCommand>,
+    backoff: &mut backon::ExponentialBackoff,
+    backoff_builder: &backon::ExponentialBuilder,
 ) -> Result<(), PeerError> {
-    let greeting = tokio::time::timeout(links.settings.silence_timeout, greet(links, address));
-    let Ok(greeted) = greeting.await else {
-        return ConnectionSnafu { reason: "no greeting in time" }.fail();
+    let attempt = tokio::time::timeout(links.settings.silence_timeout, handshake(links, address));
+    let Ok(connected) = attempt.await else {
+        return ConnectionSnafu { reason: "handshake timed out" }.fail();
     };
-    let (mut sender, mut receiver, peer) = greeted?;
+    let (mut sender, mut receiver, peer) = connected?;
     if peer.host != *host {
         let reason = format!("host `{}` answers at the address of `{host}`", peer.host);
         return ConnectionSnafu { reason }.fail();
@@ -87,18 +94,18 @@
     for report in (links.handlers.placements)() {
         sender.send(&PeerMessage::Held(report)).await?;
     }
-    let unknown = HeartbeatMessage { config: 0, draining: false };
-    links.view.record_heartbeat(host, peer.incarnation, &unknown);
+    let unknown_state = HeartbeatMessage { config: 0, draining: false };
+    links.view.record_heartbeat(host, peer.incarnation, &unknown_state);
     links.view.record_link(host, true);
-    *pause = pauses.build();
+    *backoff = backoff_builder.build();
     log::debug!("event=link_up host={host}");
-    exchange(links, &peer, &mut sender, &mut receiver, orders).await
+    exchange(links, &peer, &mut sender, &mut receiver, commands).await
 }
 
-async fn greet(
+async fn handshake(
     links: &PeerLinks,
     address: SocketAddr,
-) -> Result<(PeerSender, PeerReceiver, ProvenPeer), PeerError> {
+) -> Result<(PeerSender, PeerReceiver, AuthenticatedPeer), PeerError> {
     let failed = |reason: String| PeerError::Connection { reason };
     let stream = links.stack.connect(address).await.map_err(|error| failed(error.to_string()))?;
     let url = format!("ws://{address}/peer");
@@ -113,32 +120,35 @@
 
 async fn exchange(
     links: &PeerLinks,
-    peer: &ProvenPeer,
+    peer: &AuthenticatedPeer,
     sender: &mut PeerSender,
     receiver: &mut PeerReceiver,
-    orders: &mut mpsc::Receiver<LinkOrder>,
+    commands: &mut mpsc::Receiver<LinkCommand>,
 ) -> Result<(), PeerError> {
-    let mut open = OpenQuestions::default();
-    let mut beat = tokio::time::interval(links.settings.heartbeat_interval);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut heard = Instant::now();
+    let mut pending = PendingRequests::default();
+    let mut heartbeat = tokio::time::interval(links.settings.heartbeat_interval);
+    heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut last_received = Instant::now();
     loop {
         tokio::select! {
-            _ = beat.tick() => {
-                // The peer may beat on its own link alone.
-                let heard = links.view.last_heard(&peer.host).map_or(heard, |it| it.max(heard));
-                if heard.elapsed() > links.settings.silence_timeout {
-                    return ConnectionSnafu { reason: "silence" }.fail();
+            _ = heartbeat.tick() => {
+                // The peer may send its heartbeats only on the connection that it dials itself.
+                let last_heard = links
+                    .view
+                    .last_heard(&peer.host)
+                    .map_or(last_received, |it| it.max(last_received));
+                if last_heard.elapsed() > links.settings.silence_timeout {
+                    return ConnectionSnafu { reason: "silence timeout exceeded" }.fail();
                 }
                 sender.send(&PeerMessage::Beat((links.handlers.heartbeat)())).await?;
             }
-            order = orders.recv() => {
-                let Some(order) = order else { return Ok(()) };
-                carry(order, &mut open, sender).await?;
+            command = commands.recv() => {
+                let Some(command) = command else { return Ok(()) };
+                send_command(command, &mut pending, sender).await?;
             }
             message = receiver.receive() => {
-                heard = Instant::now();
-                if let Some(reply) = take(links, peer, message?, &mut open) {
+                last_received = Instant::now();
+                if let Some(reply) = handle_message(links, peer, message?, &mut pending) {
                     sender.send(&reply).await?;
                 }
             }
@@ -146,52 +156,52 @@
     }
 }
 
-async fn carry(
-    order: LinkOrder,
-    open: &mut OpenQuestions,
+async fn send_command(
+    command: LinkCommand,
+    pending: &mut PendingRequests,
     sender: &mut PeerSender,
 ) -> Result<(), PeerError> {
-    match order {
-        LinkOrder::Send(message) => sender.send(&message).await,
-        LinkOrder::Reserve(message, answer) => {
-            open.reserves.insert(message.stream.clone(), answer);
+    match command {
+        LinkCommand::Send(message) => sender.send(&message).await,
+        LinkCommand::Reserve(message, answer) => {
+            pending.reserves.insert(message.stream.clone(), answer);
             sender.send(&PeerMessage::Ask(message)).await
         }
-        LinkOrder::Liveness(query, answer) => {
-            open.liveness.retain(|(_, waiting)| !waiting.is_closed());
-            open.liveness.push((query.clone(), answer));
+        LinkCommand::Liveness(query, answer) => {
+            pending.liveness.retain(|(_, waiting)| !waiting.is_closed());
+            pending.liveness.push((query.clone(), answer));
             sender.send(&PeerMessage::Heard(query)).await
         }
     }
 }
 
-fn take(
+fn handle_message(
     links: &PeerLinks,
-    peer: &ProvenPeer,
+    peer: &AuthenticatedPeer,
     message: PeerMessage,
-    open: &mut OpenQuestions,
+    pending: &mut PendingRequests,
 ) -> Option<PeerMessage> {
     match message {
         PeerMessage::Beat(beat) => {
             links.view.record_heartbeat(&peer.host, peer.incarnation, &beat);
-            return even_out(links, &beat);
+            return reconcile_config(links, &beat);
         }
         PeerMessage::Answer(answer) => {
-            if let Some(waiting) = open.reserves.remove(&answer.stream) {
-                // An asker that has left releases the stream itself.
-                let _asker_left = waiting.send(answer);
+            if let Some(waiting) = pending.reserves.remove(&answer.stream) {
+                // A requester that has given up releases the stream itself.
+                let _requester_left = waiting.send(answer);
             }
         }
         PeerMessage::Alive(answer) => {
-            let asked = |query: &LivenessQuery| {
+            let matches = |query: &LivenessQuery| {
                 query.host == answer.host && query.incarnation == answer.incarnation
             };
-            let (answered, kept) = std::mem::take(&mut open.liveness)
+            let (answered, kept) = std::mem::take(&mut pending.liveness)
                 .into_iter()
-                .partition::<Vec<_>, _>(|(query, _)| asked(query));
-            open.liveness = kept;
+                .partition::<Vec<_>, _>(|(query, _)| matches(query));
+            pending.liveness = kept;
             for (_, waiting) in answered {
-                let _asker_left = waiting.send(answer.alive);
+                let _requester_left = waiting.send(answer.alive);
             }
         }
         PeerMessage::Config(transfer) => (links.handlers.apply_config)(transfer),
@@ -207,8 +217,8 @@
     None
 }
 
-/// Evens out the configurations of both sides: the newer one travels, as a delta if it can.
-fn even_out(links: &PeerLinks, beat: &HeartbeatMessage) -> Option<PeerMessage> {
+/// Reconciles the configurations of both hosts: the newer one is sent, as a delta if possible.
+fn reconcile_config(links: &PeerLinks, beat: &HeartbeatMessage) -> Option<PeerMessage> {
     let own = (links.handlers.heartbeat)().config;
     match own.cmp(&beat.config) {
         Ordering::Less => Some(PeerMessage::Want(ConfigQuery { base: own })),
--- a/crates/dillspool_peer/src/error.rs
+++ b/crates/dillspool_peer/src/error.rs
@@ -1,4 +1,4 @@
-//! How a connection between hosts fails.
+//! Errors of connections between hosts.
 
 use snafu::Snafu;
 
@@ -12,20 +12,20 @@
         /// Name of the host.
         host: String,
     },
-    /// The connection broke off or could not be made.
-    #[snafu(display("the peer connection failed: {reason}; it is tried again"))]
+    /// The connection broke or could not be established.
+    #[snafu(display("the peer connection failed: {reason}; retrying"))]
     Connection {
-        /// What it met.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The peer's proof of the shared key is wrong.
+    /// The peer's proof of the shared key is invalid.
     #[snafu(display(
-        "the peer does not know the shared key; set the same keys.peer_key on all hosts"
+        "the peer failed to prove the shared key; set the same keys.peer_key on all hosts"
     ))]
     Proof,
-    /// The peer speaks a version that is too far from ours.
+    /// The peer's protocol version is not compatible.
     #[snafu(display(
-        "the peer speaks version {theirs}, this host {ours}; upgrade one step at a time"
+        "the peer uses protocol version {theirs}, this host {ours}; upgrade one version at a time"
     ))]
     Version {
         /// The peer's version.
@@ -33,10 +33,12 @@
         /// This host's version.
         ours: u32,
     },
-    /// The peer sent something that is no message.
-    #[snafu(display("the peer sent no valid message: {reason}; check that both run dillspoold"))]
+    /// The peer sent an invalid message.
+    #[snafu(display(
+        "the peer sent an invalid message: {reason}; check that both hosts run dillspoold"
+    ))]
     Malformed {
-        /// What was wrong.
+        /// What is invalid.
         reason: String,
     },
 }
--- a/crates/dillspool_peer/src/hello.rs
+++ b/crates/dillspool_peer/src/hello.rs
@@ -1,4 +1,4 @@
-//! The greeting of two hosts: each proves that it knows the shared key.
+//! Handshake of two hosts, in which each proves that it knows the shared key.
 
 use dillspool_schema::messages::{HelloMessage, PeerMessage};
 use dillspool_schema::{Name, Secret};
@@ -11,21 +11,21 @@
 use crate::codec::{PeerReceiver, PeerSender};
 use crate::error::MalformedSnafu;
 
-/// Version of the messages between hosts.
+/// Version of the peer protocol.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Who this host is towards its peers.
+/// Identity of this host towards its peers.
 #[derive(Clone, Debug)]
 pub struct PeerIdentity {
     /// Name of this host.
     pub host: Name,
     /// Start of this process, in milliseconds of Unix time.
     pub incarnation: u64,
-    /// Secret that all hosts share.
+    /// Key shared by all hosts.
     pub key: Secret,
 }
 
-/// Which side of a connection a host is on; part of the proof, so that none can be reflected.
+/// Side of a connection that a host is on; part of the proof, to prevent reflection attacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerSide {
     Dialer,
@@ -48,20 +48,20 @@
     }
 }
 
-/// Who the other side proved to be.
+/// Authenticated identity of the peer.
 #[derive(Clone, Debug)]
-pub(crate) struct ProvenPeer {
+pub(crate) struct AuthenticatedPeer {
     pub(crate) host: Name,
     pub(crate) incarnation: u64,
 }
 
-/// Greets, exchanges nonces, and checks the other side's proof.
+/// Exchanges hello messages and nonces, and verifies the peer's proof.
 pub(crate) async fn exchange_hello(
     identity: &PeerIdentity,
     side: PeerSide,
     sender: &mut PeerSender,
     receiver: &mut PeerReceiver,
-) -> Result<ProvenPeer, PeerError> {
+) -> Result<AuthenticatedPeer, PeerError> {
     let nonce = rand::rng().random::<u64>();
     let mut own = HelloMessage {
         version: PROTOCOL_VERSION,
@@ -71,18 +71,18 @@
         proof: "".into(),
     };
     sender.send(&PeerMessage::Hello(own.clone())).await?;
-    let greeting = expect_hello(receiver).await?;
-    if greeting.version.abs_diff(PROTOCOL_VERSION) > 1 {
-        return Err(PeerError::Version { theirs: greeting.version, ours: PROTOCOL_VERSION });
+    let peer_hello = expect_hello(receiver).await?;
+    if peer_hello.version.abs_diff(PROTOCOL_VERSION) > 1 {
+        return Err(PeerError::Version { theirs: peer_hello.version, ours: PROTOCOL_VERSION });
     }
-    own.proof = prove(identity, side, &own, greeting.nonce);
+    own.proof = sign_hello(identity, side, &own, peer_hello.nonce);
     sender.send(&PeerMessage::Hello(own)).await?;
     let proven = expect_hello(receiver).await?;
-    let expected = prove(identity, side.other(), &greeting, nonce);
-    let same = greeting.host == proven.host && greeting.incarnation == proven.incarnation;
+    let expected = sign_hello(identity, side.other(), &peer_hello, nonce);
+    let same_peer = peer_hello.host == proven.host && peer_hello.incarnation == proven.incarnation;
     let valid: bool = expected.as_bytes().ct_eq(proven.proof.as_bytes()).into();
-    if same && valid {
-        Ok(ProvenPeer { host: proven.host, incarnation: proven.incarnation })
+    if same_peer && valid {
+        Ok(AuthenticatedPeer { host: proven.host, incarnation: proven.incarnation })
     } else {
         Err(PeerError::Proof)
     }
@@ -91,14 +91,24 @@
 async fn expect_hello(receiver: &mut PeerReceiver) -> Result<HelloMessage, PeerError> {
     match receiver.receive().await? {
         PeerMessage::Hello(hello) => Ok(hello),
-        _other => MalformedSnafu { reason: "a message before the hello" }.fail(),
+        _other => MalformedSnafu { reason: "received another message before the hello" }.fail(),
     }
 }
 
-/// The proof of the host that says `hello` on `side`, against the other side's nonce.
-fn prove(identity: &PeerIdentity, side: PeerSide, hello: &HelloMessage, against: u64) -> Name {
-    let text =
-        format!("{}|{}|{}|{}|{against}", side.label(), hello.host, hello.incarnation, hello.nonce);
+/// Computes the proof of the host that sends `hello` on `side`, over the other side's nonce.
+fn sign_hello(
+    identity: &PeerIdentity,
+    side: PeerSide,
+    hello: &HelloMessage,
+    peer_nonce: u64,
+) -> Name {
+    let text = format!(
+        "{}|{}|{}|{}|{peer_nonce}",
+        side.label(),
+        hello.host,
+        hello.incarnation,
+        hello.nonce
+    );
     let Ok(mut mac) = Hmac::<Sha256>::new_from_slice(identity.key.expose().as_bytes()) else {
         unreachable!("HMAC takes keys of any length");
     };
--- a/crates/dillspool_peer/src/lib.rs
+++ b/crates/dillspool_peer/src/lib.rs
@@ -1,7 +1,7 @@
-//! Connections between hosts, and who is alive.
+//! Connections between hosts, and their liveness.
 //!
-//! A host keeps connections to the hosts of its failure domain and to the candidates that may
-//! schedule a pool, never to all. See `docs/design/membership.md`.
+//! A host connects to the hosts of its failure domain and to the candidates that may schedule a pool,
+//! never to all hosts. See `docs/design/membership.md`.
 
 mod codec;
 mod dialer;
--- a/crates/dillspool_peer/src/links.rs
+++ b/crates/dillspool_peer/src/links.rs
@@ -1,4 +1,4 @@
-//! All connections of a host to its peers.
+//! Connections of a host to its peers.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -17,35 +17,35 @@
 
 use crate::PeerError;
 use crate::codec::ControlBytes;
-use crate::dialer::keep_link;
+use crate::dialer::maintain_link;
 use crate::error::NotConnectedSnafu;
 use crate::hello::PeerIdentity;
 use crate::view::HostView;
 
-/// Messages waiting for a slow peer before it counts as not connected.
-const OUTBOX_LIMIT: usize = 1024;
-/// Time in which a peer answers a question about a host.
-const LIVENESS_LIMIT: Duration = Duration::from_secs(1);
+/// Messages queued for a slow peer before it counts as not connected.
+const OUTBOX_CAPACITY: usize = 1024;
+/// Timeout of a liveness query to a peer.
+const LIVENESS_TIMEOUT: Duration = Duration::from_secs(1);
 
 type ReserveFn = dyn Fn(ReserveMessage) -> BoxFuture<Option<ReserveAnswer>> + Send + Sync;
 type ReportFn = dyn Fn(&Name, u64, PlacementReport) + Send + Sync;
 
-/// What a host does with its peers' messages.
+/// Callbacks for the messages of peers.
 #[derive(Clone)]
 pub struct PeerHandlers {
     /// Schedules a request.
     pub reserve: Arc<ReserveFn>,
-    /// Takes a placement back.
+    /// Releases a placement.
     pub release: Arc<dyn Fn(ReleaseMessage) + Send + Sync>,
-    /// Takes a host's placements over; arguments are host and incarnation.
+    /// Replaces a host's placements by those in a report; arguments are host and incarnation.
     pub report: Arc<ReportFn>,
-    /// All placements of this host, for a scheduler that was just connected.
+    /// Returns all placements of this host, for a scheduler that has just connected.
     pub placements: Arc<dyn Fn() -> Vec<PlacementReport> + Send + Sync>,
-    /// The state of this host for its heartbeat.
+    /// Returns the state of this host for its heartbeat.
     pub heartbeat: Arc<dyn Fn() -> HeartbeatMessage + Send + Sync>,
     /// Answers a peer that lacks the newest configuration.
     pub config: Arc<dyn Fn(ConfigQuery) -> Option<ConfigTransfer> + Send + Sync>,
-    /// Takes a configuration that a peer sent.
+    /// Applies a configuration that a peer sent.
     pub apply_config: Arc<dyn Fn(ConfigTransfer) + Send + Sync>,
 }
 
@@ -55,12 +55,12 @@
     }
 }
 
-/// Times of the links.
+/// Timing of the connections.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkSettings {
-    /// Time between two heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Silence after which a connection is given up.
+    /// Time without a message after which a connection is closed.
     pub silence_timeout: Duration,
 }
 
@@ -70,8 +70,8 @@
     }
 }
 
-/// What a link carries to its peer.
-pub(crate) enum LinkOrder {
+/// Commands that a connection task sends to its peer.
+pub(crate) enum LinkCommand {
     Send(PeerMessage),
     Reserve(ReserveMessage, oneshot::Sender<ReserveAnswer>),
     Liveness(LivenessQuery, oneshot::Sender<bool>),
@@ -79,11 +79,11 @@
 
 struct LinkHandle {
     address: Name,
-    outbox: mpsc::Sender<LinkOrder>,
+    outbox: mpsc::Sender<LinkCommand>,
     cancel: CancellationToken,
 }
 
-/// The connections that this host dials.
+/// Connections that this host dials.
 #[derive(Clone)]
 pub struct PeerLinks {
     pub(crate) stack: NetStack,
@@ -102,7 +102,7 @@
 }
 
 impl PeerLinks {
-    /// A host without connections.
+    /// Creates a set without connections.
     pub fn new(
         stack: NetStack,
         identity: PeerIdentity,
@@ -118,12 +118,12 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Bytes of control traffic so far.
+    /// Returns the bytes of control traffic so far.
     pub fn control_bytes(&self) -> u64 {
         self.bytes.total()
     }
 
-    /// Opens and closes connections so that they go to these hosts.
+    /// Opens and closes connections to match these targets.
     pub fn set_targets(&self, targets: &BTreeMap<Name, Name>, cancel: &CancellationToken) {
         let mut links = self.lock();
         links.retain(|host, link| {
@@ -141,15 +141,15 @@
                 log::warn!("event=bad_peer_address host={host} address={address}");
                 continue;
             };
-            let (outbox, orders) = mpsc::channel(OUTBOX_LIMIT);
+            let (outbox, commands) = mpsc::channel(OUTBOX_CAPACITY);
             let cancel = cancel.child_token();
             let link = LinkHandle { address: Name::clone(address), outbox, cancel: cancel.clone() };
             links.insert(Name::clone(host), link);
-            tokio::spawn(keep_link(self.clone(), Name::clone(host), to, orders, cancel));
+            tokio::spawn(maintain_link(self.clone(), Name::clone(host), to, commands, cancel));
         }
     }
 
-    fn outbox(&self, host: &str) -> Result<mpsc::Sender<LinkOrder>, PeerError> {
+    fn outbox(&self, host: &str) -> Result<mpsc::Sender<LinkCommand>, PeerError> {
         let links = self.lock();
         match links.get(host) {
             Some(link) => Ok(link.outbox.clone()),
@@ -157,19 +157,19 @@
         }
     }
 
-    /// Asks a host that schedules a pool for a placement.
+    /// Requests a placement from the host that schedules the pool.
     ///
     /// # Errors
     ///
-    /// [`PeerError::NotConnected`] when the host is out of reach or becomes so before it answers.
+    /// [`PeerError::NotConnected`] when the host is or becomes unreachable before it answers.
     pub async fn reserve(
         &self,
         host: &str,
         message: ReserveMessage,
     ) -> Result<ReserveAnswer, PeerError> {
         let (sender, receiver) = oneshot::channel();
-        let order = LinkOrder::Reserve(message, sender);
-        if self.outbox(host)?.try_send(order).is_err() {
+        let command = LinkCommand::Reserve(message, sender);
+        if self.outbox(host)?.try_send(command).is_err() {
             return NotConnectedSnafu { host }.fail();
         }
         match receiver.await {
@@ -178,38 +178,38 @@
         }
     }
 
-    /// Gives a placement back to the host that granted it.
+    /// Releases a placement at the host that granted it.
     ///
     /// # Errors
     ///
-    /// [`PeerError::NotConnected`]; the placement report of the next connection makes up for it.
+    /// [`PeerError::NotConnected`]; the placement report of the next connection replaces the message.
     pub fn release(&self, host: &str, message: ReleaseMessage) -> Result<(), PeerError> {
-        let order = LinkOrder::Send(PeerMessage::Free(message));
-        if self.outbox(host)?.try_send(order).is_err() {
+        let command = LinkCommand::Send(PeerMessage::Free(message));
+        if self.outbox(host)?.try_send(command).is_err() {
             return NotConnectedSnafu { host }.fail();
         }
         Ok(())
     }
 
-    /// Tells a host all placements that this host holds in a pool.
+    /// Reports all placements that this host holds in a pool.
     ///
     /// # Errors
     ///
-    /// [`PeerError::NotConnected`]; the next connection reports again.
+    /// [`PeerError::NotConnected`]; the next connection sends the report again.
     pub fn report(&self, host: &str, report: PlacementReport) -> Result<(), PeerError> {
-        let order = LinkOrder::Send(PeerMessage::Held(report));
-        if self.outbox(host)?.try_send(order).is_err() {
+        let command = LinkCommand::Send(PeerMessage::Held(report));
+        if self.outbox(host)?.try_send(command).is_err() {
             return NotConnectedSnafu { host }.fail();
         }
         Ok(())
     }
 
-    /// Whether any connected peer has heard of an incarnation of a host within the lease time.
+    /// Queries whether any connected peer has heard of an incarnation of a host within the lease time.
     ///
-    /// `None` when no peer answered.
+    /// Returns `None` if no peer answered.
     pub async fn query_liveness(&self, host: &Name, incarnation: u64) -> Option<bool> {
         let linked = self.view.linked_hosts();
-        let outboxes: Vec<mpsc::Sender<LinkOrder>> = {
+        let outboxes: Vec<mpsc::Sender<LinkCommand>> = {
             let links = self.lock();
             let asked = linked.iter().filter(|peer| *peer != host);
             asked.filter_map(|peer| Some(links.get(peer)?.outbox.clone())).collect()
@@ -219,8 +219,8 @@
             let query = LivenessQuery { host: Name::clone(host), incarnation };
             answers.spawn(async move {
                 let (sender, receiver) = oneshot::channel();
-                outbox.try_send(LinkOrder::Liveness(query, sender)).ok()?;
-                tokio::time::timeout(LIVENESS_LIMIT, receiver).await.ok()?.ok()
+                outbox.try_send(LinkCommand::Liveness(query, sender)).ok()?;
+                tokio::time::timeout(LIVENESS_TIMEOUT, receiver).await.ok()?.ok()
             });
         }
         let mut heard = None;
--- a/crates/dillspool_peer/src/listener.rs
+++ b/crates/dillspool_peer/src/listener.rs
@@ -1,4 +1,4 @@
-//! One task for each peer that dials this host.
+//! Incoming connections: one task for each peer that dials this host.
 
 use dillspool_io::{NetListener, NetStream};
 use dillspool_schema::messages::{ConfigQuery, HeartbeatMessage, LivenessAnswer, PeerMessage};
@@ -10,15 +10,15 @@
 use crate::PeerError;
 use crate::codec::{PeerChannel, PeerReceiver, PeerSender, websocket_config};
 use crate::error::ConnectionSnafu;
-use crate::hello::{PeerSide, ProvenPeer, exchange_hello};
+use crate::hello::{AuthenticatedPeer, PeerSide, exchange_hello};
 use crate::links::PeerLinks;
 use crate::view::OwnerStatus;
 
-/// Answers waiting to be sent.
-const ANSWER_LIMIT: usize = 1024;
+/// Answers queued for sending.
+const ANSWER_QUEUE_CAPACITY: usize = 1024;
 
 impl PeerLinks {
-    /// Accepts the connections of peers until `cancel`.
+    /// Accepts connections of peers until `cancel`.
     pub async fn serve(self, mut listener: NetListener, cancel: CancellationToken) {
         loop {
             let stream = tokio::select! {
@@ -42,35 +42,37 @@
 }
 
 async fn serve_peer(links: &PeerLinks, stream: NetStream) -> Result<(), PeerError> {
-    let greeting = tokio::time::timeout(links.settings.silence_timeout, greet(links, stream));
-    let Ok(greeted) = greeting.await else {
-        return ConnectionSnafu { reason: "no greeting in time" }.fail();
+    let attempt = tokio::time::timeout(links.settings.silence_timeout, handshake(links, stream));
+    let Ok(connected) = attempt.await else {
+        return ConnectionSnafu { reason: "handshake timed out" }.fail();
     };
-    let (mut sender, mut receiver, peer) = greeted?;
-    let (answers, mut outbox) = mpsc::channel::<PeerMessage>(ANSWER_LIMIT);
-    // Dropped with the connection: whoever waits for a placement on it has gone.
+    let (mut sender, mut receiver, peer) = connected?;
+    let (answers, mut outbox) = mpsc::channel::<PeerMessage>(ANSWER_QUEUE_CAPACITY);
+    // Dropped with the connection, because nobody waits for these placements any more.
     let mut reserves = tokio::task::JoinSet::new();
-    let mut heard = Instant::now();
+    let mut last_received = Instant::now();
     loop {
-        let silence = tokio::time::sleep_until(heard + links.settings.silence_timeout);
+        let silence = tokio::time::sleep_until(last_received + links.settings.silence_timeout);
         tokio::select! {
             message = receiver.receive() => {
-                heard = Instant::now();
-                if let Some(answer) = take(links, &peer, message?, &answers, &mut reserves) {
+                last_received = Instant::now();
+                if let Some(answer) =
+                    handle_message(links, &peer, message?, &answers, &mut reserves)
+                {
                     sender.send(&answer).await?;
                 }
             }
             Some(answer) = outbox.recv() => sender.send(&answer).await?,
             Some(_done) = reserves.join_next() => {}
-            () = silence => return ConnectionSnafu { reason: "silence" }.fail(),
+            () = silence => return ConnectionSnafu { reason: "silence timeout exceeded" }.fail(),
         }
     }
 }
 
-async fn greet(
+async fn handshake(
     links: &PeerLinks,
     stream: NetStream,
-) -> Result<(PeerSender, PeerReceiver, ProvenPeer), PeerError> {
+) -> Result<(PeerSender, PeerReceiver, AuthenticatedPeer), PeerError> {
     let socket = match accept_async_with_config(stream, Some(websocket_config())).await {
         Ok(socket) => socket,
         Err(error) => {
@@ -83,9 +85,9 @@
     Ok((sender, receiver, peer))
 }
 
-fn take(
+fn handle_message(
     links: &PeerLinks,
-    peer: &ProvenPeer,
+    peer: &AuthenticatedPeer,
     message: PeerMessage,
     answers: &mpsc::Sender<PeerMessage>,
     reserves: &mut tokio::task::JoinSet<()>,
@@ -96,8 +98,8 @@
             links.view.record_heartbeat(&peer.host, peer.incarnation, &beat);
             answer_heartbeat(links, peer, &beat)
         }
-        PeerMessage::Ask(ask) => {
-            let reserve = (handlers.reserve)(ask);
+        PeerMessage::Ask(request) => {
+            let reserve = (handlers.reserve)(request);
             let answers = answers.clone();
             reserves.spawn(async move {
                 if let Some(answer) = reserve.await {
@@ -132,11 +134,11 @@
     }
 }
 
-/// Sends a peer that is behind the newer configuration; else beats back, unless this host's own
-/// link to the peer does so already.
+/// Sends the newer configuration to a peer that is behind. Otherwise returns a heartbeat, unless this
+/// host's own connection to the peer carries one already.
 fn answer_heartbeat(
     links: &PeerLinks,
-    peer: &ProvenPeer,
+    peer: &AuthenticatedPeer,
     beat: &HeartbeatMessage,
 ) -> Option<PeerMessage> {
     let own = (links.handlers.heartbeat)();
--- a/crates/dillspool_peer/src/view.rs
+++ b/crates/dillspool_peer/src/view.rs
@@ -1,4 +1,4 @@
-//! Who is alive, as this host sees it.
+//! Liveness of hosts as seen by this host.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,21 +11,21 @@
 
 use crate::rendezvous::rank_hosts;
 
-/// A host not heard of for this long is taken for dead; three heartbeats.
+/// Time without a heartbeat after which a host counts as dead: three heartbeat intervals.
 pub const LEASE_TIME: Duration = Duration::from_secs(3);
-/// Hosts that may schedule a pool; entry hosts keep connections to them.
-const CANDIDATES: usize = 3;
+/// Number of hosts that may schedule a pool; entry hosts stay connected to them.
+const CANDIDATE_HOSTS: usize = 3;
 
-/// What is known of another host.
+/// Status of another host.
 #[derive(Clone, Debug)]
 pub struct PeerStatus {
-    /// Newest incarnation heard of.
+    /// Newest known incarnation.
     pub incarnation: u64,
     /// When it was last heard of.
     pub last_heard: Instant,
-    /// Configuration version that it named last.
+    /// Configuration version in its last heartbeat.
     pub config: u64,
-    /// Whether it drains.
+    /// Whether it is draining.
     pub draining: bool,
     /// Whether this host's own connection to it is up.
     pub is_linked: bool,
@@ -34,12 +34,12 @@
 #[derive(Debug)]
 struct ViewState {
     entries: BTreeMap<Name, HostEntry>,
-    list_read: Option<Instant>,
+    list_updated_at: Option<Instant>,
     peers: BTreeMap<Name, PeerStatus>,
     draining: bool,
 }
 
-/// The host list joined with what heartbeats tell.
+/// Merges the host list with the state from heartbeats.
 #[derive(Clone, Debug)]
 pub struct HostView {
     host: Name,
@@ -50,11 +50,11 @@
 }
 
 impl HostView {
-    /// A view of a host that has just started.
+    /// Creates the view of a host that has just started.
     pub fn new(host: Name, failure_domain: Name, incarnation: u64) -> Self {
         let state = ViewState {
             entries: BTreeMap::new(),
-            list_read: None,
+            list_updated_at: None,
             peers: BTreeMap::new(),
             draining: false,
         };
@@ -66,32 +66,32 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// This host's name.
+    /// Returns this host's name.
     pub fn host(&self) -> &Name {
         &self.host
     }
 
-    /// Start of this process, in milliseconds of Unix time.
+    /// Returns the start of this process, in milliseconds of Unix time.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Takes over the platform's host list; `None` if it is as it was.
+    /// Updates the platform's host list; `None` means that it is unchanged.
     pub fn update_host_list(&self, entries: Option<Vec<HostEntry>>) {
         let mut state = self.lock();
         if let Some(entries) = entries {
-            let named = |entry: HostEntry| (Name::clone(&entry.name), entry);
-            state.entries = entries.into_iter().map(named).collect();
+            let keyed = |entry: HostEntry| (Name::clone(&entry.name), entry);
+            state.entries = entries.into_iter().map(keyed).collect();
         }
-        state.list_read = Some(Instant::now());
+        state.list_updated_at = Some(Instant::now());
     }
 
     /// Whether the host list was read within the lease time.
     pub fn is_list_fresh(&self) -> bool {
-        self.lock().list_read.is_some_and(|at| at.elapsed() < LEASE_TIME)
+        self.lock().list_updated_at.is_some_and(|at| at.elapsed() < LEASE_TIME)
     }
 
-    /// Names of the hosts on the list.
+    /// Returns the names of the listed hosts.
     pub fn listed_hosts(&self) -> Vec<Name> {
         let state = self.lock();
         let hosts = state.entries.values().filter(|entry| entry.kind == HostKind::Host);
@@ -104,7 +104,7 @@
         state.entries.get(backend).is_some_and(|entry| entry.state == HostState::Leaving)
     }
 
-    /// Notes a sign of life of a host.
+    /// Records a heartbeat of a host; ignores older incarnations.
     pub fn record_heartbeat(&self, host: &Name, incarnation: u64, beat: &HeartbeatMessage) {
         let mut state = self.lock();
         let now = Instant::now();
@@ -124,7 +124,7 @@
         peer.draining = beat.draining;
     }
 
-    /// Notes whether this host's own connection to a host is up.
+    /// Records whether this host's own connection to a host is up.
     pub fn record_link(&self, host: &Name, is_linked: bool) {
         if let Some(peer) = self.lock().peers.get_mut(host) {
             peer.is_linked = is_linked;
@@ -136,12 +136,12 @@
         self.lock().peers.get(host).is_some_and(|peer| peer.is_linked)
     }
 
-    /// When a host was last heard of, over whichever connection.
+    /// Returns when a host was last heard of over any connection.
     pub fn last_heard(&self, host: &str) -> Option<Instant> {
         self.lock().peers.get(host).map(|peer| peer.last_heard)
     }
 
-    /// Hosts to which this host's own connection is up.
+    /// Returns the hosts to which this host's own connection is up.
     pub fn linked_hosts(&self) -> Vec<Name> {
         let state = self.lock();
         let linked = state.peers.iter().filter(|(_, peer)| peer.is_linked);
@@ -153,44 +153,44 @@
         self.lock().draining = true;
     }
 
-    /// Whether this host drains.
+    /// Whether this host is draining.
     pub fn is_draining(&self) -> bool {
         self.lock().draining
     }
 
-    /// What is known of the other hosts.
+    /// Returns the status of the other hosts.
     pub fn peers(&self) -> BTreeMap<Name, PeerStatus> {
         self.lock().peers.clone()
     }
 
-    /// Whether anyone was heard of within the lease time: a peer, or the platform.
+    /// Whether a peer or the platform was reached within the lease time.
     pub fn is_connected(&self) -> bool {
         let state = self.lock();
         let heard = state.peers.values().any(|peer| peer.last_heard.elapsed() < LEASE_TIME);
-        let listed = state.list_read.is_some_and(|at| at.elapsed() < LEASE_TIME);
+        let listed = state.list_updated_at.is_some_and(|at| at.elapsed() < LEASE_TIME);
         heard || listed
     }
 
-    /// Whether nobody was heard of for the lease time although there are others.
+    /// Whether there are other hosts but none was reached within the lease time.
     ///
-    /// An isolated host cannot know whether its configuration is still in force, and stops
-    /// taking requests. See `docs/design/configuration.md`.
+    /// An isolated host cannot know whether its configuration is still in force, so it stops accepting
+    /// requests. See `docs/design/configuration.md`.
     pub fn is_isolated(&self) -> bool {
         let others = self.listed_hosts().iter().any(|host| *host != self.host);
         others && self.started.elapsed() >= LEASE_TIME && !self.is_connected()
     }
 
-    /// Hosts this host should keep a connection to.
+    /// Returns the hosts, with addresses, that this host should stay connected to.
     ///
-    /// Those of its failure domain, and the candidates for each pool: never all.
+    /// These are the hosts of its failure domain and the candidates for each pool, never all hosts.
     pub fn dial_targets(&self, pools: &[Name]) -> BTreeMap<Name, Name> {
         let mut targets = BTreeMap::new();
         let candidates: Vec<Name> = pools.iter().flat_map(|pool| self.candidates(pool)).collect();
         let state = self.lock();
         for entry in state.entries.values() {
-            let near = entry.failure_domain == self.failure_domain;
-            let wanted = near || candidates.contains(&entry.name);
-            if entry.kind == HostKind::Host && entry.name != self.host && wanted {
+            let same_domain = entry.failure_domain == self.failure_domain;
+            let is_target = same_domain || candidates.contains(&entry.name);
+            if entry.kind == HostKind::Host && entry.name != self.host && is_target {
                 targets.insert(Name::clone(&entry.name), Name::clone(&entry.address));
             }
         }
@@ -204,7 +204,7 @@
         targets.keys().any(|host| state.peers.get(host).is_none_or(|peer| !peer.is_linked))
     }
 
-    /// The first hosts in rendezvous order for a pool, among the live ones of the list.
+    /// Returns the first live hosts of the list in rendezvous order for a pool.
     pub fn candidates(&self, pool: &str) -> Vec<Name> {
         let state = self.lock();
         let live = state
@@ -212,11 +212,11 @@
             .values()
             .filter(|entry| entry.kind == HostKind::Host && entry.state == HostState::Live);
         let mut ranked = rank_hosts(pool, live.map(|entry| &entry.name));
-        ranked.truncate(CANDIDATES);
+        ranked.truncate(CANDIDATE_HOSTS);
         ranked
     }
 
-    /// The host that schedules a pool now, as far as this host can reach one; itself if none.
+    /// Returns the reachable host that currently schedules a pool; this host itself if there is none.
     pub fn scheduler(&self, pool: &str) -> Name {
         let candidates = self.candidates(pool);
         let state = self.lock();
@@ -231,7 +231,7 @@
         candidates.iter().find(usable).map_or_else(|| Name::clone(&self.host), Name::clone)
     }
 
-    /// What this host alone knows of an incarnation of a host.
+    /// Returns the status of an incarnation of a host, from this host's own knowledge.
     pub fn owner_status(&self, host: &str, incarnation: u64) -> OwnerStatus {
         if host == &*self.host {
             let own = incarnation == self.incarnation;
@@ -247,13 +247,13 @@
     }
 }
 
-/// What one host knows of the owner of a stream.
+/// Status of the owner of a stream, as known to one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerStatus {
     /// Heard of within the lease time.
     Alive,
     /// Replaced by a newer incarnation.
     Dead,
-    /// Not heard of for the lease time; others may have heard of it.
+    /// Not heard of within the lease time; other hosts may have heard of it.
     LeaseExpired,
 }
--- a/crates/dillspool_peer/tests/peers.rs
+++ b/crates/dillspool_peer/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: messages from outside, the greeting, rendezvous order, and what a view concludes.
+//! Tests of the peer protocol: decoding, handshake, rendezvous ranking and liveness.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -34,7 +34,7 @@
     }
 
     #[test]
-    fn a_stream_id_survives_its_text(host in "[a-z0-9-]{1,20}", incarnation: u64, sequence: u64) {
+    fn a_stream_id_round_trips_as_text(host in "[a-z0-9-]{1,20}", incarnation: u64, sequence: u64) {
         let id = StreamId { host: host.into(), incarnation, sequence };
         prop_assert_eq!(id.to_string().parse::<StreamId>(), Ok(id));
     }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_field_of_a_newer_version_is_passed_over() {
+fn a_field_of_a_newer_version_is_ignored() {
     // {"beat": {"config": 7, "draining": false, "newer": 1}} in CBOR.
     let mut bytes = vec![0xa1, 0x64];
     bytes.extend(b"beat");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_vanished_host_moves_its_own_pools_only() {
+fn removing_a_host_moves_only_its_own_pools() {
     let hosts: Vec<Name> = (0..8).map(|number| format!("entry-{number}").into()).collect();
     let first = |pool: usize, hosts: &[Name]| {
         Name::clone(&rank_hosts(&format!("pool-{pool}"), hosts.iter())[0])
@@ -77,7 +77,7 @@
         assert!(*scheduler == hosts[0] || *scheduler == after);
     }
     let held = |host: &Name| before.iter().filter(|it| *it == host).count();
-    assert!(hosts.iter().all(|host| (10..45).contains(&held(host))), "roles spread over hosts");
+    assert!(hosts.iter().all(|host| (10..45).contains(&held(host))), "pools are spread over hosts");
 }
 
 const FIRST: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1));
@@ -89,7 +89,7 @@
     address: SocketAddr,
 }
 
-fn quiet_handlers() -> PeerHandlers {
+fn no_op_handlers() -> PeerHandlers {
     PeerHandlers {
         reserve: Arc::new(|_message| Box::pin(async { None })),
         release: Arc::new(|_message| {}),
@@ -108,7 +108,7 @@
     let view = HostView::new(host.into(), "a".into(), 1);
     let identity = PeerIdentity { host: host.into(), incarnation: 1, key: Secret::new(key) };
     let settings = LinkSettings::default();
-    let links = PeerLinks::new(stack, identity, quiet_handlers(), settings, view.clone());
+    let links = PeerLinks::new(stack, identity, no_op_handlers(), settings, view.clone());
     tokio::spawn(links.clone().serve(listener, CancellationToken::new()));
     TestPeer { view, links, address }
 }
@@ -123,24 +123,29 @@
     }
 }
 
-/// How the second host greets.
-struct GreetingRow {
+/// Handshake of the second host.
+struct HandshakeRow {
     name: &'static str,
     key: &'static str,
-    /// Name under which the first host knows it.
+    /// Name under which the first host has it on its list.
     listed: &'static str,
     linked: bool,
 }
 
-const GREETINGS: [GreetingRow; 3] = [
-    GreetingRow { name: "the same key", key: "shared", listed: "second", linked: true },
-    GreetingRow { name: "another key", key: "stolen", listed: "second", linked: false },
-    GreetingRow { name: "another host answers", key: "shared", listed: "third", linked: false },
+const HANDSHAKES: [HandshakeRow; 3] = [
+    HandshakeRow { name: "the same key", key: "shared", listed: "second", linked: true },
+    HandshakeRow { name: "another key", key: "stolen", listed: "second", linked: false },
+    HandshakeRow {
+        name: "another host at the address",
+        key: "shared",
+        listed: "third",
+        linked: false,
+    },
 ];
 
 #[tokio::test(start_paused = true)]
-async fn only_the_host_that_knows_the_key_is_linked() {
-    for row in &GREETINGS {
+async fn only_a_host_that_knows_the_key_is_linked() {
+    for row in &HANDSHAKES {
         let net = MemoryNet::new();
         let first = start_peer(&net, FIRST, "first", "shared").await;
         let second = start_peer(&net, SECOND, "second", row.key).await;
@@ -155,7 +160,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_host_is_unheard_after_the_lease_and_heard_again_after_it() {
+async fn the_lease_of_a_silent_host_expires_until_it_is_heard_again() {
     let net = MemoryNet::new();
     let first = start_peer(&net, FIRST, "first", "shared").await;
     let second = start_peer(&net, SECOND, "second", "shared").await;
