--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dillspool_calls::{CallOutcome, RejectCause};
-use dillspool_io::{MomentPassed, ResponseBody, full_body};
+use dillspool_io::{DeadlineElapsed, ResponseBody, full_body};
 use dillspool_routing::{BackendEntry, RoutedRequest};
 use dillspool_scheduler::CallTicket;
 use dillspool_version::StoreVersion;
@@ -169,7 +169,7 @@
     let mut record = AttemptRecord::default();
     let mut probe = None;
     // Dropped after an abandoned attempt, so its slot is freed once the connection is closed.
-    let mut ticket = context.call_client.open(&request.service);
+    let mut ticket = context.call_client.open_ticket(&request.service);
     while may_retry(context, request, &mut probe).await
         && let Some((entry, directory, permit)) =
             next_backend(context, request, &mut record, &mut ticket).await
@@ -186,7 +186,7 @@
             }
             outcome => outcome,
         };
-        ticket.end(outcome.call_outcome(), started.elapsed());
+        ticket.complete(outcome.call_outcome(), started.elapsed());
         match outcome {
             AttemptOutcome::Complete(response) if !response.status.is_server_error() => {
                 context.backend_tracker.record_success(&entry.instance(), started.elapsed());
@@ -309,7 +309,7 @@
         Ok(Err(CallError::NotSent { reason })) => AttemptOutcome::NotSent(reason),
         Ok(Err(CallError::Refused { .. })) => AttemptOutcome::NotRun,
         Ok(Err(CallError::Lost { reason })) => AttemptOutcome::Unknown(reason),
-        Err(MomentPassed) => AttemptOutcome::Unknown(format!("no response within {timeout:?}")),
+        Err(DeadlineElapsed) => AttemptOutcome::Unknown(format!("no response within {timeout:?}")),
     }
 }
 
--- a/crates/dillspool_router/src/throttle_metrics.rs
+++ b/crates/dillspool_router/src/throttle_metrics.rs
@@ -1,5 +1,5 @@
-//! What backend servers say of themselves in their answers, and the questions about limits, as figures that are read
-//! when they are scraped.
+//! Metrics of what backend servers announce in their responses and of the requests for limits,
+//! updated on each scrape.
 
 use std::sync::atomic::AtomicU64;
 
@@ -10,61 +10,60 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Figures of a host's desks of what backend servers say, and of its questions.
+/// Metrics of a host's throttle and leaving trackers, and of its limit clients.
 #[derive(Clone, Debug)]
 pub(crate) struct ThrottleMetrics {
-    desk: ThrottleTracker,
-    leaving_desk: LeavingTracker,
+    throttle: ThrottleTracker,
+    leaving_tracker: LeavingTracker,
     clients: [LimitClient; 2],
-    limited: Gauge,
-    resting: Gauge,
+    limited_backends: Gauge,
+    backing_off: Gauge,
     leaving: Gauge,
-    questions: Gauge,
-    sends: Counter<u64, AtomicU64>,
+    pending_requests: Gauge,
+    limited_sends: Counter<u64, AtomicU64>,
 }
 
 impl ThrottleMetrics {
-    /// Figures of the desks, and of those who ask for the limits of workspaces and of backend servers.
+    /// Creates the metrics; `clients` ask for the limits of workspaces and of backend servers.
     pub(crate) fn new(
-        desk: ThrottleTracker,
-        leaving_desk: LeavingTracker,
+        throttle: ThrottleTracker,
+        leaving_tracker: LeavingTracker,
         clients: [LimitClient; 2],
     ) -> Self {
         Self {
-            desk,
-            leaving_desk,
+            throttle,
+            leaving_tracker,
             clients,
-            limited: Gauge::default(),
-            resting: Gauge::default(),
+            limited_backends: Gauge::default(),
+            backing_off: Gauge::default(),
             leaving: Gauge::default(),
-            questions: Gauge::default(),
-            sends: Counter::default(),
+            pending_requests: Gauge::default(),
+            limited_sends: Counter::default(),
         }
     }
 
-    /// Registers all figures.
     pub(crate) fn register(&self, registry: &mut Registry) {
         let help = "Backend servers that name how many requests a second they take";
-        registry.register("limited_backends", help, self.limited.clone());
+        registry.register("limited_backends", help, self.limited_backends.clone());
         let help = "Backend servers that want nothing from this host for now";
-        registry.register("resting_backends", help, self.resting.clone());
+        registry.register("resting_backends", help, self.backing_off.clone());
         let help = "Starts of backend servers that have said in an answer that they leave";
         registry.register("leaving_backends", help, self.leaving.clone());
         let help = "Questions to the holders of limits that wait for an answer";
-        registry.register("limit_questions", help, self.questions.clone());
+        registry.register("limit_questions", help, self.pending_requests.clone());
         let help = "Sends to backend servers that had named how many requests a second they take";
-        registry.register("limited_sends", help, self.sends.clone());
+        registry.register("limited_sends", help, self.limited_sends.clone());
     }
 
-    /// Takes over what is known now.
+    /// Updates the metrics to the current values.
     pub(crate) fn refresh(&self) {
-        let (limited, sends) = self.desk.counts();
-        let questions: usize = self.clients.iter().map(LimitClient::open_questions).sum();
+        let (limited, sends) = self.throttle.counts();
+        let pending_requests: usize = self.clients.iter().map(LimitClient::pending_requests).sum();
         let set = |gauge: &Gauge, count| gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
-        set(&self.limited, limited);
-        set(&self.resting, self.desk.backing_off());
-        set(&self.leaving, self.leaving_desk.count());
-        set(&self.questions, questions);
-        self.sends.inner().store(sends, std::sync::atomic::Ordering::Relaxed);
+        set(&self.limited_backends, limited);
+        set(&self.backing_off, self.throttle.backing_off());
+        set(&self.leaving, self.leaving_tracker.count());
+        set(&self.pending_requests, pending_requests);
+        self.limited_sends.inner().store(sends, std::sync::atomic::Ordering::Relaxed);
     }
 }
--- a/crates/dillspool_routerd/tests/scarce_servers.rs
+++ b/crates/dillspool_routerd/tests/scarce_servers.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use dillspool_io::LinkMode;
-use dillspool_scheduler::CallTerms;
+use dillspool_scheduler::CallSchedulerSettings;
 use dillspool_site_standin::{PlainCapacity, StandinKind, StoreMode};
 use fleet::{CallerReply, FleetOptions, RestartIdentity, TestFleet};
 
@@ -83,7 +83,7 @@
 }
 
 async fn run_case(slots_per_host: f64, fault: InjectedFault) -> LeavingRun {
-    let calls = CallTerms { slots_per_host, ..CallTerms::default() };
+    let calls = CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() };
     let options = FleetOptions { calls, plain_capacity: Some(CAPACITY) };
     let fleet = TestFleet::start_with(HOSTS, RestartIdentity::NewId, &options).await;
     let fleet = &fleet;
