--- a/crates/dillspool_routerd/src/main.rs
+++ b/crates/dillspool_routerd/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::Parser;
 use dillspool_io::{HostClock, NetStack};
-use dillspool_log::{LineForm, LogSetup, set_up_log};
+use dillspool_log::{LineFormat, LogSetup, set_up_log};
 use dillspool_router::{RouterConfig, RouterDaemon, SettingsWatch, load_settings};
 use dillspool_routerd::prepared_platform;
 use tokio::signal::unix::{SignalKind, signal};
@@ -57,8 +57,9 @@
         return Ok(());
     }
     let host = std::sync::Arc::clone(&config.host);
-    let log_drain = set_up_log(LogSetup { host, level: config.log_level, form: LineForm::Text })
-        .map_err(|error| error.to_string())?;
+    let log_drain =
+        set_up_log(LogSetup { host, level: config.log_level, format: LineFormat::Text })
+            .map_err(|error| error.to_string())?;
     // A host gets a fraction of one core, so more threads would only add wake-ups.
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|error| {
