--- a/crates/dillspool_bench/src/policy.rs
+++ b/crates/dillspool_bench/src/policy.rs
@@ -9,7 +9,7 @@
 use dillspool_config::ConfigSnapshot;
 use dillspool_engine::{EngineClient, LoadReport};
 use dillspool_entry::{PlacementClient, ReserveReply};
-use dillspool_host::DeskChoice;
+use dillspool_host::PlacementOverride;
 use dillspool_schema::Name;
 use dillspool_schema::configuration::{BackendEntry, BackendRole};
 use dillspool_schema::messages::{PlacementGrant, ReserveAnswer, ReserveMessage};
@@ -52,12 +52,12 @@
     }
 
     /// The desk that replaces the scheduler, `None` for the scheduler itself.
-    pub(crate) fn desk(self, seed: u64) -> Option<DeskChoice> {
+    pub(crate) fn desk(self, seed: u64) -> Option<PlacementOverride> {
         if self == Self::Scheduler {
             return None;
         }
         let build = move |config, engines| baseline_desk(self, seed, config, engines);
-        Some(DeskChoice { build: Arc::new(build) })
+        Some(PlacementOverride { build: Arc::new(build) })
     }
 }
 
--- a/crates/dillspool_host/src/daemon.rs
+++ b/crates/dillspool_host/src/daemon.rs
@@ -15,7 +15,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::admin::operators_handler;
-use crate::desk::DeskChoice;
+use crate::desk::PlacementOverride;
 use crate::directory::PoolDirectory;
 use crate::parts::HostParts;
 
@@ -55,7 +55,7 @@
     /// Seed of the jitter of periodic work.
     pub seed: u64,
     /// Another way to place requests than the pool's scheduler, for comparisons.
-    pub desk: Option<DeskChoice>,
+    pub placement_override: Option<PlacementOverride>,
 }
 
 /// Addresses that a host listens on, with the ports that the system chose.
@@ -170,7 +170,7 @@
     }
 
     /// Waits until an operator asks for a drain.
-    pub async fn drain_asked(&self) {
+    pub async fn drain_requested(&self) {
         self.drain.cancelled().await;
     }
 
--- a/crates/dillspool_host/src/desk.rs
+++ b/crates/dillspool_host/src/desk.rs
@@ -24,7 +24,7 @@
 
 /// Another way to place requests, built from the configuration and the engines' client.
 #[derive(Clone)]
-pub struct DeskChoice {
+pub struct PlacementOverride {
     /// Builds the desk of a host.
     pub build: Arc<DeskBuilder>,
 }
@@ -33,7 +33,7 @@
     + Send
     + Sync;
 
-impl fmt::Debug for DeskChoice {
+impl fmt::Debug for PlacementOverride {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("DeskChoice")
     }
--- a/crates/dillspool_host/src/lib.rs
+++ b/crates/dillspool_host/src/lib.rs
@@ -20,4 +20,4 @@
     AdminProblem, ApplyReply, ApplyRequest, ConfigReply, HostLine, PoolLine, StatusReply,
 };
 pub use daemon::{DaemonError, HostDaemon, HostEnvironment, ListenAddresses};
-pub use desk::DeskChoice;
+pub use desk::PlacementOverride;
--- a/crates/dillspool_host/src/parts.rs
+++ b/crates/dillspool_host/src/parts.rs
@@ -126,7 +126,7 @@
     }
 
     fn placement_desk(&self) -> PlacementClient {
-        match &self.environment.desk {
+        match &self.environment.placement_override {
             Some(choice) => (choice.build)(self.keeper.subscribe(), self.engines.clone()),
             None => placement_desk(self.view.clone(), self.links.clone(), self.directory.clone()),
         }
--- a/crates/dillspool_local/src/cluster.rs
+++ b/crates/dillspool_local/src/cluster.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use dillspool_config::AuditRow;
 use dillspool_host::{
-    ApplyRequest, ConfigReply, DeskChoice, HostDaemon, HostEnvironment, StatusReply,
+    ApplyRequest, ConfigReply, HostDaemon, HostEnvironment, PlacementOverride, StatusReply,
 };
 use dillspool_io::{HostClock, HttpClient, MemoryNet, NetStack, UnixMillis, WallClock, read_body};
 use dillspool_keys::hash_key;
@@ -94,7 +94,7 @@
     /// The configuration with the addresses that the stand-ins got.
     pub configuration: Configuration,
     /// Another way to place requests, for hosts that are added from now on.
-    pub desk: Option<DeskChoice>,
+    pub desk: Option<PlacementOverride>,
     clock: WallClock,
     failure_domains: Vec<Name>,
     cancel: CancellationToken,
@@ -175,7 +175,7 @@
             clock: self.clock.clone(),
             host_clock: self.net.host_clock(),
             seed: self.nodes.into(),
-            desk: self.desk.clone(),
+            placement_override: self.desk.clone(),
         };
         let daemon = match HostDaemon::start(settings, environment).await {
             Ok(daemon) => daemon,
--- a/crates/dillspoold/src/main.rs
+++ b/crates/dillspoold/src/main.rs
@@ -89,8 +89,13 @@
     // Hosts that start together differ by their names and start times.
     let seed = clock.now().0 ^ u64::from(std::process::id());
     let host_clock = HostClock::boot();
-    let environment =
-        HostEnvironment { stack: NetStack::tcp(), clock, host_clock, seed, desk: None };
+    let environment = HostEnvironment {
+        stack: NetStack::tcp(),
+        clock,
+        host_clock,
+        seed,
+        placement_override: None,
+    };
     let daemon =
         HostDaemon::start(settings, environment).await.map_err(|error| error.to_string())?;
     print_addresses(&daemon)
@@ -114,7 +119,7 @@
     tokio::select! {
         _ = terminate.recv() => {}
         interrupted = tokio::signal::ctrl_c() => interrupted?,
-        () = daemon.drain_asked() => {}
+        () = daemon.drain_requested() => {}
     }
     Ok(())
 }
