--- a/crates/dillspool_metrics/src/labels.rs
+++ b/crates/dillspool_metrics/src/labels.rs
@@ -1,13 +1,13 @@
-//! Labels of a metric, from names and values.
+//! Encodes the labels of a metric from names and values.
 
 use std::borrow::Cow;
 use std::fmt::{self, Write};
 
 use prometheus_client::encoding::LabelSetEncoder;
 
-/// Writes labels in their order, with what the text form reserves escaped.
+/// Writes labels in the given order and escapes their values for the text format.
 ///
-/// The encoder passes values on as they are, and names of routes come from the operators.
+/// The encoder doesn't escape values, and some come from operators, such as the names of routes.
 ///
 /// # Errors
 ///
@@ -21,14 +21,14 @@
         let mut name_encoder = label.encode_label_key()?;
         name_encoder.write_str(name)?;
         let mut value_encoder = name_encoder.encode_label_value()?;
-        value_encoder.write_str(&escaped(value))?;
+        value_encoder.write_str(&escape_value(value))?;
         value_encoder.finish()?;
     }
     Ok(())
 }
 
-/// Escapes as the text form asks for (`OpenMetrics` 1.0, ABNF of `escaped-string`).
-fn escaped(value: &str) -> Cow<'_, str> {
+/// Escapes a label value as the text format requires (`OpenMetrics` 1.0, ABNF of `escaped-string`).
+fn escape_value(value: &str) -> Cow<'_, str> {
     if !value.contains(['\\', '"', '\n']) {
         return Cow::Borrowed(value);
     }
--- a/crates/dillspool_metrics/src/lib.rs
+++ b/crates/dillspool_metrics/src/lib.rs
@@ -1,4 +1,4 @@
-//! What all daemons need to show metrics: labels and the page in the text form of Prometheus.
+//! Metrics exposition shared by all daemons: labels and the scrape response, in `OpenMetrics` text format.
 
 mod exposition;
 mod labels;
--- a/crates/dillspool_metrics/tests/exposition.rs
+++ b/crates/dillspool_metrics/tests/exposition.rs
@@ -1,4 +1,4 @@
-//! Labels and the page of metrics.
+//! Encoding of labels and the response to a scrape.
 
 use dillspool_metrics::{metrics_response, metrics_text, write_labels};
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn labels_stand_in_their_order_and_are_escaped() {
+fn labels_keep_their_order_and_are_escaped() {
     let cases = [
         LabelCase { pairs: vec![], line: "dillspool_seen_total{} 1" },
         LabelCase { pairs: vec![("a", "1")], line: "dillspool_seen_total{a=\"1\"} 1" },
