--- a/crates/dillspool_keys/tests/keys.rs
+++ b/crates/dillspool_keys/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys are compared by their hashes and never shown.
+//! Keys are compared by their hashes and never printed.
 
 use dillspool_keys::{CallerKey, KeyDigest, PresentedKey, hash_key};
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn bearer_values_are_taken_apart() {
+fn bearer_values_are_parsed() {
     let cases = [
         BearerCase { value: "Bearer k", key: Some("k") },
         BearerCase { value: "Bearer  k ", key: Some("k") },
@@ -29,15 +29,15 @@
 }
 
 #[test]
-fn a_key_matches_its_own_hash_alone() {
+fn a_key_matches_only_its_own_hash() {
     let key = CallerKey::new("secret").expect("a key");
     let case = |name, stored: &str, matches| MatchCase { name, stored: stored.to_owned(), matches };
     let cases = [
-        case("its own", &hash_key("secret"), true),
-        case("another key's", &hash_key("secret2"), false),
-        case("the key itself", "secret", false),
-        case("a part of it", &hash_key("secret")[..32], false),
-        case("nothing", "", false),
+        case("own hash", &hash_key("secret"), true),
+        case("hash of another key", &hash_key("secret2"), false),
+        case("the plain key", "secret", false),
+        case("truncated hash", &hash_key("secret")[..32], false),
+        case("empty", "", false),
     ];
     for case in cases {
         assert_eq!(key.matches(&case.stored), case.matches, "{}", case.name);
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn nothing_shows_a_key() {
+fn debug_output_contains_no_key() {
     let key = CallerKey::new("secret").expect("a key");
     let presented = PresentedKey::One(key);
     let hash = hash_key("secret");
-    for shown in [format!("{key:?}"), format!("{presented:?}"), format!("{:?}", key.digest())] {
-        assert!(!shown.contains("secret") && !shown.contains(&hash[..8]), "{shown}");
+    for output in [format!("{key:?}"), format!("{presented:?}"), format!("{:?}", key.digest())] {
+        assert!(!output.contains("secret") && !output.contains(&hash[..8]), "{output}");
     }
 }
