--- a/crates/dillspool_engine/src/client.rs
+++ b/crates/dillspool_engine/src/client.rs
@@ -1,4 +1,4 @@
-//! One client for all engines.
+//! The HTTP client that calls engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,14 +21,14 @@
 };
 use crate::tokens::TokenStream;
 
-/// Longest refusal text that is read, in bytes.
-const REFUSAL_LIMIT: usize = 64 * 1024;
-/// Time for a look at an engine's process; a machine that answers does so within a round trip.
-const LOOK_LIMIT: Duration = Duration::from_millis(300);
-/// Time for a call that an engine answers at once.
-const SHORT_CALL: Duration = Duration::from_secs(2);
+/// Maximum length of an error response body.
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1024;
+/// Timeout of a connection probe. A reachable host answers within one round trip.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of calls that an engine answers without computing.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls engines by address.
+/// Calls engines by address over a shared connection pool.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: HttpClient,
@@ -36,18 +36,19 @@
 }
 
 impl EngineClient {
-    /// A client over a network.
+    /// Creates a client that connects through a network stack.
     pub fn new(stack: &NetStack) -> Self {
         Self { http: HttpClient::pooled(stack), stack: stack.clone() }
     }
 
-    /// Whether nobody listens at an engine's address; one that is cut off or silent may live on.
+    /// Whether connections to an engine's address are refused, that is, no process listens there. An engine that is
+    /// partitioned or doesn't respond may still be running.
     ///
-    /// Boxed, since it is rare and would make each answer's future larger.
+    /// Boxed because it is rarely called and would enlarge the future of every response.
     pub fn refuses_connections(&self, engine: SocketAddr) -> BoxFuture<bool> {
         let stack = self.stack.clone();
         Box::pin(async move {
-            probe_connect(&stack, engine, LOOK_LIMIT).await == ConnectOutcome::Refused
+            probe_connect(&stack, engine, PROBE_TIMEOUT).await == ConnectOutcome::Refused
         })
     }
 
@@ -55,111 +56,111 @@
     ///
     /// # Errors
     ///
-    /// [`EngineError`] by what the caller can do next.
+    /// [`EngineError`], whose variants tell the caller what to do next.
     pub async fn prefill(
         &self,
         engine: SocketAddr,
         request: &PrefillRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<PrefillReply, EngineError> {
-        Ok(self.http.call(Method::POST, engine, "/prefill", request, limit).await?)
+        Ok(self.http.call(Method::POST, engine, "/prefill", request, timeout).await?)
     }
 
-    /// Imports a KV cache and opens the stream of tokens.
+    /// Imports a KV cache and opens its token stream.
     ///
     /// # Errors
     ///
-    /// [`EngineError::Refused`] when there is no slot or the KV cache is gone.
+    /// [`EngineError::Refused`] when there is no free slot or the KV cache no longer exists.
     pub async fn decode(
         &self,
         engine: SocketAddr,
         request: &DecodeRequest,
-        import_limit: Duration,
-        stall_limit: Duration,
+        import_timeout: Duration,
+        stall_timeout: Duration,
     ) -> Result<TokenStream, EngineError> {
-        let body = self.open(engine, "/decode", request, import_limit).await?;
-        Ok(TokenStream::new(request.stream.clone(), body, request.from, stall_limit))
+        let body = self.open_stream(engine, "/decode", request, import_timeout).await?;
+        Ok(TokenStream::new(request.stream.clone(), body, request.from, stall_timeout))
     }
 
-    /// Opens the rest of a stream that still runs on the engine.
+    /// Reopens a stream that still runs on the engine, starting at token `from`.
     ///
     /// # Errors
     ///
-    /// [`EngineError::Refused`] when the engine does not hold the stream any more.
+    /// [`EngineError::Refused`] when the engine no longer holds the stream.
     pub async fn resume(
         &self,
         engine: SocketAddr,
         stream: &StreamId,
         from: u64,
-        stall_limit: Duration,
+        stall_timeout: Duration,
     ) -> Result<TokenStream, EngineError> {
         let request = ResumeRequest { stream: stream.clone(), from };
-        let body = self.open(engine, "/resume", &request, SHORT_CALL).await?;
-        Ok(TokenStream::new(stream.clone(), body, from, stall_limit))
+        let body = self.open_stream(engine, "/resume", &request, SHORT_CALL_TIMEOUT).await?;
+        Ok(TokenStream::new(stream.clone(), body, from, stall_timeout))
     }
 
-    async fn open<Q: Serialize>(
+    async fn open_stream<T: Serialize>(
         &self,
         engine: SocketAddr,
         path: &str,
-        query: &Q,
-        limit: Duration,
+        body: &T,
+        timeout: Duration,
     ) -> Result<hyper::body::Incoming, EngineError> {
         let lost = |reason: String| HttpError::Lost { address: engine, reason };
-        let body = serde_json::to_vec(query).map_err(|error| lost(error.to_string()))?;
+        let body = serde_json::to_vec(body).map_err(|error| lost(error.to_string()))?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(path)
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| lost(error.to_string()))?;
-        let response = match tokio::time::timeout(limit, self.http.send(engine, request)).await {
+        let response = match tokio::time::timeout(timeout, self.http.send(engine, request)).await {
             Ok(response) => response?,
-            Err(_elapsed) => return Err(lost(format!("no reply within {limit:?}")).into()),
+            Err(_elapsed) => return Err(lost(format!("no response within {timeout:?}")).into()),
         };
         let status = response.status();
         if status.is_success() {
             return Ok(response.into_body());
         }
-        let text = read_body(response.into_body(), REFUSAL_LIMIT)
+        let text = read_body(response.into_body(), MAX_ERROR_BODY_BYTES)
             .await
             .map_err(|error| lost(error.to_string()))?;
         let text = String::from_utf8_lossy(&text).into_owned();
         Err(HttpError::Status { address: engine, status, text }.into())
     }
 
-    /// Frees whatever the engine holds of a stream; harmless when it holds nothing.
+    /// Ends a stream and frees its memory on the engine. Idempotent; it has no effect when the engine holds nothing.
     ///
     /// # Errors
     ///
-    /// [`EngineError`] when the engine did not confirm.
+    /// [`EngineError`] when the engine did not confirm the call.
     pub async fn cancel(
         &self,
         engine: SocketAddr,
         stream: &StreamId,
     ) -> Result<CancelReply, EngineError> {
         let request = CancelRequest { stream: stream.clone() };
-        Ok(self.http.call(Method::POST, engine, "/cancel", &request, SHORT_CALL).await?)
+        Ok(self.http.call(Method::POST, engine, "/cancel", &request, SHORT_CALL_TIMEOUT).await?)
     }
 
-    /// Lists the streams that hold memory.
+    /// Lists the streams that hold memory on the engine.
     ///
     /// # Errors
     ///
     /// [`EngineError`] when the engine does not answer.
     pub async fn list(&self, engine: SocketAddr) -> Result<StreamListing, EngineError> {
-        Ok(self.http.call(Method::POST, engine, "/streams", &(), SHORT_CALL).await?)
+        Ok(self.http.call(Method::POST, engine, "/streams", &(), SHORT_CALL_TIMEOUT).await?)
     }
 
-    /// Reads the engine's lagging load report.
+    /// Reads the engine's load report, which lags behind its current load.
     ///
     /// # Errors
     ///
     /// [`EngineError`] when the engine does not answer.
     pub async fn load(&self, engine: SocketAddr) -> Result<LoadReport, EngineError> {
-        Ok(self.http.call(Method::POST, engine, "/load", &(), SHORT_CALL).await?)
+        Ok(self.http.call(Method::POST, engine, "/load", &(), SHORT_CALL_TIMEOUT).await?)
     }
 
-    /// Reads cache events after a number.
+    /// Reads the cache events that follow an event number.
     ///
     /// # Errors
     ///
@@ -169,28 +170,31 @@
         engine: SocketAddr,
         after: u64,
     ) -> Result<CacheEvents, EngineError> {
-        Ok(self.http.call(Method::POST, engine, "/cache-events", &after, SHORT_CALL).await?)
+        Ok(self
+            .http
+            .call(Method::POST, engine, "/cache-events", &after, SHORT_CALL_TIMEOUT)
+            .await?)
     }
 
-    /// Gives a fenced order.
+    /// Sends an order that carries a fencing epoch.
     ///
     /// # Errors
     ///
-    /// [`EngineError::Interrupted`] when the order may have been carried out.
+    /// [`EngineError::Interrupted`] when the order may have been executed.
     pub async fn order(
         &self,
         engine: SocketAddr,
         order: &FencedOrder,
     ) -> Result<OrderReply, EngineError> {
-        Ok(self.http.call(Method::POST, engine, "/order", order, SHORT_CALL).await?)
+        Ok(self.http.call(Method::POST, engine, "/order", order, SHORT_CALL_TIMEOUT).await?)
     }
 
-    /// Reads which order an engine carried out last.
+    /// Reads the order that an engine executed last.
     ///
     /// # Errors
     ///
     /// [`EngineError`] when the engine does not answer.
     pub async fn last_order(&self, engine: SocketAddr) -> Result<OrderReply, EngineError> {
-        Ok(self.http.call(Method::POST, engine, "/last-order", &(), SHORT_CALL).await?)
+        Ok(self.http.call(Method::POST, engine, "/last-order", &(), SHORT_CALL_TIMEOUT).await?)
     }
 }
--- a/crates/dillspool_engine/src/error.rs
+++ b/crates/dillspool_engine/src/error.rs
@@ -1,43 +1,45 @@
-//! How a call to an engine fails.
+//! Errors of engine calls.
 
 use dillspool_io::HttpError;
 use hyper::StatusCode;
 use snafu::Snafu;
 
-/// A failed engine call, by what the caller can do next.
+/// A failed engine call, classified by what the caller can do next.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EngineError {
-    /// The engine has no room or does not hold what was asked for; ask another.
-    #[snafu(display("the engine refused: {text}; place the request on another engine"))]
+    /// The engine has no capacity or doesn't hold the requested data; try another engine.
+    #[snafu(display("the engine refused the request: {text}; place it on another engine"))]
     Refused {
-        /// What the engine said.
+        /// Body of the engine's response.
         text: String,
     },
     /// The engine cannot be reached.
-    #[snafu(display("the engine is out of reach: {reason}; place the request on another engine"))]
+    #[snafu(display("the engine is unreachable: {reason}; place the request on another engine"))]
     Unreachable {
-        /// What the connection met.
+        /// Why the connection failed.
         reason: String,
     },
-    /// The call or stream broke off, and the engine may still hold memory for it.
-    #[snafu(display("the engine's answer broke off: {reason}; resume or cancel the stream"))]
+    /// The call or stream was interrupted or failed in the engine, which may still hold memory for it.
+    #[snafu(display(
+        "the engine's response was interrupted: {reason}; resume or cancel the stream"
+    ))]
     Interrupted {
-        /// What broke off.
+        /// What interrupted the response.
         reason: String,
     },
-    /// The stream is open but gives no tokens; the engine still holds memory for it.
+    /// The stream is open but delivers no tokens; the engine still holds memory for it.
     #[snafu(display(
-        "the engine's stream stalled: no token within {limit:?}; cancel it and go on elsewhere"
+        "the engine's stream stalled: no token within {limit:?}; cancel it and continue on another engine"
     ))]
     Stalled {
-        /// Longest silence that was allowed.
+        /// Maximum time between tokens.
         limit: std::time::Duration,
     },
-    /// The engine sent something that belongs to another request or to no protocol.
-    #[snafu(display("the engine sent a wrong answer: {reason}; the stream is given up"))]
+    /// The engine sent data that belongs to another request or violates the protocol.
+    #[snafu(display("the engine sent an invalid response: {reason}; the stream is abandoned"))]
     InvalidResponse {
-        /// What was wrong.
+        /// Which check failed.
         reason: String,
     },
 }
--- a/crates/dillspool_engine/src/lib.rs
+++ b/crates/dillspool_engine/src/lib.rs
@@ -1,6 +1,6 @@
-//! Calls to model engines: prefill, decode, resume, cancel, list and fenced orders.
+//! Client of model engines: prefill, decode, resume, cancel, list and fenced orders.
 //!
-//! All that the system knows of an engine's protocol stands here. See `docs/design/engines.md`.
+//! The only crate that implements an engine's protocol. See `docs/design/engines.md`.
 
 mod client;
 mod error;
--- a/crates/dillspool_engine/src/lines.rs
+++ b/crates/dillspool_engine/src/lines.rs
@@ -2,10 +2,10 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest line that is taken, in bytes.
-const LINE_LIMIT: usize = 256 * 1024;
+/// Maximum length of a line.
+const MAX_LINE_BYTES: usize = 256 * 1024;
 
-/// Collects chunks and gives out whole lines.
+/// Buffers chunks and returns complete lines.
 #[derive(Debug, Default)]
 pub struct LineBuffer {
     bytes: BytesMut,
@@ -13,14 +13,15 @@
 }
 
 impl LineBuffer {
-    /// Adds a chunk; `false` when a line grows past the limit and the stream must be given up.
+    /// Appends a chunk. Returns `false` if a line exceeds the maximum length, in which case the caller
+    /// must abandon the stream.
     #[must_use]
     pub fn push(&mut self, chunk: &Bytes) -> bool {
         self.bytes.extend_from_slice(chunk);
-        self.bytes.len() <= LINE_LIMIT || self.bytes[self.scanned..].contains(&b'\n')
+        self.bytes.len() <= MAX_LINE_BYTES || self.bytes[self.scanned..].contains(&b'\n')
     }
 
-    /// The next whole line, without its end.
+    /// Removes and returns the next complete line, without its newline.
     pub fn next_line(&mut self) -> Option<Bytes> {
         let found = self.bytes[self.scanned..].iter().position(|byte| *byte == b'\n');
         let Some(offset) = found else {
--- a/crates/dillspool_engine/src/protocol.rs
+++ b/crates/dillspool_engine/src/protocol.rs
@@ -1,48 +1,48 @@
-//! Small bodies of the engines' interface that are not in the schema of messages.
+//! Request and response bodies of the engine API that are not part of the message schema.
 
 use dillspool_schema::{Name, StreamId};
 use serde::{Deserialize, Serialize};
 
-/// Asks for the rest of a stream.
+/// Request to reopen a stream.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ResumeRequest {
-    /// The stream.
+    /// Identifier of the stream.
     pub stream: StreamId,
-    /// Index of the first token that is wanted.
+    /// Index of the first token to send.
     pub from: u64,
 }
 
-/// Ends a stream and frees all memory that it holds.
+/// Request to end a stream and free all memory that it holds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct CancelRequest {
-    /// The stream.
+    /// Identifier of the stream.
     pub stream: StreamId,
 }
 
-/// Whether there was something to cancel.
+/// Response to a [`CancelRequest`].
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct CancelReply {
-    /// The engine held something of the stream.
+    /// Whether the engine held memory of the stream.
     pub found: bool,
 }
 
-/// An engine's load some time ago.
+/// Load of an engine, which lags behind its current load.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct LoadReport {
-    /// Streams that ran.
+    /// Number of running streams.
     pub running: u32,
-    /// Prefills that waited.
+    /// Number of queued prefills.
     pub waiting: u32,
 }
 
-/// What an order met.
+/// Response to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct OrderReply {
-    /// Epoch that the engine holds now.
+    /// Current epoch of the engine.
     pub epoch: u64,
-    /// Token of the order that set it.
+    /// Token of the order that set the epoch.
     pub token: Name,
-    /// Why the order was not carried out, if it was not.
+    /// Why the order was not executed; `None` if it was.
     pub refusal: Option<OrderRefusal>,
 }
 
@@ -50,32 +50,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderRefusal {
-    /// A newer epoch was there already.
+    /// The engine has already seen a newer epoch.
     OldEpoch,
 }
 
-/// What happened to a cached prefix.
+/// Kind of change to a prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEventKind {
-    /// The prefix is kept.
+    /// The prefix was added to the cache.
     Stored,
-    /// The prefix was dropped.
+    /// The prefix was removed from the cache.
     Removed,
 }
 
 /// One event of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct CacheEvent {
-    /// Number of the event; a gap means that events were lost.
+    /// Sequence number of the event; a gap means that events were lost.
     pub number: u64,
-    /// What happened.
+    /// Kind of change.
     pub kind: CacheEventKind,
     /// Hash of the prefix.
     pub prefix: u64,
 }
 
-/// Events after a number.
+/// Cache events that follow an event number.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct CacheEvents {
     /// The events, oldest first.
--- a/crates/dillspool_engine/src/tokens.rs
+++ b/crates/dillspool_engine/src/tokens.rs
@@ -1,4 +1,4 @@
-//! The token events of one decode stream.
+//! Token events of a decode stream.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use crate::error::{InterruptedSnafu, InvalidResponseSnafu, StalledSnafu};
 use crate::lines::LineBuffer;
 
-/// Reads token events, checking that each belongs to the stream and comes in order.
+/// Reads token events and checks that each belongs to the stream and arrives in order.
 #[derive(Debug)]
 pub struct TokenStream {
     stream: StreamId,
     body: Incoming,
     lines: LineBuffer,
     next_index: u64,
-    stall_limit: Duration,
+    stall_timeout: Duration,
 }
 
 impl TokenStream {
@@ -26,27 +26,27 @@
         stream: StreamId,
         body: Incoming,
         next_index: u64,
-        stall_limit: Duration,
+        stall_timeout: Duration,
     ) -> Self {
-        Self { stream, body, lines: LineBuffer::default(), next_index, stall_limit }
+        Self { stream, body, lines: LineBuffer::default(), next_index, stall_timeout }
     }
 
-    /// Waits for the next event; the closing event carries `finish`.
+    /// Waits for the next event. The last event of a stream has `finish` set.
     ///
     /// # Errors
     ///
-    /// [`EngineError::Interrupted`] when the stream ends early or stalls, [`EngineError::InvalidResponse`]
-    /// when an event belongs to another stream or index.
+    /// [`EngineError::Interrupted`] when the stream ends early, [`EngineError::Stalled`] when no data arrives in
+    /// time, [`EngineError::InvalidResponse`] when an event is malformed, out of order or of another stream.
     pub async fn next(&mut self) -> Result<TokenEvent, EngineError> {
         loop {
             while let Some(line) = self.lines.next_line() {
                 if !line.is_empty() {
-                    return self.check(&line);
+                    return self.parse_event(&line);
                 }
             }
-            let frame = match tokio::time::timeout(self.stall_limit, self.body.frame()).await {
+            let frame = match tokio::time::timeout(self.stall_timeout, self.body.frame()).await {
                 Err(_elapsed) => {
-                    let limit = self.stall_limit;
+                    let limit = self.stall_timeout;
                     return StalledSnafu { limit }.fail();
                 }
                 Ok(None) => {
@@ -61,12 +61,12 @@
                 continue;
             };
             if !self.lines.push(chunk) {
-                return InvalidResponseSnafu { reason: "a line without end" }.fail();
+                return InvalidResponseSnafu { reason: "a line exceeds the maximum length" }.fail();
             }
         }
     }
 
-    fn check(&mut self, line: &[u8]) -> Result<TokenEvent, EngineError> {
+    fn parse_event(&mut self, line: &[u8]) -> Result<TokenEvent, EngineError> {
         let event = match serde_json::from_slice::<TokenEvent>(line) {
             Ok(event) => event,
             Err(error) => {
@@ -74,11 +74,12 @@
             }
         };
         if event.stream != self.stream {
-            let reason = format!("event of {} on {}", event.stream, self.stream);
+            let reason = format!("event of stream {} on stream {}", event.stream, self.stream);
             return InvalidResponseSnafu { reason }.fail();
         }
         if event.index != self.next_index {
-            let reason = format!("token {} in place of {}", event.index, self.next_index);
+            let reason =
+                format!("token index {} where {} was expected", event.index, self.next_index);
             return InvalidResponseSnafu { reason }.fail();
         }
         if event.finish.is_none() {
--- a/crates/dillspool_engine/tests/lines.rs
+++ b/crates/dillspool_engine/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Lines from engines: any split of the bytes gives the same lines, and memory is bounded.
+//! Line splitting doesn't depend on chunk boundaries, and its memory is bounded; prefix hashes of prompts.
 
 use bytes::Bytes;
 use dillspool_cases::fixed_cases;
@@ -9,7 +9,7 @@
     #![proptest_config(fixed_cases(512))]
 
     #[test]
-    fn any_split_gives_the_same_lines(text in "[a-c\n]{0,80}", cuts in proptest::collection::vec(1_usize..10, 0..40)) {
+    fn lines_do_not_depend_on_chunk_boundaries(text in "[a-c\n]{0,80}", cuts in proptest::collection::vec(1_usize..10, 0..40)) {
         let mut buffer = LineBuffer::default();
         let mut lines = Vec::new();
         let mut rest = text.as_bytes();
@@ -30,15 +30,15 @@
 }
 
 #[test]
-fn a_line_without_end_is_given_up() {
+fn a_line_over_the_maximum_length_is_rejected() {
     let mut buffer = LineBuffer::default();
     let chunk = Bytes::from(vec![b'x'; 64 * 1024]);
-    let taken = (0..100).take_while(|_| buffer.push(&chunk)).count();
-    assert!(taken < 8, "{taken} chunks of 64 KiB were kept");
+    let accepted = (0..100).take_while(|_| buffer.push(&chunk)).count();
+    assert!(accepted < 8, "{accepted} chunks of 64 KiB were accepted");
 }
 
 #[test]
-fn prompts_share_a_hash_as_far_as_they_share_a_block() {
+fn prompts_with_the_same_first_block_have_the_same_prefix_hash() {
     let shared = "s".repeat(1024);
     assert_eq!(prefix_hash(&format!("{shared}one")), prefix_hash(&format!("{shared}two")));
     assert_ne!(prefix_hash(&shared), prefix_hash(&"t".repeat(1024)));
