--- a/crates/dillspool_host/src/acks.rs
+++ b/crates/dillspool_host/src/acks.rs
@@ -1,6 +1,6 @@
-//! Which configuration each host has in force, as rows of the platform's table.
+//! Rows of the platform's table that record which configuration version each host has active.
 //!
-//! An apply is called accepted once every host of the list has written its row. See
+//! A version counts as accepted once every host of the list has written its row. See
 //! `docs/design/configuration.md`.
 
 use std::collections::BTreeMap;
@@ -10,17 +10,17 @@
 use dillspool_schema::Name;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the rows.
+/// Key prefix of the rows.
 const ACK_PREFIX: &str = "ack/";
-/// Rows read in one scan; more hosts need more pages.
-const PAGE_ROWS: usize = 512;
+/// Rows per scan; with more hosts than that, several pages are read.
+const SCAN_PAGE_ROWS: usize = 512;
 
-/// A host's word that it acts on a version.
+/// A host's acknowledgement that a version is active on it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ConfigAck {
-    /// The version.
+    /// The active version.
     pub version: ConfigVersion,
-    /// Start of the host's process.
+    /// Incarnation of the host: start time of its process.
     pub incarnation: u64,
 }
 
@@ -43,7 +43,7 @@
     let mut acks = BTreeMap::new();
     let mut after: Name = "".into();
     loop {
-        let request = ScanRequest { prefix: ACK_PREFIX.into(), after, limit: PAGE_ROWS };
+        let request = ScanRequest { prefix: ACK_PREFIX.into(), after, limit: SCAN_PAGE_ROWS };
         let reply = (table.scan)(request).await?;
         for scanned in &reply.rows {
             let host = scanned.key.trim_start_matches(ACK_PREFIX);
@@ -52,7 +52,7 @@
             }
         }
         match reply.rows.last() {
-            Some(last) if reply.rows.len() == PAGE_ROWS => after = Name::clone(&last.key),
+            Some(last) if reply.rows.len() == SCAN_PAGE_ROWS => after = Name::clone(&last.key),
             _ => return Ok(acks),
         }
     }
--- a/crates/dillspool_host/src/admin.rs
+++ b/crates/dillspool_host/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface.
+//! HTTP API for operators.
 
 use std::fmt;
 use std::sync::Arc;
@@ -17,34 +17,35 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::acks::read_acks;
-use crate::config_keeper::ConfigKeeper;
-use crate::directory::PoolDirectory;
-use crate::metrics::{HostMetrics, HostReadings};
+use crate::config_replica::ConfigReplica;
+use crate::metrics::{HostMetrics, MetricsSnapshot};
+use crate::scheduler_registry::SchedulerRegistry;
 
-/// Longest configuration text in bytes; the two-year size needs about 2 MB.
-const CONFIG_LIMIT: usize = 16 * 1024 * 1024;
-/// Audit rows in one answer.
-const AUDIT_ROWS: usize = 100;
+/// Maximum size of a configuration; the size planned for two years ahead needs about 2 MB.
+const MAX_CONFIG_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum number of audit rows in one response.
+const MAX_AUDIT_ROWS: usize = 100;
 
 /// A configuration to apply.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ApplyRequest {
-    /// Version that the operator looked at, to lose a race knowingly; `None` to skip the check.
+    /// Version that the change is based on; the apply fails if another one is committed. `None`
+    /// skips the check.
     pub expected: Option<ConfigVersion>,
     /// The TOML text.
     pub text: String,
 }
 
-/// What an apply led to.
+/// Result of an apply.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ApplyReply {
-    /// Version that is committed.
+    /// Committed version.
     pub version: ConfigVersion,
-    /// What changed, a line each.
+    /// The changes, one line each.
     pub changes: Vec<String>,
 }
 
-/// The configuration in force.
+/// The active configuration.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ConfigReply {
     /// Its version.
@@ -55,45 +56,45 @@
     pub configuration: dillspool_schema::configuration::Configuration,
 }
 
-/// One host in the status.
+/// A host in the status.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct HostLine {
     /// Name.
     pub host: Name,
-    /// Whether the platform's list has it.
+    /// Whether the platform's host list contains it.
     pub listed: bool,
-    /// Whether a change must be in force on it to be accepted: it is on the list, answers this
-    /// request, or was heard of of late.
+    /// Whether a change must be active on it to be accepted: it is on the list, it serves this
+    /// request, or it was heard from within the lease time.
     pub counted: bool,
-    /// Version that it acknowledged.
+    /// Version that it has acknowledged.
     pub version: ConfigVersion,
-    /// Whether it drains, as far as this host knows.
+    /// Whether it is draining, as far as this host knows.
     pub draining: bool,
 }
 
-/// One pool in the status.
+/// A pool in the status.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PoolLine {
     /// Name.
     pub pool: Name,
     /// Host that schedules it, as this host sees it.
     pub scheduler: Name,
-    /// Requests waiting at this host's scheduler.
+    /// Requests queued at this host's scheduler.
     pub waiting: usize,
-    /// Slots held at this host's scheduler.
+    /// Slots reserved at this host's scheduler.
     pub held: usize,
 }
 
 /// The state of the system as one host sees it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StatusReply {
-    /// Host that answers.
+    /// Host that serves this request.
     pub host: Name,
-    /// Newest committed version, `None` while the table does not answer.
+    /// Newest committed version, `None` while the table is unreachable.
     pub committed: Option<ConfigVersion>,
-    /// Version in force on this host.
+    /// Version that is active on this host.
     pub in_force: ConfigVersion,
-    /// Whether the platform's list was read of late; without it nothing is called accepted.
+    /// Whether the platform's host list was read recently; no version is accepted without it.
     pub list_fresh: bool,
     /// All hosts.
     pub hosts: Vec<HostLine>,
@@ -102,41 +103,42 @@
 }
 
 impl StatusReply {
-    /// Why a version cannot be called accepted yet: a line for each host that has not confirmed
-    /// it, and one if the list of hosts is not known. Empty once it is accepted.
+    /// Returns why a version is not accepted yet: a line for each host that has not acknowledged it,
+    /// and one if the host list is unknown. Empty once the version is accepted.
     pub fn unconfirmed(&self, version: ConfigVersion) -> Vec<String> {
         let behind = self.hosts.iter().filter(|it| it.counted && it.version < version);
         let mut lines: Vec<String> = behind.map(|it| it.host.to_string()).collect();
         if !self.list_fresh {
-            lines.push("hosts of the platform's list, which cannot be read".to_owned());
+            lines.push("hosts of the platform's host list, which cannot be read".to_owned());
         }
         lines
     }
 }
 
-/// Why an operator's request was not carried out.
+/// Why an operator's request failed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AdminProblem {
-    /// Short cause for machines.
+    /// Short machine-readable cause.
     pub code: Name,
-    /// What happened and what to do.
+    /// What happened and what the operator can do.
     pub message: String,
 }
 
-/// What the operators' listener needs of the host.
+/// State of the host that the operators' API uses.
 #[derive(Clone)]
 pub(crate) struct AdminContext {
-    pub(crate) keeper: ConfigKeeper,
+    pub(crate) config_replica: ConfigReplica,
     pub(crate) table: TableStore,
     pub(crate) view: HostView,
-    pub(crate) directory: PoolDirectory,
+    pub(crate) schedulers: SchedulerRegistry,
     pub(crate) operators: Arc<[OperatorKey]>,
     pub(crate) metrics: Arc<HostMetrics>,
-    pub(crate) readings: Arc<dyn Fn() -> HostReadings + Send + Sync>,
+    pub(crate) snapshot: Arc<dyn Fn() -> MetricsSnapshot + Send + Sync>,
     /// Why the host is not ready, `None` when it is.
     pub(crate) unready_reason: Arc<dyn Fn() -> Option<&'static str> + Send + Sync>,
     /// Cancelled to start a drain.
     pub(crate) drain: CancellationToken,
+    /// Generates a unique token for each attempt to apply a configuration.
     pub(crate) attempt_token: Arc<dyn Fn() -> Name + Send + Sync>,
 }
 
@@ -146,7 +148,7 @@
     }
 }
 
-/// A request that is not carried out, with its status.
+/// The HTTP status and body of a failed request.
 struct AdminRefusal {
     status: StatusCode,
     problem: AdminProblem,
@@ -154,7 +156,7 @@
 
 type AdminResult = Result<Response<ResponseBody>, AdminRefusal>;
 
-/// The handler of the operators' listener.
+/// Returns the HTTP handler of the operators' listener.
 pub(crate) fn operators_handler(context: AdminContext) -> HttpHandler {
     handler(move |request| {
         let context = context.clone();
@@ -208,7 +210,7 @@
 }
 
 fn metrics(context: &AdminContext) -> Response<ResponseBody> {
-    context.metrics.page((context.readings)())
+    context.metrics.page((context.snapshot)())
 }
 
 fn authenticate(context: &AdminContext, request: &Request<Incoming>) -> Result<Name, AdminRefusal> {
@@ -228,7 +230,7 @@
 
 async fn apply(context: &AdminContext, operator: Name, request: Request<Incoming>) -> AdminResult {
     let refuse = |code, message: String| Err(problem(StatusCode::BAD_REQUEST, code, message));
-    let body = match read_body(request.into_body(), CONFIG_LIMIT).await {
+    let body = match read_body(request.into_body(), MAX_CONFIG_BYTES).await {
         Ok(body) => body,
         Err(error) => return refuse("bad_body", error.to_string()),
     };
@@ -241,12 +243,13 @@
         Err(error) => return refuse("invalid_configuration", error.to_string()),
     };
     let token = (context.attempt_token)();
-    // What a restored store has lost is written again first, so that the change gets a version of its own.
-    context.keeper.poll().await;
-    let store = context.keeper.store();
+    // If the store was restored from a copy, its lost record is written again first, so that the
+    // change gets a version of its own.
+    context.config_replica.poll().await;
+    let store = context.config_replica.store();
     match store.apply(request.expected, &configuration, operator, token).await {
         Ok(AppliedConfig { version, changes }) => {
-            context.keeper.poll().await;
+            context.config_replica.poll().await;
             Ok(json(StatusCode::OK, &ApplyReply { version, changes }))
         }
         Err(error) => {
@@ -262,8 +265,8 @@
 }
 
 fn config(context: &AdminContext) -> AdminResult {
-    let Some(snapshot) = context.keeper.current() else {
-        let message = "no configuration was applied yet; apply one with `dillspool apply`";
+    let Some(snapshot) = context.config_replica.current() else {
+        let message = "no configuration has been applied yet; apply one with `dillspool apply`";
         return Err(problem(StatusCode::NOT_FOUND, "not_configured", message));
     };
     let reply = ConfigReply {
@@ -276,20 +279,20 @@
 
 async fn status(context: &AdminContext) -> StatusReply {
     let acks = read_acks(&context.table).await.unwrap_or_default();
-    let newest = context.keeper.store().head().await.ok();
-    let listed = context.view.listed_hosts();
+    let newest = context.config_replica.store().head().await.ok();
+    let host_list = context.view.listed_hosts();
     let peers = context.view.peers();
     let own = context.view.host();
-    let heard = |host: &Name| {
+    let heard_recently = |host: &Name| {
         peers.get(host).is_some_and(|peer| peer.last_heard.elapsed() < dillspool_peer::LEASE_TIME)
     };
-    let known = listed.iter().chain(acks.keys()).chain(peers.keys());
+    let known = host_list.iter().chain(acks.keys()).chain(peers.keys());
     let mut names: Vec<Name> = known.chain([own]).map(Name::clone).collect();
     names.sort();
     names.dedup();
     let host_line = |host: Name| HostLine {
-        listed: listed.contains(&host),
-        counted: listed.contains(&host) || host == *own || heard(&host),
+        listed: host_list.contains(&host),
+        counted: host_list.contains(&host) || host == *own || heard_recently(&host),
         version: acks.get(&host).map_or(ConfigVersion(0), |ack| ack.version),
         draining: peers.get(&host).is_some_and(|peer| peer.draining),
         host,
@@ -302,10 +305,10 @@
     StatusReply {
         host: Name::clone(context.view.host()),
         committed: newest.map(|it| it.map_or(ConfigVersion(0), |head| head.version)),
-        in_force: context.keeper.version(),
+        in_force: context.config_replica.version(),
         list_fresh: context.view.is_list_fresh(),
         hosts: names.into_iter().map(host_line).collect(),
-        pools: context.directory.all().into_iter().map(pool_line).collect(),
+        pools: context.schedulers.all().into_iter().map(pool_line).collect(),
     }
 }
 
@@ -315,7 +318,7 @@
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
     let rows: Result<Vec<AuditRow>, ApplyError> =
-        context.keeper.store().audit(ConfigVersion(after), AUDIT_ROWS).await;
+        context.config_replica.store().audit(ConfigVersion(after), MAX_AUDIT_ROWS).await;
     match rows {
         Ok(rows) => Ok(json(StatusCode::OK, &rows)),
         Err(error) => Err(problem(StatusCode::SERVICE_UNAVAILABLE, "store_down", error)),
--- a/crates/dillspool_host/src/parts.rs
+++ b/crates/dillspool_host/src/components.rs
@@ -1,4 +1,4 @@
-//! The parts of a host that several roles share, and the roles as tasks.
+//! Components that several roles of a host share, and the tasks that run the roles.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,43 +24,44 @@
 use tokio_util::task::TaskTracker;
 
 use crate::admin::AdminContext;
-use crate::alive_rows::AliveRows;
-use crate::config_keeper::{ConfigKeeper, acknowledge_versions};
+use crate::config_replica::{ConfigReplica, acknowledge_versions};
 use crate::daemon::HostEnvironment;
-use crate::desk::placement_desk;
-use crate::directory::PoolDirectory;
+use crate::heartbeat_rows::HeartbeatRows;
 use crate::membership::follow_hosts;
-use crate::metrics::{HostMetrics, HostReadings};
-use crate::upkeep::{report_placements, show_alive, sweep_ledger};
+use crate::metrics::{HostMetrics, MetricsSnapshot};
+use crate::periodic_tasks::{report_placements, sweep_ledger, write_heartbeats};
+use crate::placement_client::placement_client;
+use crate::scheduler_registry::SchedulerRegistry;
 
-/// What a host says that hears nobody.
-const ISOLATED: &str = "this host hears neither its peers nor the platform; use another host";
+/// Why an isolated host rejects requests.
+const ISOLATED_REASON: &str =
+    "this host hears from neither its peers nor the platform; use another host";
 
-/// The parts that several roles share.
+/// Components that several roles share.
 #[derive(Clone)]
-pub(crate) struct HostParts {
+pub(crate) struct HostComponents {
     pub(crate) settings: Arc<HostSettings>,
     pub(crate) environment: HostEnvironment,
     pub(crate) incarnation: u64,
     pub(crate) table: TableStore,
     pub(crate) objects: ObjectStore,
-    pub(crate) list: HostList,
+    pub(crate) host_list: HostList,
     pub(crate) view: HostView,
-    pub(crate) keeper: ConfigKeeper,
+    pub(crate) config_replica: ConfigReplica,
     pub(crate) engines: EngineClient,
-    pub(crate) directory: PoolDirectory,
+    pub(crate) schedulers: SchedulerRegistry,
     pub(crate) suspects: SuspectTracker,
-    pub(crate) registry: PlacementRegistry,
+    pub(crate) placements: PlacementRegistry,
     pub(crate) links: PeerLinks,
-    pub(crate) rows: AliveRows,
+    pub(crate) heartbeat_rows: HeartbeatRows,
     pub(crate) metrics: EntryMetrics,
     pub(crate) tasks: TaskTracker,
-    /// Ends all answers.
-    pub(crate) answers: CancellationToken,
+    /// Cancels all responses.
+    pub(crate) responses: CancellationToken,
     pub(crate) cancel: CancellationToken,
 }
 
-impl HostParts {
+impl HostComponents {
     pub(crate) fn new(
         settings: HostSettings,
         environment: HostEnvironment,
@@ -72,22 +73,22 @@
         let limit = Duration::from_millis(settings.platform.timeout_ms.into());
         let table = TableStore::http(&platform, addresses.table, limit);
         let objects = ObjectStore::http(&platform, addresses.objects, limit);
-        let list = HostList::http(&platform, addresses.hosts, limit);
+        let host_list = HostList::http(&platform, addresses.hosts, limit);
         let store = ConfigStore::new(table.clone(), objects.clone(), environment.clock.clone());
         let host = Name::clone(&settings.host);
         let view = HostView::new(host, Name::clone(&settings.failure_domain), incarnation);
         let engines = EngineClient::new(&environment.stack);
         let suspects =
             SuspectTracker::new(SuspectPolicy::default(), environment.host_clock.clone());
-        let directory = PoolDirectory::new(engines.clone(), suspects.clone(), cancel.clone());
-        let registry = PlacementRegistry::default();
-        let keeper = ConfigKeeper::new(store);
+        let schedulers = SchedulerRegistry::new(engines.clone(), suspects.clone(), cancel.clone());
+        let placements = PlacementRegistry::default();
+        let config_replica = ConfigReplica::new(store);
         let identity = PeerIdentity {
             host: Name::clone(&settings.host),
             incarnation,
             key: settings.keys.peer_key.clone(),
         };
-        let handlers = peer_handlers(&keeper, &directory, &registry, &view);
+        let handlers = peer_handlers(&config_replica, &schedulers, &placements, &view);
         let stack = environment.stack.clone();
         let links =
             PeerLinks::new(stack, identity, handlers, LinkSettings::default(), view.clone());
@@ -95,40 +96,45 @@
             settings: Arc::new(settings),
             environment,
             incarnation,
-            rows: AliveRows::new(table.clone()),
+            heartbeat_rows: HeartbeatRows::new(table.clone()),
             table,
             objects,
-            list,
+            host_list,
             view,
-            keeper,
+            config_replica,
             engines,
-            directory,
+            schedulers,
             suspects,
-            registry,
+            placements,
             links,
             metrics: EntryMetrics::default(),
             tasks: TaskTracker::new(),
-            answers: CancellationToken::new(),
+            responses: CancellationToken::new(),
             cancel,
         }
     }
 
     fn liveness(&self) -> LivenessCheck {
-        let (rows, view, links) = (self.rows.clone(), self.view.clone(), self.links.clone());
-        let choosing = self.view.clone();
+        let (rows, view, links) =
+            (self.heartbeat_rows.clone(), self.view.clone(), self.links.clone());
+        let scheduler_view = self.view.clone();
         LivenessCheck {
             is_dead: Arc::new(move |host, incarnation| {
                 let (rows, view, links) = (rows.clone(), view.clone(), links.clone());
                 Box::pin(async move { rows.is_dead(&view, &links, host, incarnation).await })
             }),
-            is_scheduler: Arc::new(move |pool| choosing.scheduler(pool) == *choosing.host()),
+            is_scheduler: Arc::new(move |pool| {
+                scheduler_view.scheduler(pool) == *scheduler_view.host()
+            }),
         }
     }
 
-    fn placement_desk(&self) -> PlacementClient {
+    fn placement_client(&self) -> PlacementClient {
         match &self.environment.placement_override {
-            Some(choice) => (choice.build)(self.keeper.subscribe(), self.engines.clone()),
-            None => placement_desk(self.view.clone(), self.links.clone(), self.directory.clone()),
+            Some(policy) => (policy.build)(self.config_replica.subscribe(), self.engines.clone()),
+            None => {
+                placement_client(self.view.clone(), self.links.clone(), self.schedulers.clone())
+            }
         }
     }
 
@@ -143,14 +149,14 @@
             owner.into(),
             self.cancel.clone(),
         );
-        let isolated = self.view.clone();
-        let leaving = self.view.clone();
+        let isolation_view = self.view.clone();
+        let leaving_view = self.view.clone();
         EntryContext {
-            config: self.keeper.subscribe(),
+            config: self.config_replica.subscribe(),
             engines: self.engines.clone(),
             plain_client: HttpClient::single_use(&self.environment.stack),
-            placement_client: self.placement_desk(),
-            placements: self.registry.clone(),
+            placement_client: self.placement_client(),
+            placements: self.placements.clone(),
             ledger,
             clock: self.environment.clock.clone(),
             next_backend: Arc::default(),
@@ -163,36 +169,38 @@
             max_body_bytes: usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX),
             body_timeout: Duration::from_millis(limits.body_timeout_ms.into()),
             tasks: self.tasks.clone(),
-            cancel: self.answers.clone(),
+            cancel: self.responses.clone(),
             host_status: HostStatus {
-                closed_reason: Arc::new(move || isolated.is_isolated().then_some(ISOLATED)),
-                is_leaving: Arc::new(move |backend| leaving.is_leaving(backend)),
+                closed_reason: Arc::new(move || {
+                    isolation_view.is_isolated().then_some(ISOLATED_REASON)
+                }),
+                is_leaving: Arc::new(move |backend| leaving_view.is_leaving(backend)),
             },
         }
     }
 
     pub(crate) fn admin_context(&self, drain: &CancellationToken) -> AdminContext {
-        let (view, keeper) = (self.view.clone(), self.keeper.clone());
+        let (view, config_replica) = (self.view.clone(), self.config_replica.clone());
         let unready_reason = move || {
             if view.is_draining() {
-                return Some("the host drains");
+                return Some("the host is draining");
             }
-            if keeper.current().is_none() {
-                return Some("no configuration is in force yet");
+            if config_replica.current().is_none() {
+                return Some("no configuration is active yet");
             }
-            view.is_isolated().then_some(ISOLATED)
+            view.is_isolated().then_some(ISOLATED_REASON)
         };
-        let parts = self.clone();
+        let components = self.clone();
         let attempts = AtomicU64::new(0);
         let owner = format!("{}.{}", self.settings.host, self.incarnation);
         AdminContext {
-            keeper: self.keeper.clone(),
+            config_replica: self.config_replica.clone(),
             table: self.table.clone(),
             view: self.view.clone(),
-            directory: self.directory.clone(),
+            schedulers: self.schedulers.clone(),
             operators: self.settings.keys.operators.clone().into(),
             metrics: Arc::new(HostMetrics::new(&self.metrics)),
-            readings: Arc::new(move || parts.readings()),
+            snapshot: Arc::new(move || components.snapshot()),
             unready_reason: Arc::new(unready_reason),
             drain: drain.clone(),
             attempt_token: Arc::new(move || {
@@ -202,28 +210,28 @@
         }
     }
 
-    fn readings(&self) -> HostReadings {
+    fn snapshot(&self) -> MetricsSnapshot {
         let counts: Vec<_> =
-            self.directory.all().iter().map(dillspool_pool::PoolScheduler::counts).collect();
-        HostReadings {
-            config_version: self.keeper.version().0,
+            self.schedulers.all().iter().map(dillspool_pool::PoolScheduler::counts).collect();
+        MetricsSnapshot {
+            config_version: self.config_replica.version().0,
             control_bytes: self.links.control_bytes(),
             peers_linked: self.view.peers().values().filter(|peer| peer.is_linked).count(),
-            placements: self.registry.len(),
+            placements: self.placements.len(),
             orphans: counts.iter().map(|it| it.orphans).sum(),
             granted: counts.iter().map(|it| it.granted).sum(),
             refused: counts.iter().map(|it| it.refused).sum(),
         }
     }
 
-    /// Follows configuration changes with the schedulers.
+    /// Applies configuration changes to the schedulers.
     async fn follow_config(self) {
         let liveness = self.liveness();
-        let mut versions = self.keeper.subscribe();
+        let mut versions = self.config_replica.subscribe();
         loop {
             let current = versions.borrow_and_update().clone();
             if let Some(snapshot) = current {
-                self.directory.configure(&snapshot, &liveness);
+                self.schedulers.configure(&snapshot, &liveness);
             }
             tokio::select! {
                 changed = versions.changed() => if changed.is_err() { return },
@@ -233,79 +241,84 @@
     }
 
     pub(crate) fn spawn_roles(&self) {
-        let parts = self.clone();
-        tokio::spawn(parts.clone().follow_config());
-        tokio::spawn(parts.keeper.clone().keep(parts.environment.seed, parts.cancel.clone()));
+        let components = self.clone();
+        tokio::spawn(components.clone().follow_config());
+        tokio::spawn(
+            components
+                .config_replica
+                .clone()
+                .run(components.environment.seed, components.cancel.clone()),
+        );
         tokio::spawn(acknowledge_versions(
-            parts.keeper.clone(),
-            parts.table.clone(),
-            Name::clone(&parts.settings.host),
-            parts.incarnation,
-            parts.cancel.clone(),
+            components.config_replica.clone(),
+            components.table.clone(),
+            Name::clone(&components.settings.host),
+            components.incarnation,
+            components.cancel.clone(),
         ));
         tokio::spawn(follow_hosts(
-            parts.list.clone(),
-            parts.view.clone(),
-            parts.links.clone(),
-            parts.directory.clone(),
-            parts.environment.seed,
-            parts.cancel.clone(),
+            components.host_list.clone(),
+            components.view.clone(),
+            components.links.clone(),
+            components.schedulers.clone(),
+            components.environment.seed,
+            components.cancel.clone(),
         ));
         tokio::spawn(report_placements(
-            parts.view.clone(),
-            parts.links.clone(),
-            parts.directory.clone(),
-            parts.registry.clone(),
-            parts.cancel.clone(),
+            components.view.clone(),
+            components.links.clone(),
+            components.schedulers.clone(),
+            components.placements.clone(),
+            components.cancel.clone(),
         ));
-        tokio::spawn(show_alive(
-            parts.rows.clone(),
-            parts.view.clone(),
-            parts.directory.clone(),
-            parts.cancel.clone(),
+        tokio::spawn(write_heartbeats(
+            components.heartbeat_rows.clone(),
+            components.view.clone(),
+            components.schedulers.clone(),
+            components.cancel.clone(),
         ));
         tokio::spawn(sweep_ledger(
-            parts.table.clone(),
-            parts.objects.clone(),
-            parts.environment.clock.clone(),
-            parts.view.clone(),
-            parts.cancel.clone(),
+            components.table.clone(),
+            components.objects.clone(),
+            components.environment.clock.clone(),
+            components.view.clone(),
+            components.cancel.clone(),
         ));
     }
 }
 
 fn peer_handlers(
-    keeper: &ConfigKeeper,
-    directory: &PoolDirectory,
-    registry: &PlacementRegistry,
+    config_replica: &ConfigReplica,
+    schedulers: &SchedulerRegistry,
+    placements: &PlacementRegistry,
     view: &HostView,
 ) -> PeerHandlers {
-    let (reserving, releasing, reporting) =
-        (directory.clone(), directory.clone(), directory.clone());
-    let (registry, pools) = (registry.clone(), directory.clone());
-    let (beating, view) = (keeper.clone(), view.clone());
-    let (giving, taking) = (keeper.clone(), keeper.clone());
+    let (reserve_schedulers, release_schedulers, report_schedulers) =
+        (schedulers.clone(), schedulers.clone(), schedulers.clone());
+    let (placements, report_pools) = (placements.clone(), schedulers.clone());
+    let (heartbeat_config, view) = (config_replica.clone(), view.clone());
+    let (sent_config, received_config) = (config_replica.clone(), config_replica.clone());
     PeerHandlers {
         reserve: Arc::new(move |message| {
-            let pool = reserving.get(&message.pool);
+            let pool = reserve_schedulers.get(&message.pool);
             Box::pin(async move { pool?.reserve(message).await })
         }),
         release: Arc::new(move |message| {
-            if let Some(pool) = releasing.get(&message.pool) {
+            if let Some(pool) = release_schedulers.get(&message.pool) {
                 pool.release(&message);
             }
         }),
         report: Arc::new(move |host, incarnation, report| {
-            if let Some(pool) = reporting.get(&report.pool) {
+            if let Some(pool) = report_schedulers.get(&report.pool) {
                 pool.apply_report(host, incarnation, &report);
             }
         }),
-        placements: Arc::new(move || registry.reports(&pools.names())),
+        placements: Arc::new(move || placements.reports(&report_pools.names())),
         heartbeat: Arc::new(move || HeartbeatMessage {
-            config: beating.version().0,
+            config: heartbeat_config.version().0,
             draining: view.is_draining(),
         }),
-        config: Arc::new(move |query| giving.transfer(&query)),
-        apply_config: Arc::new(move |transfer| taking.take_transfer(&transfer)),
+        config: Arc::new(move |query| sent_config.transfer(&query)),
+        apply_config: Arc::new(move |transfer| received_config.apply_transfer(&transfer)),
     }
 }
--- a/crates/dillspool_host/src/config_keeper.rs
+++ b/crates/dillspool_host/src/config_replica.rs
@@ -1,4 +1,4 @@
-//! Keeps the newest configuration in force on this host; it never goes back.
+//! This host's replica of the newest configuration; its version never decreases.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -15,27 +15,27 @@
 
 use crate::acks::{ConfigAck, write_ack};
 
-/// Time between two reads of the commit record; a change is in force well within 4 s.
+/// Interval between reads of the commit record; a change is active well within 4 s.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Random part of the interval, so that many hosts do not read at once.
+/// Maximum jitter added to the interval, so that hosts do not all read at once.
 const POLL_JITTER: Duration = Duration::from_millis(250);
 
-/// The last change, for peers that stand at its base.
+/// The last change, sent to peers whose version is its base.
 #[derive(Clone, Debug)]
 struct LastChange {
     base: ConfigVersion,
     body: Name,
 }
 
-/// The configuration in force and the way to newer ones.
+/// The active configuration, with the store from which newer ones are read.
 #[derive(Clone, Debug)]
-pub(crate) struct ConfigKeeper {
+pub(crate) struct ConfigReplica {
     store: ConfigStore,
     current: Arc<watch::Sender<Option<Arc<ConfigSnapshot>>>>,
     last_change: Arc<Mutex<Option<LastChange>>>,
 }
 
-impl ConfigKeeper {
+impl ConfigReplica {
     pub(crate) fn new(store: ConfigStore) -> Self {
         let (current, _) = watch::channel(None);
         Self { store, current: Arc::new(current), last_change: Arc::default() }
@@ -57,28 +57,28 @@
         self.current().map_or(ConfigVersion(0), |snapshot| snapshot.version)
     }
 
-    /// Puts a snapshot in force if it is newer than what is; `false` if it is not.
-    fn adopt(&self, snapshot: ConfigSnapshot) -> bool {
+    /// Activates a snapshot if it is newer than the active one, and returns whether it did.
+    fn activate(&self, snapshot: ConfigSnapshot) -> bool {
         let snapshot = Arc::new(snapshot);
-        let adopted = self.current.send_if_modified(|current| {
-            // A restored store may give one version to two changes; the one that it has counts.
+        let activated = self.current.send_if_modified(|current| {
+            // A restored store may assign the same version to two changes; the one in the store wins.
             let newer = current.as_ref().is_none_or(|it| {
                 it.version < snapshot.version
                     || (it.version == snapshot.version && it.digest != snapshot.digest)
             });
             if newer {
-                self.note_change(current.as_deref(), &snapshot);
+                self.record_change(current.as_deref(), &snapshot);
                 *current = Some(Arc::clone(&snapshot));
             }
             newer
         });
-        if adopted {
+        if activated {
             log::info!("event=config_in_force version={}", snapshot.version);
         }
-        adopted
+        activated
     }
 
-    fn note_change(&self, base: Option<&ConfigSnapshot>, next: &ConfigSnapshot) {
+    fn record_change(&self, base: Option<&ConfigSnapshot>, next: &ConfigSnapshot) {
         let change = base.and_then(|base| {
             let delta = ConfigDelta::between(&base.configuration, &next.configuration);
             let body = serde_json::to_string(&delta).ok()?.into();
@@ -87,8 +87,8 @@
         *self.last_change.lock().unwrap_or_else(PoisonError::into_inner) = change;
     }
 
-    /// Reads the commit record and takes a newer configuration over. A record that is older than what is in force is
-    /// that of a store which came back from a copy; what it has lost is written again.
+    /// Reads the commit record and activates a newer configuration. A record older than the active
+    /// version comes from a store that was restored from a copy; the lost record is written again.
     pub(crate) async fn poll(&self) {
         let head = match self.store.head().await {
             Ok(head) => head,
@@ -106,19 +106,19 @@
                         return;
                     }
                 }
-                Some(_) | None => return self.write_again(current).await,
+                Some(_) | None => return self.restore_record(current).await,
             }
         }
         let Some(head) = head else { return };
         match self.store.fetch(&head, current.as_deref()).await {
             Ok(snapshot) => {
-                self.adopt(snapshot);
+                self.activate(snapshot);
             }
             Err(error) => log::warn!("event=config_not_fetched error=\"{error}\""),
         }
     }
 
-    async fn write_again(&self, current: &ConfigSnapshot) {
+    async fn restore_record(&self, current: &ConfigSnapshot) {
         let version = current.version;
         match self.store.restore(current).await {
             Ok(true) => log::warn!("event=config_written_again version={version}"),
@@ -129,7 +129,7 @@
         }
     }
 
-    /// What a peer at an older version needs, `None` if it needs nothing.
+    /// Returns what a peer at an older version needs, `None` if it is up to date.
     pub(crate) fn transfer(&self, query: &ConfigQuery) -> Option<ConfigTransfer> {
         let current = self.current()?;
         if query.base >= current.version.0 {
@@ -151,20 +151,20 @@
         })
     }
 
-    /// Takes over what a peer sent, if it is newer and leads to the digest it promises.
-    pub(crate) fn take_transfer(&self, transfer: &ConfigTransfer) {
-        let Some(configuration) = self.unpack(transfer) else {
+    /// Activates the configuration that a peer sent, if it is newer and matches its digest.
+    pub(crate) fn apply_transfer(&self, transfer: &ConfigTransfer) {
+        let Some(configuration) = self.decode_transfer(transfer) else {
             return;
         };
         let snapshot = ConfigSnapshot::new(ConfigVersion(transfer.version), configuration);
         if snapshot.digest != transfer.digest {
             log::warn!("event=config_digest_differs version={}", transfer.version);
         } else if snapshot.version > self.version() {
-            self.adopt(snapshot);
+            self.activate(snapshot);
         }
     }
 
-    fn unpack(&self, transfer: &ConfigTransfer) -> Option<Configuration> {
+    fn decode_transfer(&self, transfer: &ConfigTransfer) -> Option<Configuration> {
         if transfer.base == 0 {
             return serde_json::from_str(&transfer.body).ok();
         }
@@ -176,8 +176,8 @@
         Some(delta.apply(&current.configuration))
     }
 
-    /// Polls until `cancel`.
-    pub(crate) async fn keep(self, seed: u64, cancel: CancellationToken) {
+    /// Polls the store until `cancel`.
+    pub(crate) async fn run(self, seed: u64, cancel: CancellationToken) {
         let mut random = SmallRng::seed_from_u64(seed);
         loop {
             self.poll().await;
@@ -190,30 +190,30 @@
     }
 }
 
-/// Pause before an acknowledgement is written again.
+/// Delay before retrying to write an acknowledgement.
 const ACK_RETRY: Duration = Duration::from_millis(500);
 
-/// Writes which version is in force, after each change, until it stands in the table.
+/// Acknowledges each activated version in the table; retries until it is written.
 pub(crate) async fn acknowledge_versions(
-    keeper: ConfigKeeper,
+    config_replica: ConfigReplica,
     table: TableStore,
     host: Name,
     incarnation: u64,
     cancel: CancellationToken,
 ) {
-    let mut versions = keeper.subscribe();
+    let mut versions = config_replica.subscribe();
     let mut written = ConfigVersion(0);
     loop {
-        let version = keeper.version();
+        let version = config_replica.version();
         versions.mark_unchanged();
         let ack = ConfigAck { version, incarnation };
         if version > written && write_ack(&table, &host, &ack).await.is_ok() {
             written = version;
         }
-        let missing = keeper.version() > written;
+        let is_pending = config_replica.version() > written;
         tokio::select! {
-            _changed = versions.changed(), if !missing => {}
-            () = tokio::time::sleep(ACK_RETRY), if missing => {}
+            _changed = versions.changed(), if !is_pending => {}
+            () = tokio::time::sleep(ACK_RETRY), if is_pending => {}
             () = cancel.cancelled() => return,
         }
     }
--- a/crates/dillspool_host/src/daemon.rs
+++ b/crates/dillspool_host/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a host together, and takes them down again.
+//! Starts, drains and stops a host.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -15,46 +15,46 @@
 use tokio_util::task::TaskTracker;
 
 use crate::admin::operators_handler;
-use crate::desk::PlacementOverride;
-use crate::directory::PoolDirectory;
-use crate::parts::HostParts;
+use crate::components::HostComponents;
+use crate::placement_client::PlacementOverride;
+use crate::scheduler_registry::SchedulerRegistry;
 
-/// Time for the platform's balancer to notice that a draining host is not ready.
-const BALANCER_TIME: Duration = Duration::from_secs(5);
-/// Time for answers that outlast the drain to give back what they hold.
-const GIVE_BACK_TIME: Duration = Duration::from_secs(3);
+/// Time for the platform's load balancer to notice that a draining host is not ready.
+const BALANCER_DELAY: Duration = Duration::from_secs(5);
+/// Timeout for responses cancelled at the end of a drain to release what they hold.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why a host does not start.
 #[derive(Debug, Snafu)]
 pub enum DaemonError {
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[snafu(display("{source}"))]
     Settings {
         /// What is wrong, with the remedy.
         source: ConfigError,
     },
-    /// An address cannot be listened on.
+    /// The host cannot listen on an address.
     #[snafu(display("cannot listen on {address}: {source}; free the port or choose another"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What a host takes from outside.
+/// External dependencies of a host.
 #[derive(Clone, Debug)]
 pub struct HostEnvironment {
     /// The network.
     pub stack: NetStack,
     /// The wall clock; its time at the start is the host's incarnation.
     pub clock: WallClock,
-    /// The clock by which what is remembered grows old.
+    /// The clock that measures the age of remembered state.
     pub host_clock: HostClock,
     /// Seed of the jitter of periodic work.
     pub seed: u64,
-    /// Another way to place requests than the pool's scheduler, for comparisons.
+    /// Replaces the pools' schedulers, to compare placement policies.
     pub placement_override: Option<PlacementOverride>,
 }
 
@@ -71,20 +71,20 @@
 
 /// A running host.
 pub struct HostDaemon {
-    /// Where it listens.
+    /// Addresses that it listens on.
     pub addresses: ListenAddresses,
     host: Name,
     view: HostView,
-    directory: PoolDirectory,
+    schedulers: SchedulerRegistry,
     tasks: TaskTracker,
     drain_timeout: Duration,
     drain: CancellationToken,
-    /// Ends the callers' listener.
+    /// Stops the callers' listener.
     callers: CancellationToken,
     callers_served: tokio::task::JoinHandle<()>,
-    /// Ends all answers.
-    answers: CancellationToken,
-    /// Ends everything.
+    /// Cancels all responses.
+    responses: CancellationToken,
+    /// Stops all tasks.
     cancel: CancellationToken,
 }
 
@@ -120,11 +120,11 @@
 }
 
 impl HostDaemon {
-    /// Starts a host.
+    /// Opens the listeners and starts all roles.
     ///
     /// # Errors
     ///
-    /// [`DaemonError`] with the remedy.
+    /// Returns [`DaemonError`] if the settings are invalid or a listener cannot be opened.
     pub async fn start(
         settings: HostSettings,
         environment: HostEnvironment,
@@ -134,33 +134,33 @@
         let host_limits = settings.limits.clone().unwrap_or_default();
         let listeners = Listeners::open(&environment.stack, &addresses).await?;
         let listening = listeners.addresses();
-        let parts = HostParts::new(settings, environment, &addresses);
+        let components = HostComponents::new(settings, environment, &addresses);
         let (drain, callers) = (CancellationToken::new(), CancellationToken::new());
         let limits = ServerLimits {
             max_connections: host_limits.max_connections as usize,
             header_timeout: Duration::from_millis(host_limits.header_timeout_ms.into()),
         };
-        let handler = callers_handler(parts.entry_context());
+        let handler = callers_handler(components.entry_context());
         let callers_served =
             tokio::spawn(serve_http(listeners.callers, limits, handler, callers.clone()));
-        let handler = operators_handler(parts.admin_context(&drain));
+        let handler = operators_handler(components.admin_context(&drain));
         let limits = ServerLimits::default();
-        tokio::spawn(serve_http(listeners.operators, limits, handler, parts.cancel.clone()));
-        tokio::spawn(parts.links.clone().serve(listeners.peers, parts.cancel.clone()));
-        parts.spawn_roles();
-        log::info!("event=host_started host={}", parts.settings.host);
+        tokio::spawn(serve_http(listeners.operators, limits, handler, components.cancel.clone()));
+        tokio::spawn(components.links.clone().serve(listeners.peers, components.cancel.clone()));
+        components.spawn_roles();
+        log::info!("event=host_started host={}", components.settings.host);
         Ok(Self {
             addresses: listening,
-            host: Name::clone(&parts.settings.host),
+            host: Name::clone(&components.settings.host),
             drain_timeout: Duration::from_millis(host_limits.drain_timeout_ms.into()),
-            view: parts.view,
-            directory: parts.directory,
-            tasks: parts.tasks,
-            answers: parts.answers,
+            view: components.view,
+            schedulers: components.schedulers,
+            tasks: components.tasks,
+            responses: components.responses,
             drain,
             callers,
             callers_served,
-            cancel: parts.cancel,
+            cancel: components.cancel,
         })
     }
 
@@ -169,38 +169,38 @@
         &self.host
     }
 
-    /// Waits until an operator asks for a drain.
+    /// Waits until an operator requests a drain.
     pub async fn drain_requested(&self) {
         self.drain.cancelled().await;
     }
 
-    /// Ends the host after its requests: nothing is cut off within the drain time.
+    /// Stops the host once its requests are complete; none is cancelled before the drain timeout.
     ///
-    /// Readiness goes off first and requests are still taken until the balancer has noticed;
-    /// the schedulers' roles go to other hosts at once. See `docs/design/drain.md`.
+    /// The host first reports that it is not ready, but accepts requests until the load balancer
+    /// has noticed. Its scheduler roles move to other hosts at once. See `docs/design/drain.md`.
     pub async fn drain(self) {
         log::info!("event=drain_started host={}", self.host);
         self.view.set_draining();
-        self.directory.set_draining();
+        self.schedulers.set_draining();
         let deadline = tokio::time::Instant::now() + self.drain_timeout;
-        tokio::time::sleep(BALANCER_TIME.min(self.drain_timeout / 2)).await;
+        tokio::time::sleep(BALANCER_DELAY.min(self.drain_timeout / 2)).await;
         self.callers.cancel();
         let mut finished = std::pin::pin!(async {
             let _served = self.callers_served.await;
             self.tasks.close();
             self.tasks.wait().await;
         });
-        let whole = tokio::time::timeout_at(deadline, finished.as_mut()).await.is_ok();
-        if !whole {
-            // What is left ends with an error, and gives back what it holds.
-            self.answers.cancel();
-            let _still_busy = tokio::time::timeout(GIVE_BACK_TIME, finished).await;
+        let is_complete = tokio::time::timeout_at(deadline, finished.as_mut()).await.is_ok();
+        if !is_complete {
+            // The remaining responses end with an error and release what they hold.
+            self.responses.cancel();
+            let _timed_out = tokio::time::timeout(RELEASE_TIMEOUT, finished).await;
         }
-        log::info!("event=drain_ended host={} whole={whole}", self.host);
+        log::info!("event=drain_ended host={} whole={is_complete}", self.host);
         self.cancel.cancel();
     }
 
-    /// Ends the host at once, as a crash would.
+    /// Stops the host at once, as a crash would.
     pub fn stop(&self) {
         self.callers.cancel();
         self.cancel.cancel();
--- a/crates/dillspool_host/src/alive_rows.rs
+++ b/crates/dillspool_host/src/heartbeat_rows.rs
@@ -1,7 +1,7 @@
-//! Signs of life through the table, for a host whose peers cannot hear it.
+//! Heartbeat rows in the platform's table, for hosts that their peers cannot reach.
 //!
-//! Rows are written only while a connection that should be up is down, so that an ordinary day
-//! costs no writes. Whether a row is fresh is told by its version changing, not by clocks. See
+//! A host writes its row only while an expected connection is down, so that normal operation costs
+//! no writes. A row is fresh if its version keeps changing; clocks are not compared. See
 //! `docs/design/orphans.md`.
 
 use std::collections::BTreeMap;
@@ -13,34 +13,34 @@
 use dillspool_schema::Name;
 use tokio::time::Instant;
 
-/// Time between two writes of a host that lost a connection.
-pub(crate) const ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// A row that did not change for this long is no sign of life.
-const ALIVE_LEASE: Duration = Duration::from_secs(6);
+/// Interval between heartbeats of a host that lost a connection.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// A row that has not changed for this long is stale.
+const HEARTBEAT_LEASE: Duration = Duration::from_secs(6);
 
 #[derive(Clone, Copy, Debug)]
-struct SeenRow {
+struct ObservedRow {
     version: StoreVersion,
     changed: Instant,
 }
 
-/// Reads and writes the rows.
+/// Reads and writes heartbeat rows.
 #[derive(Clone, Debug)]
-pub(crate) struct AliveRows {
+pub(crate) struct HeartbeatRows {
     table: TableStore,
-    seen: Arc<Mutex<BTreeMap<Name, SeenRow>>>,
+    observed: Arc<Mutex<BTreeMap<Name, ObservedRow>>>,
 }
 
 fn row_key(host: &str) -> Name {
     format!("alive/{host}").into()
 }
 
-impl AliveRows {
+impl HeartbeatRows {
     pub(crate) fn new(table: TableStore) -> Self {
-        Self { table, seen: Arc::default() }
+        Self { table, observed: Arc::default() }
     }
 
-    /// Writes or removes this host's own row.
+    /// Writes or removes this host's own row; failures are logged only.
     pub(crate) async fn write(&self, host: &str, alive: bool) {
         let value = alive.then(|| "alive".to_owned());
         let write = RowWrite { key: row_key(host), expect: RowPrecondition::Any, value };
@@ -49,24 +49,25 @@
         }
     }
 
-    /// Whether a host's row shows a sign of life; `None` when the table does not answer.
+    /// Whether a host's row is fresh; `None` if the table is unreachable.
     async fn is_fresh(&self, host: &Name) -> Option<bool> {
         let row = self.table.read_one(row_key(host)).await.ok()?;
         let now = Instant::now();
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut observed = self.observed.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(row) = row else {
-            seen.remove(host);
+            observed.remove(host);
             return Some(false);
         };
-        let unseen = SeenRow { version: row.version, changed: now };
-        let record = seen.entry(Name::clone(host)).or_insert(unseen);
+        let newest = ObservedRow { version: row.version, changed: now };
+        let record = observed.entry(Name::clone(host)).or_insert(newest);
         if record.version != row.version {
-            *record = unseen;
+            *record = newest;
         }
-        Some(now - record.changed < ALIVE_LEASE)
+        Some(now - record.changed < HEARTBEAT_LEASE)
     }
 
-    /// Whether an incarnation of a host is dead beyond doubt: nobody heard of it.
+    /// Whether an incarnation of a host is certainly dead: this host, its peers and the table have no
+    /// sign that it is alive.
     pub(crate) async fn is_dead(
         &self,
         view: &HostView,
@@ -85,7 +86,7 @@
         }
         match self.is_fresh(&host).await {
             Some(fresh) => !fresh,
-            // The table is out: the word of the peers alone must do.
+            // The table is unreachable, so the peers' replies alone decide.
             None => heard_by_peers == Some(false),
         }
     }
--- a/crates/dillspool_host/src/lib.rs
+++ b/crates/dillspool_host/src/lib.rs
@@ -1,23 +1,23 @@
-//! One entry host: all roles as tasks of one process.
+//! An entry host, which runs all roles as tasks of one process.
 //!
-//! Every host is equal and keeps nothing; any of them may vanish. See `docs/design/path.md` for
-//! the way of a request and `docs/design/membership.md` for the roles.
+//! All hosts are equal and keep no persistent state, so any of them may fail. See
+//! `docs/design/path.md` for the path of a request and `docs/design/membership.md` for the roles.
 
 mod acks;
 mod admin;
-mod alive_rows;
-mod config_keeper;
+mod components;
+mod config_replica;
 mod daemon;
-mod desk;
-mod directory;
+mod heartbeat_rows;
 mod membership;
 mod metrics;
-mod parts;
-mod upkeep;
+mod periodic_tasks;
+mod placement_client;
+mod scheduler_registry;
 
 pub use acks::ConfigAck;
 pub use admin::{
     AdminProblem, ApplyReply, ApplyRequest, ConfigReply, HostLine, PoolLine, StatusReply,
 };
 pub use daemon::{DaemonError, HostDaemon, HostEnvironment, ListenAddresses};
-pub use desk::PlacementOverride;
+pub use placement_client::PlacementOverride;
--- a/crates/dillspool_host/src/metrics.rs
+++ b/crates/dillspool_host/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The host's metrics in the text form of Prometheus.
+//! The host's metrics in the Prometheus text format.
 
 use dillspool_entry::EntryMetrics;
 use dillspool_io::ResponseBody;
@@ -8,7 +8,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::{Registry, Unit};
 
-/// What the host itself shows; read when it is scraped.
+/// Metrics of the host itself, updated at each scrape.
 #[derive(Debug)]
 pub(crate) struct HostMetrics {
     registry: Registry,
@@ -23,7 +23,7 @@
 
 /// Values at the time of a scrape.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct HostReadings {
+pub(crate) struct MetricsSnapshot {
     pub(crate) config_version: u64,
     pub(crate) control_bytes: u64,
     pub(crate) peers_linked: usize,
@@ -68,20 +68,20 @@
         Self { registry, ..metrics }
     }
 
-    pub(crate) fn page(&self, readings: HostReadings) -> Response<ResponseBody> {
+    pub(crate) fn page(&self, snapshot: MetricsSnapshot) -> Response<ResponseBody> {
         let gauge = |gauge: &Gauge, value: usize| {
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
         };
-        gauge(&self.config_version, usize::try_from(readings.config_version).unwrap_or(usize::MAX));
-        gauge(&self.peers_linked, readings.peers_linked);
-        gauge(&self.placements, readings.placements);
+        gauge(&self.config_version, usize::try_from(snapshot.config_version).unwrap_or(usize::MAX));
+        gauge(&self.peers_linked, snapshot.peers_linked);
+        gauge(&self.placements, snapshot.placements);
         let raise = |counter: &Counter, value: u64| {
             counter.inc_by(value.saturating_sub(counter.get()));
         };
-        raise(&self.control_bytes, readings.control_bytes);
-        raise(&self.orphans, readings.orphans);
-        raise(&self.granted, readings.granted);
-        raise(&self.refused, readings.refused);
+        raise(&self.control_bytes, snapshot.control_bytes);
+        raise(&self.orphans, snapshot.orphans);
+        raise(&self.granted, snapshot.granted);
+        raise(&self.refused, snapshot.refused);
         metrics_response(&self.registry)
     }
 }
--- a/crates/dillspool_host/src/upkeep.rs
+++ b/crates/dillspool_host/src/periodic_tasks.rs
@@ -1,4 +1,4 @@
-//! Small periodic work: signs of life through the table, and the ledger's retention.
+//! Periodic tasks: heartbeat rows, placement reports and the ledger's retention.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,52 +11,52 @@
 use dillspool_schema::Name;
 use tokio_util::sync::CancellationToken;
 
-use crate::alive_rows::{ALIVE_INTERVAL, AliveRows};
-use crate::directory::PoolDirectory;
+use crate::heartbeat_rows::{HEARTBEAT_INTERVAL, HeartbeatRows};
+use crate::scheduler_registry::SchedulerRegistry;
 
-/// Time between two pages of a ledger sweep.
-const PAGE_INTERVAL: Duration = Duration::from_secs(10);
-/// How often a change of schedulers is looked for.
+/// Interval between pages of a ledger sweep.
+const SWEEP_PAGE_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval between checks for a change of schedulers.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Name under which the host that sweeps the ledger is chosen.
+/// Key of the rendezvous hash that chooses the host that sweeps the ledger.
 const SWEEP_ROLE: &str = "ledger-sweep";
 
-/// Writes this host's row while a connection that should be up is down.
-pub(crate) async fn show_alive(
-    rows: AliveRows,
+/// Writes this host's heartbeat row while an expected connection is down.
+pub(crate) async fn write_heartbeats(
+    rows: HeartbeatRows,
     view: HostView,
-    directory: PoolDirectory,
+    schedulers: SchedulerRegistry,
     cancel: CancellationToken,
 ) {
-    let mut shown = false;
+    let mut is_written = false;
     loop {
-        let lost = view.has_lost_link(&directory.names());
-        if lost || shown {
-            rows.write(view.host(), lost).await;
+        let has_lost_link = view.has_lost_link(&schedulers.names());
+        if has_lost_link || is_written {
+            rows.write(view.host(), has_lost_link).await;
         }
-        shown = lost;
+        is_written = has_lost_link;
         tokio::select! {
-            () = tokio::time::sleep(ALIVE_INTERVAL) => {}
+            () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
             () = cancel.cancelled() => return,
         }
     }
 }
 
-/// Tells each new scheduler of a pool what this host holds there.
+/// Reports the placements that this host holds in a pool to each new scheduler of the pool.
 pub(crate) async fn report_placements(
     view: HostView,
     links: PeerLinks,
-    directory: PoolDirectory,
-    registry: PlacementRegistry,
+    schedulers: SchedulerRegistry,
+    placements: PlacementRegistry,
     cancel: CancellationToken,
 ) {
-    let mut schedulers: BTreeMap<Name, Name> = BTreeMap::new();
+    let mut last_schedulers: BTreeMap<Name, Name> = BTreeMap::new();
     loop {
-        for pool in directory.names() {
+        for pool in schedulers.names() {
             let scheduler = view.scheduler(&pool);
-            let known = schedulers.insert(Name::clone(&pool), Name::clone(&scheduler));
-            if known.is_none_or(|known| known != scheduler) {
-                report_pool(&view, &links, &directory, &registry, &scheduler, &pool);
+            let last = last_schedulers.insert(Name::clone(&pool), Name::clone(&scheduler));
+            if last.is_none_or(|last| last != scheduler) {
+                report_pool(&view, &links, &schedulers, &placements, &scheduler, &pool);
             }
         }
         tokio::select! {
@@ -69,23 +69,24 @@
 fn report_pool(
     view: &HostView,
     links: &PeerLinks,
-    directory: &PoolDirectory,
-    registry: &PlacementRegistry,
+    schedulers: &SchedulerRegistry,
+    placements: &PlacementRegistry,
     scheduler: &Name,
     pool: &Name,
 ) {
-    let Some(report) = registry.reports(std::slice::from_ref(pool)).pop() else { return };
+    let Some(report) = placements.reports(std::slice::from_ref(pool)).pop() else { return };
     if scheduler != view.host() {
-        // A connection that is made later begins with a report.
+        // If there is no connection yet, a report is sent when it is established.
         let _not_connected = links.report(scheduler, report);
         return;
     }
-    if let Some(own) = directory.get(pool) {
+    if let Some(own) = schedulers.get(pool) {
         own.apply_report(view.host(), view.incarnation(), &report);
     }
 }
 
-/// Shortens and deletes old ledger rows, and old parts of the journal, while this host is the one chosen for it.
+/// Truncates and deletes old ledger rows, and deletes old journal segments, while this host is the
+/// one chosen for the sweep.
 pub(crate) async fn sweep_ledger(
     table: TableStore,
     objects: ObjectStore,
@@ -97,7 +98,7 @@
     let mut after: Name = "".into();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(PAGE_INTERVAL) => {}
+            () = tokio::time::sleep(SWEEP_PAGE_INTERVAL) => {}
             () = cancel.cancelled() => return,
         }
         if view.scheduler(SWEEP_ROLE) != *view.host() {
--- a/crates/dillspool_host/src/desk.rs
+++ b/crates/dillspool_host/src/placement_client.rs
@@ -1,4 +1,4 @@
-//! Where this host's requests get their placements.
+//! Client through which this host's requests get their placements.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,21 +15,21 @@
 
 use tokio::sync::watch;
 
-use crate::directory::PoolDirectory;
+use crate::scheduler_registry::SchedulerRegistry;
 
-/// Time beyond the request's own for an answer to come from another host.
-const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// When to come back after a scheduler did not answer.
-const SILENT_RETRY_MS: u32 = 500;
+/// Time that a reply from another host may take beyond the request's own wait.
+const RESPONSE_SLACK: Duration = Duration::from_millis(50);
+/// Retry delay of a refusal when the scheduler did not reply in time or no scheduler has the pool.
+const REFUSAL_RETRY_MS: u32 = 500;
 
-/// Another way to place requests, built from the configuration and the engines' client.
+/// Replaces the client of the pools' schedulers by another placement policy.
 #[derive(Clone)]
 pub struct PlacementOverride {
-    /// Builds the desk of a host.
-    pub build: Arc<DeskBuilder>,
+    /// Builds the placement client from the configuration and the engines' client.
+    pub build: Arc<ClientBuilder>,
 }
 
-type DeskBuilder = dyn Fn(watch::Receiver<Option<Arc<ConfigSnapshot>>>, EngineClient) -> PlacementClient
+type ClientBuilder = dyn Fn(watch::Receiver<Option<Arc<ConfigSnapshot>>>, EngineClient) -> PlacementClient
     + Send
     + Sync;
 
@@ -39,21 +39,21 @@
     }
 }
 
-/// Asks the scheduler that rendezvous hashing names, or this host's own when none is in reach.
-pub(crate) fn placement_desk(
+/// Asks the scheduler chosen by rendezvous hashing, or this host's own if that one is unreachable.
+pub(crate) fn placement_client(
     view: HostView,
     links: PeerLinks,
-    directory: PoolDirectory,
+    schedulers: SchedulerRegistry,
 ) -> PlacementClient {
-    let releasing = (view.clone(), links.clone(), directory.clone());
+    let releasing = (view.clone(), links.clone(), schedulers.clone());
     PlacementClient {
         reserve: Arc::new(move |message| {
-            let (view, links, directory) = (view.clone(), links.clone(), directory.clone());
-            Box::pin(async move { reserve(&view, &links, &directory, message).await })
+            let (view, links, schedulers) = (view.clone(), links.clone(), schedulers.clone());
+            Box::pin(async move { reserve(&view, &links, &schedulers, message).await })
         }),
         release: Arc::new(move |scheduler, message| {
-            let (view, links, directory) = &releasing;
-            release(view, links, directory, scheduler, message);
+            let (view, links, schedulers) = &releasing;
+            release(view, links, schedulers, scheduler, message);
         }),
     }
 }
@@ -61,27 +61,33 @@
 async fn reserve(
     view: &HostView,
     links: &PeerLinks,
-    directory: &PoolDirectory,
+    schedulers: &SchedulerRegistry,
     message: ReserveMessage,
 ) -> ReserveReply {
     let scheduler = view.scheduler(&message.pool);
     if scheduler != *view.host() {
-        let limit = Duration::from_millis(message.wait_ms.into()) + ANSWER_SLACK;
+        let limit = Duration::from_millis(message.wait_ms.into()) + RESPONSE_SLACK;
         let asked = links.reserve(&scheduler, message.clone());
         match tokio::time::timeout(limit, asked).await {
             Ok(Ok(answer)) => return ReserveReply { scheduler, answer },
-            // The connection broke: this host decides alone, by what the engines list.
+            // Not connected: this host's own scheduler decides alone, based on what the engines report.
             Ok(Err(_not_connected)) => {}
             Err(_elapsed) => {
-                // It may have granted meanwhile; what is not used goes back.
-                release(view, links, directory, Some(Name::clone(&scheduler)), unused(&message));
+                // The scheduler may have granted the request late; release that reservation.
+                release(
+                    view,
+                    links,
+                    schedulers,
+                    Some(Name::clone(&scheduler)),
+                    cancellation(&message),
+                );
                 let answer = refuse(&message, RefuseCause::TooLate);
                 return ReserveReply { scheduler, answer };
             }
         }
     }
     let own = Name::clone(view.host());
-    let answer = match directory.get(&message.pool) {
+    let answer = match schedulers.get(&message.pool) {
         Some(pool) => pool.reserve(message.clone()).await,
         None => None,
     };
@@ -90,11 +96,11 @@
 }
 
 fn refuse(message: &ReserveMessage, cause: RefuseCause) -> ReserveAnswer {
-    let refusal = ReserveRefusal { cause, retry_ms: SILENT_RETRY_MS };
+    let refusal = ReserveRefusal { cause, retry_ms: REFUSAL_RETRY_MS };
     ReserveAnswer { stream: message.stream.clone(), grant: None, refusal: Some(refusal) }
 }
 
-fn unused(message: &ReserveMessage) -> ReleaseMessage {
+fn cancellation(message: &ReserveMessage) -> ReleaseMessage {
     ReleaseMessage {
         stream: message.stream.clone(),
         pool: Name::clone(&message.pool),
@@ -109,18 +115,18 @@
 fn release(
     view: &HostView,
     links: &PeerLinks,
-    directory: &PoolDirectory,
+    schedulers: &SchedulerRegistry,
     scheduler: Option<Name>,
     message: ReleaseMessage,
 ) {
     let holder = scheduler.unwrap_or_else(|| view.scheduler(&message.pool));
     if holder == *view.host() {
-        if let Some(pool) = directory.get(&message.pool) {
+        if let Some(pool) = schedulers.get(&message.pool) {
             pool.release(&message);
         }
         return;
     }
-    // Without a connection the next placement report frees it.
+    // If it is not sent, the next placement report frees the reservation.
     if let Err(error) = links.release(&holder, message) {
         log::debug!("event=release_not_sent error=\"{error}\"");
     }
--- a/crates/dillspool_host/src/directory.rs
+++ b/crates/dillspool_host/src/scheduler_registry.rs
@@ -1,4 +1,4 @@
-//! The pools' schedulers on this host.
+//! Registry of the pools' schedulers on this host.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,21 +10,21 @@
 use dillspool_suspects::SuspectTracker;
 use tokio_util::sync::CancellationToken;
 
-struct PoolEntryHandle {
+struct SchedulerHandle {
     scheduler: PoolScheduler,
     cancel: CancellationToken,
 }
 
-/// One scheduler for each declared pool; most of them sleep.
+/// One scheduler for each configured pool; most of them are idle.
 #[derive(Clone)]
-pub(crate) struct PoolDirectory {
-    pools: Arc<Mutex<BTreeMap<Name, PoolEntryHandle>>>,
+pub(crate) struct SchedulerRegistry {
+    pools: Arc<Mutex<BTreeMap<Name, SchedulerHandle>>>,
     engines: EngineClient,
     suspects: SuspectTracker,
     cancel: CancellationToken,
 }
 
-impl PoolDirectory {
+impl SchedulerRegistry {
     pub(crate) fn new(
         engines: EngineClient,
         suspects: SuspectTracker,
@@ -33,19 +33,19 @@
         Self { pools: Arc::default(), engines, suspects, cancel }
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<Name, PoolEntryHandle>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<Name, SchedulerHandle>> {
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts, changes and stops schedulers so that they fit a configuration.
+    /// Starts, reconfigures and stops schedulers to match a configuration.
     pub(crate) fn configure(&self, snapshot: &Arc<ConfigSnapshot>, liveness: &LivenessCheck) {
         let mut pools = self.lock();
         pools.retain(|name, entry| {
-            let declared = snapshot.pool(name).is_some();
-            if !declared {
+            let is_configured = snapshot.pool(name).is_some();
+            if !is_configured {
                 entry.cancel.cancel();
             }
-            declared
+            is_configured
         });
         for pool in &snapshot.configuration.pool {
             if let Some(entry) = pools.get(&pool.name) {
@@ -61,7 +61,7 @@
                 self.suspects.clone(),
                 cancel.clone(),
             );
-            pools.insert(Name::clone(&pool.name), PoolEntryHandle { scheduler, cancel });
+            pools.insert(Name::clone(&pool.name), SchedulerHandle { scheduler, cancel });
         }
     }
 
--- a/crates/dillspool_host/tests/acceptance.rs
+++ b/crates/dillspool_host/tests/acceptance.rs
@@ -1,10 +1,11 @@
-//! When a version may be called accepted.
+//! When a configuration version counts as accepted.
 
 use dillspool_config::ConfigVersion;
 use dillspool_host::{HostLine, StatusReply};
 
-/// One host beside one that has the version, and what is missing.
-struct AcceptRow {
+/// State of a second host, next to one that has acknowledged the version, and how many
+/// confirmations are missing.
+struct AcceptanceCase {
     name: &'static str,
     listed: bool,
     counted: bool,
@@ -13,8 +14,8 @@
     missing: usize,
 }
 
-const ROWS: [AcceptRow; 6] = [
-    AcceptRow {
+const CASES: [AcceptanceCase; 6] = [
+    AcceptanceCase {
         name: "listed, and has it",
         listed: true,
         counted: true,
@@ -22,7 +23,7 @@
         list_fresh: true,
         missing: 0,
     },
-    AcceptRow {
+    AcceptanceCase {
         name: "listed, and behind",
         listed: true,
         counted: true,
@@ -30,32 +31,32 @@
         list_fresh: true,
         missing: 1,
     },
-    AcceptRow {
-        name: "not listed yet, but heard of, and behind",
+    AcceptanceCase {
+        name: "not listed yet, but heard from, and behind",
         listed: false,
         counted: true,
         version: 6,
         list_fresh: true,
         missing: 1,
     },
-    AcceptRow {
-        name: "gone from the list and not heard of",
+    AcceptanceCase {
+        name: "gone from the list and not heard from",
         listed: false,
         counted: false,
         version: 6,
         list_fresh: true,
         missing: 0,
     },
-    AcceptRow {
-        name: "has it, but the list is not known",
+    AcceptanceCase {
+        name: "has it, but the list is unknown",
         listed: true,
         counted: true,
         version: 7,
         list_fresh: false,
         missing: 1,
     },
-    AcceptRow {
-        name: "behind, and the list is not known",
+    AcceptanceCase {
+        name: "behind, and the list is unknown",
         listed: true,
         counted: true,
         version: 6,
@@ -71,19 +72,19 @@
 
 #[test]
 fn a_version_is_accepted_once_every_host_that_counts_has_it() {
-    for row in &ROWS {
+    for case in &CASES {
         let status = StatusReply {
             host: "entry-1".into(),
             committed: Some(ConfigVersion(7)),
             in_force: ConfigVersion(7),
-            list_fresh: row.list_fresh,
+            list_fresh: case.list_fresh,
             hosts: vec![
                 line("entry-1", true, true, 7),
-                line("entry-2", row.listed, row.counted, row.version),
+                line("entry-2", case.listed, case.counted, case.version),
             ],
             pools: Vec::new(),
         };
-        let missing = status.unconfirmed(ConfigVersion(7));
-        assert_eq!(missing.len(), row.missing, "{}: {missing:?}", row.name);
+        let unconfirmed = status.unconfirmed(ConfigVersion(7));
+        assert_eq!(unconfirmed.len(), case.missing, "{}: {unconfirmed:?}", case.name);
     }
 }
