--- a/crates/dillspool_routing/src/workspace.rs
+++ b/crates/dillspool_routing/src/workspace.rs
@@ -37,8 +37,8 @@
     pub fn amount(&self, generation: Option<&GenerationParams>) -> f64 {
         match (self.unit, generation) {
             (LimitUnit::Requests, _) => 1.0,
-            (LimitUnit::Tokens { .. }, Some(terms)) => {
-                terms.prompt_tokens.saturating_add(terms.max_output_tokens) as f64
+            (LimitUnit::Tokens { .. }, Some(params)) => {
+                params.prompt_tokens.saturating_add(params.max_output_tokens) as f64
             }
             (LimitUnit::Tokens { plain }, None) => plain as f64,
         }
