--- a/crates/dillspool_suspects/src/policy.rs
+++ b/crates/dillspool_suspects/src/policy.rs
@@ -11,9 +11,10 @@
     /// there has as many crashes or more. Keeps healthy requests that ran next to a poison request
     /// from being refused along with it.
     PrimeSuspect,
-    /// Like `PrimeSuspect`, but without crashes that coincide with a crash elsewhere that neither
-    /// this request nor another one with as many crashes explains. Such a common cause does not lie
-    /// in a request, so the requests running there are not refused for it.
+    /// Like `PrimeSuspect`, but a crash does not count if another backend server crashed at the
+    /// same time and was running neither this request nor any other with as many crashes. What
+    /// crashes several backend servers at once is not a request on one of them, so the requests
+    /// that were running there are not refused for it.
     NoCommonCause,
 }
 
--- a/crates/dillspool_suspects/src/tracker.rs
+++ b/crates/dillspool_suspects/src/tracker.rs
@@ -97,10 +97,10 @@
 
     /// Applies an update from another host, or from this one before its restart; returns whether it
     /// was new.
-    pub fn apply_update(&self, updates: &SuspectUpdate) -> bool {
+    pub fn apply_update(&self, update: &SuspectUpdate) -> bool {
         let now = self.now();
         let mut state = self.state();
-        let (fingerprint, is_new) = match updates {
+        let (fingerprint, is_new) = match update {
             SuspectUpdate::Crashed(crash) => {
                 (crash.fingerprint, state.registry.record_crash(crash))
             }
@@ -120,11 +120,11 @@
     }
 
     /// Updates to send to other hosts after `update` has been applied: all consecutive crashes of
-    /// the request if there is more than one. Every request that was running at a crash has one
-    /// recorded, and most of these are of no use to other hosts.
-    pub fn updates_to_forward(&self, updates: &SuspectUpdate) -> Vec<SuspectUpdate> {
-        match updates {
-            SuspectUpdate::Succeeded { .. } => vec![updates.clone()],
+    /// the request if there is more than one. A crash is recorded for every request that was
+    /// running there, and most of these records are of no use to other hosts.
+    pub fn updates_to_forward(&self, update: &SuspectUpdate) -> Vec<SuspectUpdate> {
+        match update {
+            SuspectUpdate::Succeeded { .. } => vec![update.clone()],
             SuspectUpdate::Crashed(crash) => {
                 let crashes = self.state().registry.crashes(crash.fingerprint);
                 let known = if crashes.len() > 1 { crashes } else { Vec::new() };
@@ -194,7 +194,7 @@
             SuspectDecision::Refused { ends } => return Err(CopyRefusal::Deadly { ends }),
         }
         *state.running.entry(fingerprint).or_default() += 1;
-        Ok(CopyGuard { desk: self.clone(), fingerprint })
+        Ok(CopyGuard { tracker: self.clone(), fingerprint })
     }
 
     /// Records that a backend server crashed while running a request.
@@ -250,11 +250,11 @@
         self.registry.decide(fingerprint, now)
     }
 
-    fn queue_update(&mut self, updates: SuspectUpdate) {
+    fn queue_update(&mut self, update: SuspectUpdate) {
         if self.updates.len() >= MAX_QUEUED_UPDATES {
             self.updates.pop_front();
         }
-        self.updates.push_back(updates);
+        self.updates.push_back(update);
     }
 }
 
@@ -271,13 +271,13 @@
 /// A running copy; dropping the guard marks it as finished.
 #[derive(Debug)]
 pub struct CopyGuard {
-    desk: SuspectTracker,
+    tracker: SuspectTracker,
     fingerprint: RequestFingerprint,
 }
 
 impl Drop for CopyGuard {
     fn drop(&mut self) {
-        let mut state = self.desk.state();
+        let mut state = self.tracker.state();
         if let Some(count) = state.running.get_mut(&self.fingerprint) {
             *count -= 1;
             if *count == 0 {
