--- a/crates/dillspool_throttle/src/registry.rs
+++ b/crates/dillspool_throttle/src/registry.rs
@@ -10,13 +10,14 @@
 use crate::notice::{RateNotice, RequestRate};
 use crate::recent::RecentCount;
 
-/// Maximum number of instances whose sends or backoffs are tracked.
+/// Number of instances with tracked sends or backoffs from which idle ones are removed. Each
+/// instance of a backend server counts on its own.
 const MAX_TRACKED: usize = 8_192;
 /// Burst size, as time at the full rate. With one second, a backend server gets at most five
 /// seconds' worth of requests within any four seconds.
 const BURST_PERIOD: Duration = Duration::from_secs(1);
-/// Minimum burst size in requests. With a smaller one, a limit below one request a second would lose
-/// part of its allowance between two requests for grants.
+/// Minimum burst size in requests. With a smaller one, a limit below one request a second would
+/// lose part of its allowance between two requests for grants.
 const MIN_BURST: f64 = 1.0;
 /// Minimum rate at which requests are still sent: only an answer shows that a backend server that
 /// announced a rate of zero accepts requests again.
@@ -48,8 +49,9 @@
     exhausted_until: Option<Moment>,
     /// Whether a request is waiting for that time.
     has_waiter: bool,
-    /// When a block was last logged, followed by the number of blocks since then.
+    /// When a block was last logged.
     block_logged_at: Option<Moment>,
+    /// Number of blocks since then.
     unlogged_blocks: u32,
     /// This host's sends in the second before it learned of the limit, until they are reported to
     /// the holder.
