--- a/crates/dillspool_limits/src/bucket.rs
+++ b/crates/dillspool_limits/src/bucket.rs
@@ -59,7 +59,7 @@
     /// Version of the rate.
     version: RateVersion,
     balance: f64,
-    /// Amount spent before the limit was known that has not expired yet.
+    /// Amount spent before the limit was known, less what has been refilled since.
     unreported: f64,
     backlog: RefusedBacklog,
     /// Balance reserved for requests that more urgent ones would otherwise starve.
@@ -120,8 +120,8 @@
         self.balance -= charge(self.unreported) - charged;
     }
 
-    /// Spends an amount of a priority if the balance is at least `min_balance`: the amount itself, or
-    /// zero where a request may overdraw the balance. What more urgent requests were refused and
+    /// Spends an amount of a priority if the balance is at least `min_balance`: the amount itself,
+    /// or zero where a request may overdraw the balance. What more urgent requests were refused and
     /// told to retry for is left to them.
     pub(crate) fn spend(
         &mut self,
--- a/crates/dillspool_limits/src/holder.rs
+++ b/crates/dillspool_limits/src/holder.rs
@@ -113,7 +113,8 @@
         if self.is_settled(now) { share } else { share.min(STARTUP_SHARE) }
     }
 
-    /// Whether the startup period is over, or all hosts that are known have joined.
+    /// Whether the startup period is over, or a reported host count covers all hosts that are
+    /// served here.
     fn is_settled(&self, now: Moment) -> bool {
         let is_starting = self.first_join.is_some_and(|first| now.since(first) < STARTUP_PERIOD);
         !is_starting || self.served_hosts <= self.max_reported_hosts
--- a/crates/dillspool_limits/tests/fleet.rs
+++ b/crates/dillspool_limits/tests/fleet.rs
@@ -43,9 +43,9 @@
     /// Window in steps, and in seconds.
     window_steps: usize,
     window_s: f64,
-    /// Factor on the limit of a window and its burst that may be spent,
+    /// Multiple of a window's limit and burst that may be spent.
     ratio: f64,
-    /// and the amount allowed beyond that.
+    /// Amount that may be spent beyond that.
     extra: f64,
 }
 
