--- a/crates/dillspool_scheduler/src/call_client.rs
+++ b/crates/dillspool_scheduler/src/call_client.rs
@@ -22,8 +22,8 @@
 /// Stale decisions on one call before this host decides by itself. Without this bound, a host that
 /// is suspended again and again would ask until the caller's deadline.
 const MAX_STALE_DECISIONS: usize = 3;
-/// Factor by which the hosts together may exceed the servers' limits while each decides by itself,
-/// since callers are not spread evenly over the hosts.
+/// Multiple of the servers' limits that all hosts together may use while each decides by itself;
+/// more than 1 because callers are not spread evenly over the hosts.
 const LOCAL_SHARE_FACTOR: f64 = 2.0;
 
 type CountFn = dyn Fn() -> Option<usize> + Send + Sync;
@@ -32,7 +32,7 @@
     scheduler: CallScheduler,
     links: Mutex<HashMap<Name, SchedulerLink>>,
     next_ticket: AtomicU64,
-    /// Returns the number of hosts in the fleet. `None` while hosts do not ask each other.
+    /// Returns the number of hosts in the fleet. `None` until the client is run.
     count: Mutex<Option<Arc<CountFn>>>,
 }
 
@@ -118,8 +118,8 @@
                 let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
                 (LOCAL_SHARE_FACTOR / f64::from(hosts.max(1))).min(1.0)
             }
-            // This host is the scheduler, or hosts do not ask each other, or the number of hosts is
-            // unknown.
+            // This host is the scheduler, or the number of hosts is unknown, or the client has not
+            // been run.
             Some(Some(_) | None) | None => 1.0,
         }
     }
--- a/crates/dillspool_scheduler/src/fleet_bus.rs
+++ b/crates/dillspool_scheduler/src/fleet_bus.rs
@@ -2,10 +2,10 @@
 //! them to all hosts. They report requests under which backend servers crashed, and what backend
 //! servers announce in their responses: how many requests they accept, and that they are leaving.
 //!
-//! Store rows carry suspects and leaving servers as well, but not while the store is unreachable:
-//! without these updates each host would then have to see three crashes, or get a response, by
-//! itself. See `docs/design/suspects.md` and `docs/design/notices.md`. Request rates change within
-//! seconds and are only sent here; see `docs/design/limits.md`.
+//! Store rows carry suspects and leaving servers as well. While the store is unreachable, however,
+//! each host would have to see three crashes, or get a response, by itself without these updates.
+//! See `docs/design/suspects.md` and `docs/design/notices.md`. Request rates change within seconds
+//! and are only sent here; see `docs/design/limits.md`.
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -46,8 +46,7 @@
     pub updates_to_forward: Arc<ForwardFn>,
     /// Returns up to this many of the newest known updates.
     pub newest_updates: Arc<NewestFn<SuspectUpdate>>,
-    /// Like `newest_updates`, limited to requests under which more than one backend server has
-    /// crashed.
+    /// Like `newest_updates`, limited to requests with more than one crash.
     pub newest_repeated: Arc<NewestFn<SuspectUpdate>>,
 }
 
@@ -69,7 +68,10 @@
 impl<T> NoticeHandlers<T> {
     /// Callbacks that ignore all updates and know none.
     pub fn none() -> Self {
-        Self { apply_update: Arc::new(|_news| false), newest_updates: Arc::new(|_most| Vec::new()) }
+        Self {
+            apply_update: Arc::new(|_update| false),
+            newest_updates: Arc::new(|_max_updates| Vec::new()),
+        }
     }
 }
 
@@ -94,10 +96,10 @@
     /// Callbacks that ignore all updates and know none.
     pub fn none() -> Self {
         let suspects = SuspectHandlers {
-            apply_update: Arc::new(|_news| false),
-            updates_to_forward: Arc::new(|_news| Vec::new()),
-            newest_updates: Arc::new(|_most| Vec::new()),
-            newest_repeated: Arc::new(|_most| Vec::new()),
+            apply_update: Arc::new(|_update| false),
+            updates_to_forward: Arc::new(|_update| Vec::new()),
+            newest_updates: Arc::new(|_max_updates| Vec::new()),
+            newest_repeated: Arc::new(|_max_updates| Vec::new()),
         };
         Self { suspects, throttle: NoticeHandlers::none(), leaving: NoticeHandlers::none() }
     }
@@ -106,7 +108,7 @@
 /// An update that hosts send each other.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetUpdate {
-    /// A backend server crashed under a request, or a copy of the request succeeded.
+    /// A backend server crashed while running a request, or a copy of the request succeeded.
     Suspect(SuspectUpdate),
     /// A backend server advertises how many requests it accepts.
     Throttle(ThrottleUpdate),
@@ -233,8 +235,8 @@
         match update {
             FleetUpdate::Suspect(update) => {
                 let (fingerprint, backend, at) = match update {
-                    SuspectUpdate::Crashed(end) => {
-                        (end.fingerprint, Some(Name::clone(&end.backend)), end.at)
+                    SuspectUpdate::Crashed(crash) => {
+                        (crash.fingerprint, Some(Name::clone(&crash.backend)), crash.at)
                     }
                     SuspectUpdate::Succeeded { fingerprint, at } => (*fingerprint, None, *at),
                 };
@@ -339,7 +341,7 @@
     }
 }
 
-/// Why an update is skipped that names no valid backend server.
+/// Error for an update whose backend name is not valid.
 const BAD_BACKEND_NAME: &str = "the name of the backend server is empty or too long";
 
 fn is_backend_name(name: &Name) -> bool {
--- a/crates/dillspool_scheduler/src/limit_client.rs
+++ b/crates/dillspool_scheduler/src/limit_client.rs
@@ -90,7 +90,7 @@
     limiter: RateLimiter,
     shares: Arc<Vec<ShareState>>,
     next_ticket: Arc<AtomicU64>,
-    /// `None` while hosts do not ask each other.
+    /// `None` until the client is run; it counts alone until then.
     fleet: Arc<Mutex<Option<FleetView>>>,
 }
 
@@ -229,12 +229,12 @@
         }
     }
 
-    /// Updates and returns whether this host is the holder of a share: no better-ranked host answers, or hosts
-    /// do not ask each other.
+    /// Updates and returns whether this host is the holder of a share. It is if no better-ranked
+    /// host answers, or if the client counts alone.
     fn update_is_holder(&self, state: &ShareState) -> bool {
         let fleet = self.fleet.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let Some(FleetView { peers, count }) = fleet else {
-            // Hosts do not ask each other.
+            // This client counts alone.
             state.set_is_holder(true, &self.limiter);
             self.limiter.record_host_count(state.share, 1);
             return true;
@@ -249,8 +249,7 @@
         is_holder
     }
 
-    /// Returns the grant of an allowed request, to be refunded if the request does not
-    /// run.
+    /// Returns the grant of an allowed request, to be refunded if the request does not run.
     pub fn grant(&self, request: &SpendRequest) -> SpendGrant {
         let (subject, amount) = (Name::clone(&request.subject), request.amount);
         SpendGrant { client: self.clone(), subject, amount }
--- a/crates/dillspool_scheduler/src/link.rs
+++ b/crates/dillspool_scheduler/src/link.rs
@@ -95,28 +95,28 @@
 }
 
 impl PendingRequest<'_> {
-    /// Returns the next response; `None` if none arrives within `limit`.
-    async fn response(&mut self, limit: Duration) -> Option<ScheduleReply> {
-        tokio::time::timeout(limit, self.responses.recv()).await.ok().flatten()
+    /// Returns the next response; `None` if none arrives within `timeout`.
+    async fn response(&mut self, timeout: Duration) -> Option<ScheduleReply> {
+        tokio::time::timeout(timeout, self.responses.recv()).await.ok().flatten()
     }
 }
 
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         let refund_if_granted = self.refund_if_granted.take();
-        let answered = self.link.with(|state| {
+        let response = self.link.with(|state| {
             let is_linked = state.pending.remove(&self.ticket).is_some();
-            let answered = self.responses.try_recv().ok();
-            if answered.is_none()
+            let response = self.responses.try_recv().ok();
+            if response.is_none()
                 && is_linked
                 && let Some(refund_if_granted) = &refund_if_granted
             {
                 state.refund_if_granted.insert(self.ticket, refund_if_granted.clone());
             }
-            answered
+            response
         });
         if let (Some(ScheduleReply::Spent(SpendDecision::Allowed)), Some(refund_if_granted)) =
-            (answered, refund_if_granted)
+            (response, refund_if_granted)
         {
             self.link.send_refund(refund_if_granted);
         }
--- a/crates/dillspool_scheduler/src/link/calls.rs
+++ b/crates/dillspool_scheduler/src/link/calls.rs
@@ -75,8 +75,8 @@
         let mut awake_at = clock.now();
         let mut is_queued = false;
         loop {
-            let limit = if is_queued { POLL_INTERVAL } else { RESPONSE_TIMEOUT };
-            let response = tokio::time::timeout(limit, pending.responses.recv()).await;
+            let timeout = if is_queued { POLL_INTERVAL } else { RESPONSE_TIMEOUT };
+            let response = tokio::time::timeout(timeout, pending.responses.recv()).await;
             let now = clock.now();
             if now.since(awake_at) > DECISION_TTL {
                 return CallReply::Stale;
--- a/crates/dillspool_scheduler/src/link/connection.rs
+++ b/crates/dillspool_scheduler/src/link/connection.rs
@@ -210,7 +210,7 @@
     stack: &NetStack,
     address: SocketAddr,
     duty: &LinkDuty,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<OpenedLink, ScheduleError> {
     let opening = async {
         let stream = stack.connect(address).await.map_err(|error| closed(&error.to_string()))?;
@@ -224,6 +224,6 @@
             _other => Err(closed("the first message is not a heartbeat")),
         }
     };
-    let opened = tokio::time::timeout(limit, opening).await;
+    let opened = tokio::time::timeout(timeout, opening).await;
     opened.map_err(|_elapsed| closed("the handshake timed out"))?
 }
--- a/crates/dillspool_scheduler/src/link_manager.rs
+++ b/crates/dillspool_scheduler/src/link_manager.rs
@@ -89,8 +89,8 @@
             if Some(address) == peers.own_address || Some(address) == up_to {
                 return None;
             }
-            let limit = if Some(address) == lost { REOPEN_TIMEOUT } else { OPEN_TIMEOUT };
-            match open_link(&self.stack, address, &self.duty, limit).await {
+            let timeout = if Some(address) == lost { REOPEN_TIMEOUT } else { OPEN_TIMEOUT };
+            match open_link(&self.stack, address, &self.duty, timeout).await {
                 Ok(opened) => return Some((address, opened)),
                 Err(error) => {
                     log::debug!("event=scheduler_not_linked peer={address} cause=\"{error}\"");
--- a/crates/dillspool_scheduler/src/placement_scheduler.rs
+++ b/crates/dillspool_scheduler/src/placement_scheduler.rs
@@ -215,9 +215,9 @@
                 self.set_pools(&known, &view);
             }
             loop {
-                let waited = self.with(|state| !state.waiters.is_empty());
+                let has_waiters = self.with(|state| !state.waiters.is_empty());
                 let poll_timer = async {
-                    if waited {
+                    if has_waiters {
                         tokio::time::sleep(POLL_INTERVAL).await;
                     } else {
                         std::future::pending::<()>().await;
@@ -315,7 +315,7 @@
 
     /// Records an event of a request.
     pub fn record_event(&self, ticket: TicketId, event: PlacementEvent) {
-        let waited = self.with(|state| {
+        let has_waiters = self.with(|state| {
             let now = state.now();
             match event {
                 PlacementEvent::Prefilled { took } => state.record_prefilled(ticket, took),
@@ -344,7 +344,7 @@
             }
             !state.waiters.is_empty()
         });
-        if waited {
+        if has_waiters {
             self.changed.notify_one();
         }
     }
--- a/crates/dillspool_scheduler/src/rate_limiter.rs
+++ b/crates/dillspool_scheduler/src/rate_limiter.rs
@@ -165,7 +165,7 @@
         decision
     }
 
-    /// Returns the amount of a request that did not run.
+    /// Refunds the amount of a request that was not sent.
     pub(crate) fn refund(&self, share: LimitShare, subject: &str, amount: f64) {
         self.with(share, |holder, _now| holder.refund(subject, amount));
     }
