--- a/crates/dillspool_router/src/departed_backends.rs
+++ b/crates/dillspool_router/src/departed_backends.rs
@@ -8,7 +8,7 @@
 use dillspool_routing::{BackendId, BackendInstance, BackendStart};
 use tokio::time::Instant;
 
-/// Maximum number of remembered starts; the oldest are dropped first.
+/// Maximum number of departed backend servers remembered; the oldest are dropped first.
 const MAX_GONE_ENTRIES: usize = 2_000;
 /// Time after which a row that nobody writes has lapsed, several times three heartbeats. A row that
 /// still exists then has a writer.
@@ -19,8 +19,8 @@
 pub(crate) enum StaleCause {
     /// Its backend server had announced that it is leaving; valid until the row is written again.
     Leaves,
-    /// Its backend server was gone; valid until the row is written again or has outlived an
-    /// abandoned row.
+    /// Its backend server was gone; valid until the row is written again, or until an abandoned row
+    /// would have lapsed ([`ABANDONED_ROW_TTL`]).
     Gone {
         /// When that time is over.
         until: Instant,
@@ -33,9 +33,10 @@
     era: StoreEra,
     /// When the last restore was detected, and the version of the store at that time.
     restored: Option<(Instant, StoreVersion)>,
-    /// Departed starts by id, with the version of the store at which the row was missing.
+    /// Start times of departed backend servers by ID, with the version of the store at which the
+    /// row was missing.
     gone: HashMap<BackendId, (Option<BackendStart>, StoreVersion)>,
-    /// Ids in insertion order.
+    /// IDs in insertion order.
     order: VecDeque<BackendId>,
 }
 
--- a/crates/dillspool_router/src/directory_tracker.rs
+++ b/crates/dillspool_router/src/directory_tracker.rs
@@ -33,12 +33,12 @@
 pub struct DirectorySettings {
     /// Time after the store is back during which lapsed backend servers may register again.
     pub lapse_grace: Duration,
-    /// Addresses on which this host listens. A row with one of them was written by someone else:
-    /// requests sent there would arrive as new requests.
+    /// Addresses on which this host listens. A row with one of them was not written by a
+    /// backend server and is rejected: requests sent there would come back as new requests.
     pub own_addresses: Vec<SocketAddr>,
 }
 
-/// Content of the newest row of an id.
+/// Content of the newest row of an ID.
 struct BackendRecord {
     /// `None` if the row does not describe a backend server.
     entry: Option<Arc<BackendEntry>>,
@@ -57,7 +57,7 @@
         self.stale_cause.is_none() && self.entry.as_ref().is_some_and(is_ready)
     }
 
-    /// Returns whether this start was leaving, according to its row or because the row is not
+    /// Returns whether this instance was leaving, according to its row or because the row is not
     /// trusted.
     fn was_leaving(&self, backend: &BackendInstance) -> bool {
         self.entry.as_ref().is_some_and(|entry| {
@@ -196,8 +196,8 @@
         self.records.values().filter_map(stale_until).chain(deadlines).min()
     }
 
-    /// Trusts rows that have outlived the time after which an abandoned row lapses; returns whether
-    /// any changed.
+    /// Trusts rows that still exist although an abandoned row would have lapsed by now; returns
+    /// whether any changed.
     fn expire_stale(&mut self) -> bool {
         let now = Instant::now();
         let mut any = false;
--- a/crates/dillspool_router/src/retry_detector.rs
+++ b/crates/dillspool_router/src/retry_detector.rs
@@ -28,7 +28,8 @@
 /// Refusals per request with a short budget above which such requests count as retries. Each host
 /// counts only its own refusals; a refused caller may retry on any host.
 const MIN_REFUSALS_PER_SHORT_BUDGET: f64 = 0.25;
-/// Maximum number of routes; their names come from the configuration, which may change often.
+/// Number of routes from which those with an expired budget are removed; route names come from the
+/// configuration, which may change often.
 const MAX_ROUTES: usize = 4096;
 
 /// Counter that decays with [`COUNT_HALF_LIFE`].
--- a/crates/dillspool_router/src/sources.rs
+++ b/crates/dillspool_router/src/sources.rs
@@ -109,9 +109,9 @@
 /// least as fast.
 pub fn should_register(rows: &[HostRow], own: &HostRow) -> bool {
     let domain_rows = rows.iter().filter(|row| row.failure_domain == own.failure_domain);
-    let equal_or_wider =
+    let at_least_as_fast =
         domain_rows.filter(|row| row.peers != own.peers && row.link_mbps >= own.link_mbps);
-    equal_or_wider.count() < MAX_REGISTERED_PER_DOMAIN && !rows.contains(own)
+    at_least_as_fast.count() < MAX_REGISTERED_PER_DOMAIN && !rows.contains(own)
 }
 
 /// Size of the fleet if it follows from the rows: in a failure domain with few rows every host has
--- a/crates/dillspool_router/src/suspect_rows.rs
+++ b/crates/dillspool_router/src/suspect_rows.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Crashes held against requests with more than one crash that no row records.
+    /// Crashes that no row records, of requests with more than one crash.
     fn unrecorded_crashes(&self, state: &ReplicatorState) -> Vec<SuspectUpdate> {
         let mut repeated = self.tracker.newest_repeated(MAX_ADOPTED);
         repeated.retain(|update| match update {
