--- a/crates/dillspool_ledger/src/recovery.rs
+++ b/crates/dillspool_ledger/src/recovery.rs
@@ -146,9 +146,9 @@
     /// Fences off commits of earlier eras, so that they cannot replace rows written from now on.
     async fn fence_earlier_eras(&self, read_at: StoreVersion) -> bool {
         let mut tasks = JoinSet::new();
-        for guard in fence_earlier_eras(read_at.era()) {
+        for fence in fence_earlier_eras(read_at.era()) {
             let ledger = self.clone();
-            tasks.spawn(async move { ledger.writer.write(guard, read_at).await });
+            tasks.spawn(async move { ledger.writer.write(fence, read_at).await });
         }
         let outcomes = tasks.join_all().await;
         outcomes.into_iter().all(|outcome| outcome == WriteOutcome::Written)
--- a/crates/dillspool_ledger/tests/restored_ledger.rs
+++ b/crates/dillspool_ledger/tests/restored_ledger.rs
@@ -46,7 +46,7 @@
         let (one, other) = (ledger(&table, "one"), ledger(&table, "other"));
         let snapshot = table.snapshot();
         let BeginOutcome::Run(ticket) = one.begin(request()).await else {
-            panic!("{name}: the first sending does not run");
+            panic!("{name}: the first attempt does not run");
         };
         if has_response {
             let response = RecordedResponse::new(201, "application/json", b"{}");
