--- a/crates/dillspool_pool/src/engines.rs
+++ b/crates/dillspool_pool/src/engines.rs
@@ -10,11 +10,11 @@
 use crate::affinity::PrefixCacheModel;
 use crate::health::EngineHealth;
 
-const MICROS: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// Returns the time that `amount` takes at a rate per second.
 pub(crate) fn duration_at_rate(amount: u64, rate: u64) -> Duration {
-    let micros = u128::from(amount) * u128::from(MICROS) / u128::from(rate.max(1));
+    let micros = u128::from(amount) * u128::from(MICROS_PER_SECOND) / u128::from(rate.max(1));
     Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
 }
 
--- a/crates/dillspool_pool/src/health.rs
+++ b/crates/dillspool_pool/src/health.rs
@@ -1,4 +1,4 @@
-//! Ejects engines after consecutive failures and lets them return after a backoff.
+//! Ejects engines after consecutive failures; after a backoff, new requests probe them.
 
 use std::time::Duration;
 
--- a/crates/dillspool_routerd/tests/deadly_requests.rs
+++ b/crates/dillspool_routerd/tests/deadly_requests.rs
@@ -1,9 +1,9 @@
 //! Checks that a request which crashes every backend server that runs it is refused after a few crashes.
 //!
-//! Guards against a caller that repeats such a request, under a new ID each time and to any host. When hosts took
-//! each copy for a new request, it crashed engine after engine and broke off all responses that ran there too.
-//! In the logs, three lines of different hosts with different IDs name one engine at one time; the next engine
-//! crashes under another copy half a second later:
+//! Guards against a caller that repeats such a request, under a new ID each time and to any host. When hosts kept no
+//! state about a request after its end, they took each copy for a new request: it crashed engine after engine and
+//! broke off all other responses there. In the logs, three lines of different hosts with different IDs name one
+//! engine at one time; the next engine crashes under another copy half a second later:
 //!
 //! ```text
 //! 48.10 event=stream_broke backend=i-a6ed3810cf events=0 after_ms=65
@@ -309,8 +309,8 @@
 /// Guards against a fingerprint that depends on the caller's address.
 ///
 /// A caller behind several gateways sends each copy from another address. When the address was part of the
-/// fingerprint, the copies of each gateway counted as another request, and 16 and 21 engines crashed, although all
-/// copies had the same `prompt=` and `guess=` in the log.
+/// fingerprint, the copies of each gateway counted as another request, and 16 and 21 engines crashed. In the log,
+/// all copies have the same `prompt=` and `guess=`, and each host has only the copies from its own location.
 #[tokio::test(start_paused = true)]
 async fn copies_from_other_addresses_are_the_same_request() {
     for path in ["/stream/1", "/again/1"] {
--- a/crates/dillspool_routerd/tests/fleet/counted.rs
+++ b/crates/dillspool_routerd/tests/fleet/counted.rs
@@ -38,7 +38,7 @@
     SocketAddr::new(node(0, 0), 1)
 }
 
-/// Hosts in several failure domains and a store with its rows; no backend servers run.
+/// Hosts in several failure domains and a store with its rows; the backend servers need not run.
 pub struct CountedFleet {
     pub net: MemoryNet,
     pub store: StandinStore,
--- a/crates/dillspool_routerd/tests/fleet/mod.rs
+++ b/crates/dillspool_routerd/tests/fleet/mod.rs
@@ -233,7 +233,7 @@
         tokio::task::yield_now().await;
     }
 
-    /// Starts a host, anew if it was killed.
+    /// Starts a host, also again after it was stopped.
     pub async fn start_host(&self, number: usize) {
         *self.hosts[number].1.lock().await = Some(self.daemon(number).await);
     }
