--- a/crates/dillspool_calls/src/policy.rs
+++ b/crates/dillspool_calls/src/policy.rs
@@ -13,8 +13,8 @@
     /// Time from the end of a call until the next one reaches the server. Shorter calls need more
     /// calls beyond the slots.
     pub transit: Duration,
-    /// Standard deviations of the number of calls that end within `transit` that the calls beyond
-    /// the slots cover, as calls may end in bursts.
+    /// Margin of the calls beyond the slots, in standard deviations of the number of calls that end
+    /// within `transit`, for calls that end in bursts.
     pub transit_reserve: f64,
     /// Latency assumed before any call of the service was answered, for a start under load.
     pub assumed_latency: Duration,
@@ -33,7 +33,7 @@
     pub arrival_memory: Duration,
     /// Margin of an on-time call when it is submitted, beyond its predicted wait and the mean
     /// latency, in mean deviations of the latency. Applies while calls arrive no faster than they
-    /// are completed, for slow spells, whose backlog is soon gone.
+    /// are completed, for short slowdowns, whose backlog soon clears.
     pub margin_calm: f64,
     /// The same margin while calls arrive faster than they are completed by `surge_part` or more;
     /// between the two it is interpolated. Without it, a long surge would fill the queue with calls
@@ -46,8 +46,8 @@
     pub surge_part: f64,
     /// Time constant of the decay of a past surge, for callers that return after it.
     pub surge_memory: Duration,
-    /// Margin of a call that waits already, in mean deviations of the latency. It is lower, so that
-    /// a small change of the completion rate rejects no waiting calls.
+    /// Margin of a call that waits already, in mean deviations of the latency. It is lower than at
+    /// submission, so that a small change of the completion rate rejects no waiting calls.
     pub margin_waiting: f64,
     /// Margin of a late call when it is submitted, as a fraction of its predicted wait, for an
     /// oscillating load, in which the capacity left to late calls changes while they wait.
@@ -76,8 +76,9 @@
     /// Consecutive calls without a proper answer before a server's circuit opens, for servers that
     /// are gone or hang.
     pub lost_before_rest: u32,
-    /// Probability that such a run of losses must not exceed at the usual failure rate, for
-    /// services of which all servers fail partially, where open circuits would only cost capacity.
+    /// Highest probability of such a run of losses, at the usual failure rate, at which the circuit
+    /// opens, for services of which all servers fail partially, where open circuits would only cost
+    /// capacity.
     pub row_chance: f64,
     /// Consecutive rejected calls before a server's circuit opens, for servers that reject at once
     /// and therefore look idle.
--- a/crates/dillspool_calls/src/queue.rs
+++ b/crates/dillspool_calls/src/queue.rs
@@ -19,7 +19,7 @@
 use crate::snapshot::QueueSnapshot;
 use crate::wait_queue::{BucketRank, QueuePosition, WaitQueue};
 
-/// Number of waiting calls that one poll skips at most because they must not be sent to the servers
+/// Maximum number of waiting calls that one poll skips because they must not be sent to the servers
 /// that have capacity. Such calls are few, and searching all of them would cost too much.
 const MAX_SKIPPED_CALLS: usize = 32;
 
