--- a/crates/dillspool_roles/src/lease.rs
+++ b/crates/dillspool_roles/src/lease.rs
@@ -24,8 +24,8 @@
 /// Factor by which another host waits longer than the platform requires.
 const TAKEOVER_WAIT_FACTOR: u32 = 2;
 
-/// Number of the newest ordered engines that the row lists at most: a pool is ordered some engines
-/// at a time, and a row may have 64 KB.
+/// Maximum number of ordered engines that the row lists; the oldest are dropped. Only some engines
+/// of a pool are ordered at a time, and a row may have 64 KB.
 const MAX_ORDERED: usize = 512;
 
 /// The lease row, which names the holder.
@@ -184,8 +184,8 @@
             Some((row, version)) => (RowPrecondition::Version(version), row),
             None => (RowPrecondition::Absent, LeaseRow::empty(0)),
         };
-        // Higher than all fencing tokens of earlier eras, and of rows that were overwritten because
-        // a condition held by chance.
+        // Higher than all fencing tokens of earlier eras, and than those of rows that another write
+        // replaced because its precondition held by chance.
         let fence = previous.fence.max(read_at.into()) + 1;
         let mut ordered = previous.ordered;
         let mut all_targets = previous.targets;
--- a/crates/dillspool_roles/src/plan.rs
+++ b/crates/dillspool_roles/src/plan.rs
@@ -8,8 +8,8 @@
 /// needed more.
 const MIN_POOL_FOR_PREFILL_SWITCH: usize = 4;
 
-/// Margin of the initial number of prefill engines at least, as a fraction of an engine: rounding
-/// up by less would leave a small pool no margin, such as two engines for a share of 1.8
+/// Minimum margin of the initial number of prefill engines, as a fraction of an engine. Rounding up
+/// by less, such as from a share of 1.8 engines to two, would leave a small pool no margin
 /// (`docs/design/split.md`).
 const MIN_INITIAL_MARGIN: f64 = 0.25;
 /// Fraction of a pool's decode engines that is switched to prefill at once: each is unavailable
--- a/crates/dillspool_roles/src/targets.rs
+++ b/crates/dillspool_roles/src/targets.rs
@@ -16,9 +16,9 @@
 /// fewest from which lengths that vary by half of their mean give a mean within a fifth.
 const MIN_OBSERVATIONS: f64 = 8.0;
 
-/// Number of engines that may be switched from the stage in which they were found while the load
-/// does not require it. An order costs an engine its work for seconds, so a large pool switches no
-/// engines that it does not need.
+/// Maximum number of engines that are switched from the stage in which they were found while the
+/// load does not require it. An order costs an engine its work for seconds, so a large pool
+/// switches no engines that it does not need.
 const MAX_SWITCHES_WITHOUT_LOAD: usize = 16;
 /// Load of a stage from which on it requires more engines: in a burst of ten times as many requests
 /// it would be full.
@@ -44,8 +44,8 @@
     learned: HashMap<Name, LearnedTarget>,
     /// Highest number of engines seen in each pool: crashed engines mostly return.
     max_engines_seen: HashMap<Name, usize>,
-    /// Highest number of prefill engines seen in each pool: as many as were found, unless some were
-    /// switched since.
+    /// Highest number of prefill engines seen in each pool. It is the number found at the start,
+    /// unless some engines were switched since.
     found_prefill: HashMap<Name, usize>,
 }
 
@@ -55,9 +55,9 @@
     target: SplitTarget,
     /// The target that the lease holders last agreed on, as far as this host knows.
     agreed: Option<usize>,
-    /// Whether it was decided by observation, here or by another host. A target that follows from
-    /// the initial share was not: a host that knows few engines yet would set too low a number for
-    /// all hosts.
+    /// Whether it was decided by observation, here or by another host. Otherwise it follows from the
+    /// initial share and is not written to the lease row: a host that knows few engines yet would
+    /// set too low a number for all hosts.
     is_decided: bool,
 }
 
