--- a/crates/dillspool_capacity/src/target.rs
+++ b/crates/dillspool_capacity/src/target.rs
@@ -19,8 +19,8 @@
 const DECREASE_DELAY: Duration = Duration::from_secs(2);
 /// Time for which the required number must stay above the target. A decode engine completes its
 /// answers before it changes its role and is unavailable for ten seconds or more, which costs up to
-/// a tenth of the value of half a minute (`docs/DECIDING.md`). A shorter deviation, such as a
-/// burst, does not repay this.
+/// a tenth of the value of half a minute (`docs/DECIDING.md`). A deviation of less than a minute,
+/// such as a burst, does not repay this.
 const INCREASE_DELAY: Duration = Duration::from_mins(1);
 
 /// The target of a pool as known to this host.
