--- a/crates/dillspool_part/tests/subsets.rs
+++ b/crates/dillspool_part/tests/subsets.rs
@@ -39,7 +39,7 @@
             max_held: 450,
         },
         SubsetCase {
-            name: "many backend servers a host: each has a host that sends to it",
+            name: "many backend servers per host: each has a host that sends to it",
             counts: vec![("llm", 20_000)],
             hosts: 200,
             max_held: 4_000,
