--- a/crates/dillspool_watch/src/follow.rs
+++ b/crates/dillspool_watch/src/follow.rs
@@ -23,7 +23,7 @@
     Alone,
     /// The host's own polls, which other hosts also rely on.
     Source,
-    /// The polls of a source, while one is fresh.
+    /// The polls of a source, while its relay messages are fresh.
     Relayed,
 }
 
--- a/crates/dillspool_watch/src/relay/server.rs
+++ b/crates/dillspool_watch/src/relay/server.rs
@@ -87,7 +87,7 @@
         TableSubset::for_counts(seed, &counts).map(Arc::new)
     }
 
-    /// Assigns a peer a new subset if the table has outgrown its current one.
+    /// Assigns a peer a new subset if its current one no longer fits the size of the table.
     fn check_subset(&self, table: &mut SentTable, seed: u64) {
         if table.rows_since_check < SUBSET_CHECK_ROWS
             && table.checked_at.elapsed() < SUBSET_CHECK_INTERVAL
@@ -228,7 +228,7 @@
 /// Accepts a peer's connection and reads its options.
 async fn accept(stream: NetStream) -> Result<(WebSocketStream<NetStream>, RelayOptions), String> {
     let mut options = RelayOptions::default();
-    #[expect(clippy::result_large_err, reason = "the library's own type of an answer")]
+    #[expect(clippy::result_large_err, reason = "the response type of the library")]
     let read_path = |request: &HandshakeRequest, response: HandshakeResponse| {
         options = RelayOptions::from_path(request.uri().path());
         Ok(response)
