--- a/crates/dillspool_forward/src/plain.rs
+++ b/crates/dillspool_forward/src/plain.rs
@@ -300,7 +300,7 @@
                 chunks,
                 body,
                 entry,
-                _ticket: load_guard,
+                _load: load_guard,
                 sent_at,
                 call: None,
             };
--- a/crates/dillspool_forward/src/response_body.rs
+++ b/crates/dillspool_forward/src/response_body.rs
@@ -45,7 +45,7 @@
     request: &RoutedRequest,
     body: ResponseBody,
 ) -> Result<BufferedBody, BoxError> {
-    let Some(terms) = request.held_bytes.limits() else {
+    let Some(limits) = request.held_bytes.limits() else {
         return read_response_body(body, MAX_BUFFERED_BYTES).await.map(BufferedBody::Complete);
     };
     if !request.accepts_chunked && body.size_hint().exact().is_none() {
@@ -56,7 +56,7 @@
     }
     let mut body = body;
     let mut chunks = ChargedChunks::default();
-    while chunks.length <= terms.max_buffered_response_bytes {
+    while chunks.length <= limits.max_buffered_response_bytes {
         match next_chunk(&request.held_bytes, &mut body).await? {
             Some((bytes, guard)) => chunks.push(bytes, guard),
             None => return Ok(BufferedBody::Complete(chunks.join())),
@@ -141,7 +141,7 @@
     pub(crate) body: ResponseBody,
     pub(crate) entry: Arc<BackendEntry>,
     /// Held until the last byte is read.
-    pub(crate) _ticket: LoadGuard,
+    pub(crate) _load: LoadGuard,
     /// When the request was sent.
     pub(crate) sent_at: Moment,
     /// The call's slot at the host that schedules the service, held until the last byte is read.
@@ -222,7 +222,8 @@
     async fn relay_chunks(&mut self, sender: &ChunkSender) -> RelayOutcome {
         let (context, request) = (self.context.clone(), Arc::clone(&self.request));
         let entry = Arc::clone(&self.response.entry);
-        let stall = request.held_bytes.limits().map_or(Duration::MAX, |terms| terms.stall_timeout);
+        let stall =
+            request.held_bytes.limits().map_or(Duration::MAX, |limits| limits.stall_timeout);
         let mut cutoff = std::pin::pin!(async {
             tokio::select! {
                 () = request.wait_for_deadline() => "the deadline passed",
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -286,20 +286,20 @@
 
     /// A client that schedules locally from a directory, without a remote scheduler.
     fn schedule(directory: &watch::Receiver<Arc<DirectoryView>>) -> ScheduleClient {
-        let desk = PlacementScheduler::new(
+        let scheduler = PlacementScheduler::new(
             AdmissionPolicy::default(),
             1,
             DemandMeter::default(),
             HostClock::steady(),
         );
-        desk.set_pools(&config(), &directory.borrow());
+        scheduler.set_pools(&config(), &directory.borrow());
         let (sender, known) = watch::channel(Some(Arc::new(config())));
-        let (running, directory) = (desk.clone(), directory.clone());
+        let (running, directory) = (scheduler.clone(), directory.clone());
         tokio::spawn(async move {
             running.run(known, directory, CancellationToken::new()).await;
             drop(sender);
         });
-        ScheduleClient::new(desk, idle_bus())
+        ScheduleClient::new(scheduler, idle_bus())
     }
 
     /// A context over the site and the sender of its directory.
--- a/crates/dillspool_forward/tests/prefills.rs
+++ b/crates/dillspool_forward/tests/prefills.rs
@@ -148,8 +148,8 @@
         *site.prefill_takes.lock().unwrap() = Duration::from_millis(2);
         let (mut context, _directory) = site.context(view(engines.chain([decode])));
         let window = Duration::from_secs(10);
-        let terms = BudgetSettings { ratio: 0.0, window, extra: case.budget };
-        context.budgets = RetryBudgets::new(terms, HostClock::steady());
+        let settings = BudgetSettings { ratio: 0.0, window, extra: case.budget };
+        context.budgets = RetryBudgets::new(settings, HostClock::steady());
         context.budgets.set_host_count(1);
         for _second in 0..9 {
             let all = (0..case.concurrent).map(|_request| {
--- a/crates/dillspool_forward/tests/scheduled_calls.rs
+++ b/crates/dillspool_forward/tests/scheduled_calls.rs
@@ -49,8 +49,8 @@
 /// A host that schedules its own calls, and the directory of its scheduler.
 struct SchedulingHost {
     context: ForwardContext,
-    desk: CallScheduler,
-    desk_view: watch::Sender<Arc<DirectoryView>>,
+    scheduler: CallScheduler,
+    scheduler_view: watch::Sender<Arc<DirectoryView>>,
     directory: watch::Sender<Arc<DirectoryView>>,
     _config: watch::Sender<Option<Arc<RoutingConfig>>>,
 }
@@ -68,26 +68,26 @@
         clock: HostClock,
     ) -> Self {
         let (mut context, directory) = site.context(known.clone());
-        let terms = CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() };
-        let desk = CallScheduler::new(terms, 1, clock);
+        let settings = CallSchedulerSettings { slots_per_host, ..CallSchedulerSettings::default() };
+        let scheduler = CallScheduler::new(settings, 1, clock);
         let (config_sender, config) = watch::channel(Some(Arc::new(config())));
-        let (desk_view, views) = watch::channel(Arc::new(known));
-        tokio::spawn(desk.clone().run(config, views, || Some(3), CancellationToken::new()));
-        context.call_client = CallClient::new(desk.clone());
+        let (scheduler_view, views) = watch::channel(Arc::new(known));
+        tokio::spawn(scheduler.clone().run(config, views, || Some(3), CancellationToken::new()));
+        context.call_client = CallClient::new(scheduler.clone());
         tokio::time::sleep(Duration::from_millis(5)).await;
-        Self { context, desk, desk_view, directory, _config: config_sender }
+        Self { context, scheduler, scheduler_view, directory, _config: config_sender }
     }
 
     /// Limit of calls in flight.
     fn limit(&self) -> usize {
-        let snapshots = self.desk.snapshots();
+        let snapshots = self.scheduler.snapshots();
         let servers = snapshots.iter().flat_map(|(_service, snapshot)| &snapshot.servers);
         servers.map(|server| server.limit as usize).sum()
     }
 
     /// Calls that are queued or in flight.
     fn held_calls(&self) -> usize {
-        let snapshots = self.desk.snapshots();
+        let snapshots = self.scheduler.snapshots();
         let count = snapshots.iter().map(|(_service, snapshot)| {
             let in_flight: u32 = snapshot.servers.iter().map(|server| server.in_flight).sum();
             snapshot.waiting + in_flight as usize
@@ -153,7 +153,7 @@
             site.script("first", [case.first.clone()]);
             let known = view([two_slot_server("first", "near"), two_slot_server("second", "far")]);
             let host = SchedulingHost::start(&site, known, slots_per_host).await;
-            assert_eq!(host.desk.is_scheduled("service"), is_scheduled, "{name}");
+            assert_eq!(host.scheduler.is_scheduled("service"), is_scheduled, "{name}");
             let routed = request(case.kind, case.max_attempts, false);
             let response = handle_request(host.context.clone(), routed).await;
             assert_eq!(response.status().as_u16(), case.status, "{name}");
@@ -161,7 +161,11 @@
             let record = site.record.lock().unwrap();
             assert_eq!(record.arrivals.len(), case.arrivals, "{name}");
             assert_eq!(host.held_calls(), 0, "{name}: a slot stays taken");
-            assert_eq!(host.desk.snapshots().is_empty(), !is_scheduled, "{name}: an unused queue");
+            assert_eq!(
+                host.scheduler.snapshots().is_empty(),
+                !is_scheduled,
+                "{name}: an unused queue"
+            );
         }
     }
 }
@@ -187,7 +191,7 @@
             let routed = request(NonIdempotent, 1, false);
             let _response = handle_request(host.context.clone(), routed).await;
         }
-        let (_service, snapshot) = host.desk.snapshots().pop().expect("a queue");
+        let (_service, snapshot) = host.scheduler.snapshots().pop().expect("a queue");
         assert_eq!(snapshot.servers[0].is_circuit_open, expected, "{step:?} {calls} times");
     }
 }
@@ -354,18 +358,18 @@
         let site = ScriptedSite::default();
         let known = view([two_slot_server("first", "near"), two_slot_server("second", "far")]);
         let host = SchedulingHost::start(&site, known.clone(), 10.0).await;
-        let (mut scheduler, mut own) = (known.clone(), known);
-        (case.scheduler)(&mut scheduler);
-        (case.own)(&mut own);
-        host.desk_view.send_replace(Arc::new(scheduler));
-        host.directory.send_replace(Arc::new(own));
+        let (mut scheduler_view, mut own_view) = (known.clone(), known);
+        (case.scheduler)(&mut scheduler_view);
+        (case.own)(&mut own_view);
+        host.scheduler_view.send_replace(Arc::new(scheduler_view));
+        host.directory.send_replace(Arc::new(own_view));
         tokio::time::sleep(Duration::from_millis(5)).await;
         for id in case.backing_off {
             let backend = BackendInstance { id: (*id).into(), start: Some(BackendStart(1)) };
             let sent = host.context.throttle.record_send(backend);
             sent.record_response(RateNotice::Unlimited, BackoffNotice::For(Duration::from_secs(3)));
         }
-        assert!(host.desk.is_scheduled("service"), "{}", case.name);
+        assert!(host.scheduler.is_scheduled("service"), "{}", case.name);
         let started = Instant::now();
         let response = handle_request(host.context.clone(), request(NonIdempotent, 1, false)).await;
         assert_eq!(response.status().as_u16(), case.status, "{}", case.name);
--- a/crates/dillspool_forward/tests/streams.rs
+++ b/crates/dillspool_forward/tests/streams.rs
@@ -208,8 +208,8 @@
     site.script("decode-1", [Step::NotRun(503)]);
     site.script("decode-2", [Step::NotRun(503)]);
     let (mut context, _directory) = site.context(pool());
-    let terms = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
-    context.budgets = RetryBudgets::new(terms, HostClock::steady());
+    let settings = BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 8.0 };
+    context.budgets = RetryBudgets::new(settings, HostClock::steady());
     context.budgets.set_host_count(8);
     for _request in 0..100 {
         let routed = request(RequestKind::Streaming, 2, false);
--- a/crates/dillspool_forward/tests/suspended.rs
+++ b/crates/dillspool_forward/tests/suspended.rs
@@ -121,8 +121,8 @@
 #[tokio::test(start_paused = true)]
 async fn the_retry_budget_window_includes_suspended_time() {
     let jumps = ClockJumps::default();
-    let terms = BudgetSettings { ratio: 0.0, window: Duration::from_secs(10), extra: 4.0 };
-    let budgets = RetryBudgets::new(terms, jumps.clock());
+    let settings = BudgetSettings { ratio: 0.0, window: Duration::from_secs(10), extra: 4.0 };
+    let budgets = RetryBudgets::new(settings, jumps.clock());
     budgets.set_host_count(1);
     let service = "service".into();
     let taken = (0..10).filter(|_try| budgets.try_withdraw(&service)).count();
--- a/crates/dillspool_forward/tests/throttle.rs
+++ b/crates/dillspool_forward/tests/throttle.rs
@@ -196,7 +196,7 @@
 /// Links host 1 to host 2, the holder of the backend servers' limits.
 async fn link_to_holder(net: &MemoryNet, limits: &LimitClient, cancel: &CancellationToken) {
     let clock = HostClock::steady();
-    let desks = ScheduleServices {
+    let services = ScheduleServices {
         pools: PlacementScheduler::new(
             AdmissionPolicy::default(),
             1,
@@ -209,7 +209,7 @@
         bus: FleetBus::new(BusHandlers::none(), clock),
     };
     let listener = net.stack(peer(2).ip()).listen(peer(2)).await.expect("a free address");
-    tokio::spawn(serve_schedule(listener, desks, cancel.clone()));
+    tokio::spawn(serve_schedule(listener, services, cancel.clone()));
     let peers =
         |_share: &str| SchedulePeers { own_address: Some(peer(1)), ranked: vec![peer(2), peer(1)] };
     let (limits, stack) = (limits.clone(), net.stack(peer(1).ip()));
