--- a/crates/dillspool_calls/src/server.rs
+++ b/crates/dillspool_calls/src/server.rs
@@ -245,8 +245,8 @@
             CallOutcome::Lost => {
                 let elsewhere = elsewhere.unwrap_or(0.0);
                 self.breaker.record_lost(sent.sent_at, elsewhere, policy, now);
-                // The limit of a server that reports its slots follows from these. If it loses calls,
-                // load is not the cause, and a lower limit would only cost capacity.
+                // The limit of a server that reports its slots follows from these. If it loses
+                // calls, load is not the cause, and a lower limit would only cost capacity.
                 let is_learned = self.server.slots.is_none();
                 if is_learned && self.breaker.failure_rate(now) > policy.cut_factor * elsewhere {
                     self.limit.record_overload(self.mean_latency, policy, now);
--- a/crates/dillspool_roles/src/targets.rs
+++ b/crates/dillspool_roles/src/targets.rs
@@ -55,9 +55,9 @@
     target: SplitTarget,
     /// The target that the lease holders last agreed on, as far as this host knows.
     agreed: Option<usize>,
-    /// Whether it was decided by observation, here or by another host. Otherwise it follows from the
-    /// initial share and is not written to the lease row: a host that knows few engines yet would
-    /// set too low a number for all hosts.
+    /// Whether it was decided by observation, here or by another host. Otherwise it follows from
+    /// the initial share and is not written to the lease row: a host that knows few engines yet
+    /// would set too low a number for all hosts.
     is_decided: bool,
 }
 
