--- a/crates/dillspool_metrics/src/lib.rs
+++ b/crates/dillspool_metrics/src/lib.rs
@@ -1,7 +1,7 @@
-//! What all daemons need to show metrics: labels and the page in the text form of Prometheus.
+//! Metrics exposition shared by all daemons: labels and the scrape response, in `OpenMetrics` text format.
 
+mod exposition;
 mod labels;
-mod page;
 
+pub use exposition::{metrics_response, metrics_text};
 pub use labels::write_labels;
-pub use page::{metrics_page, metrics_text};
