--- a/crates/dillspool_pool/src/queue.rs
+++ b/crates/dillspool_pool/src/queue.rs
@@ -170,7 +170,7 @@
 
     /// Removes groups whose virtual finish time lies behind their class, to bound memory.
     ///
-    /// It visits every group, so it does nothing until [`CLEANUP_INTERVAL_ARRIVALS`] further arrivals.
+    /// It visits every group, so it does nothing until `CLEANUP_INTERVAL_ARRIVALS` further arrivals.
     pub fn remove_idle_groups(&mut self) {
         if self.arrivals < self.next_cleanup {
             return;
