--- a/crates/dillspool_limits/tests/fleet.rs
+++ b/crates/dillspool_limits/tests/fleet.rs
@@ -67,8 +67,8 @@
 /// Phases of the hosts' local quotas for limits of backend servers.
 const PHASES: [f64; HOSTS] = [0.0, 0.125, 0.25, 0.375, 0.5, 0.625, 0.75, 0.875];
 
-/// Far below a request a second, what one backend server of a small fleet accepts, and more than a
-/// host requests.
+/// Its rates: far below one request a second, what one backend server of a small fleet accepts, and
+/// more than a host requests.
 const BACKEND_SERVERS: LimitKind = LimitKind {
     name: "backend servers",
     holder: LimitHolder::for_backend_servers,
