--- a/crates/dillspool_bench/src/policy.rs
+++ b/crates/dillspool_bench/src/policy.rs
@@ -8,8 +8,8 @@
 use clap::ValueEnum;
 use dillspool_config::ConfigSnapshot;
 use dillspool_engine::{EngineClient, LoadReport};
-use dillspool_entry::{PlacementDesk, ReserveReply};
-use dillspool_host::DeskChoice;
+use dillspool_entry::{PlacementClient, ReserveReply};
+use dillspool_host::PlacementOverride;
 use dillspool_schema::Name;
 use dillspool_schema::configuration::{BackendEntry, BackendRole};
 use dillspool_schema::messages::{PlacementGrant, ReserveAnswer, ReserveMessage};
@@ -52,12 +52,12 @@
     }
 
     /// The desk that replaces the scheduler, `None` for the scheduler itself.
-    pub(crate) fn desk(self, seed: u64) -> Option<DeskChoice> {
+    pub(crate) fn desk(self, seed: u64) -> Option<PlacementOverride> {
         if self == Self::Scheduler {
             return None;
         }
         let build = move |config, engines| baseline_desk(self, seed, config, engines);
-        Some(DeskChoice { build: Arc::new(build) })
+        Some(PlacementOverride { build: Arc::new(build) })
     }
 }
 
@@ -76,7 +76,7 @@
     seed: u64,
     config: ConfigWatch,
     engines: EngineClient,
-) -> PlacementDesk {
+) -> PlacementClient {
     let state = Arc::new(BaselineState {
         policy,
         turn: AtomicUsize::new(0),
@@ -86,7 +86,7 @@
     if policy != PolicyName::RoundRobin {
         tokio::spawn(read_reports(Arc::clone(&state), config.clone(), engines));
     }
-    PlacementDesk {
+    PlacementClient {
         reserve: Arc::new(move |message| {
             let (state, config) = (Arc::clone(&state), config.clone());
             Box::pin(async move { state.place(&config, &message) })
--- a/crates/dillspool_forward/tests/common/mod.rs
+++ b/crates/dillspool_forward/tests/common/mod.rs
@@ -22,8 +22,8 @@
     ServiceEntry, ServiceShare,
 };
 use dillspool_scheduler::{
-    BusHandlers, CallClient, CallDesk, CallTerms, FleetBus, LimitClient, LimitDesk, LimitTerms,
-    PoolDesk, ScheduleClient,
+    BusHandlers, CallClient, CallScheduler, CallSchedulerSettings, FleetBus, LimitClient,
+    PlacementScheduler, RateLimiter, RateLimiterSettings, ScheduleClient,
 };
 use dillspool_suspects::{
     FingerprintInput, FingerprintKey, RequestFingerprint, SuspectPolicy, SuspectTracker,
@@ -286,20 +286,20 @@
 
     /// A client that schedules locally from a directory, without a remote scheduler.
     fn schedule(directory: &watch::Receiver<Arc<DirectoryView>>) -> ScheduleClient {
-        let desk = PoolDesk::new(
+        let scheduler = PlacementScheduler::new(
             AdmissionPolicy::default(),
             1,
             DemandMeter::default(),
             HostClock::steady(),
         );
-        desk.set_pools(&config(), &directory.borrow());
+        scheduler.set_pools(&config(), &directory.borrow());
         let (sender, known) = watch::channel(Some(Arc::new(config())));
-        let (running, directory) = (desk.clone(), directory.clone());
+        let (running, directory) = (scheduler.clone(), directory.clone());
         tokio::spawn(async move {
             running.run(known, directory, CancellationToken::new()).await;
             drop(sender);
         });
-        ScheduleClient::new(desk, idle_bus())
+        ScheduleClient::new(scheduler, idle_bus())
     }
 
     /// A context over the site and the sender of its directory.
@@ -309,7 +309,7 @@
     ) -> (ForwardContext, watch::Sender<Arc<DirectoryView>>) {
         let (sender, directory) = watch::channel(Arc::new(view));
         let schedule = Self::schedule(&directory);
-        let calls = CallDesk::new(CallTerms::default(), 1, HostClock::steady());
+        let calls = CallScheduler::new(CallSchedulerSettings::default(), 1, HostClock::steady());
         let budget =
             BudgetSettings { ratio: 0.2, window: Duration::from_secs(10), extra: 1_000_000.0 };
         let context = ForwardContext {
@@ -318,12 +318,15 @@
             directory,
             schedule,
             call_client: CallClient::new(calls),
-            limits: LimitClient::new(LimitDesk::new(
-                LimitTerms { slack: 0.0, shares: 2 },
+            limits: LimitClient::new(RateLimiter::new(
+                RateLimiterSettings { slack: 0.0, shares: 2 },
                 HostClock::steady(),
             )),
             throttle: ThrottleTracker::new(HostClock::steady()),
-            backend_limits: LimitClient::new(LimitDesk::of_backend_servers(2, HostClock::steady())),
+            backend_limits: LimitClient::new(RateLimiter::for_backend_servers(
+                2,
+                HostClock::steady(),
+            )),
             backend_tracker: BackendTracker::default(),
             budgets: RetryBudgets::new(budget, HostClock::steady()),
             probes: BackendProbes::default(),
--- a/crates/dillspool_router/src/status.rs
+++ b/crates/dillspool_router/src/status.rs
@@ -1,13 +1,13 @@
-//! Readiness and metrics of a host.
+//! Readiness and metrics endpoints of a host.
 
 use std::sync::Arc;
 
 use dillspool_io::{HttpHandler, handler, text_response};
-use dillspool_metrics::metrics_page;
+use dillspool_metrics::metrics_response;
 use hyper::StatusCode;
 use prometheus_client::registry::Registry;
 
-/// Answers 200 while `is_ready`, else 503, whatever the path.
+/// Responds with 200 while `is_ready`, otherwise with 503, for any path.
 pub(crate) fn readiness_handler(
     is_ready: impl Fn() -> bool + Send + Sync + 'static,
 ) -> HttpHandler {
@@ -23,7 +23,7 @@
     })
 }
 
-/// Answers with all metrics as text, as they are after `refresh`.
+/// Responds with all metrics as text, after calling `refresh`.
 pub(crate) fn metrics_handler(
     registry: Registry,
     refresh: impl Fn() + Send + Sync + 'static,
@@ -31,7 +31,7 @@
     let registry = Arc::new(registry);
     handler(move |_request| {
         refresh();
-        let page = metrics_page(&registry);
+        let page = metrics_response(&registry);
         async move { page }
     })
 }
--- a/crates/dillspool_router/src/belief_metrics.rs
+++ b/crates/dillspool_router/src/store_metrics.rs
@@ -1,4 +1,4 @@
-//! What a host believes, as gauges that are read when they are scraped.
+//! Metrics of the replicated tables, updated on each scrape.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -15,77 +15,75 @@
 
 use crate::unreadable_rows::TableLabels;
 
-/// A service and the part that its backend servers play.
+/// A service, and the role and state of its backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct BackendLabels {
     service: Name,
     /// `prefill`, `decode` or `plain`.
-    part: &'static str,
+    role: &'static str,
     /// `ready` or `draining`.
     state: &'static str,
 }
 
 impl BackendLabels {
     fn of(entry: &BackendEntry, view: &DirectoryView) -> Self {
-        let part = match entry.stage {
+        let role = match entry.stage {
             Some(EngineStage::Prefill) => "prefill",
             Some(EngineStage::Decode) => "decode",
             None => "plain",
         };
         let state = if view.accepts_requests(entry) { "ready" } else { "draining" };
-        Self { service: Name::clone(&entry.service), part, state }
+        Self { service: Name::clone(&entry.service), role, state }
     }
 }
 
 impl EncodeLabelSet for BackendLabels {
     fn encode(&self, encoder: &mut LabelSetEncoder<'_>) -> Result<(), std::fmt::Error> {
-        let labels = [("service", &*self.service), ("part", self.part), ("state", self.state)];
+        let labels = [("service", &*self.service), ("part", self.role), ("state", self.state)];
         write_labels(encoder, &labels)
     }
 }
 
-/// Gauges of the directory, the configuration and the store's reach.
+/// Gauges of the directory, the configuration and the reachability of the store.
 #[derive(Clone, Debug)]
-pub(crate) struct BeliefMetrics {
+pub(crate) struct StoreMetrics {
     config: watch::Receiver<Option<Arc<RoutingConfig>>>,
     directory: watch::Receiver<Arc<DirectoryView>>,
-    reach: watch::Receiver<StoreReachability>,
+    reachability: watch::Receiver<StoreReachability>,
     tables: Vec<SharedReplica>,
     table_ages: Family<TableLabels, Gauge<f64, AtomicU64>>,
     backends: Family<BackendLabels, Gauge>,
     config_version: Gauge,
-    store_in_reach: Gauge,
+    store_reachable: Gauge,
     store_era: Gauge,
 }
 
-impl BeliefMetrics {
-    /// Gauges of these beliefs.
+impl StoreMetrics {
     pub(crate) fn new(
         config: watch::Receiver<Option<Arc<RoutingConfig>>>,
         directory: watch::Receiver<Arc<DirectoryView>>,
-        reach: watch::Receiver<StoreReachability>,
+        reachability: watch::Receiver<StoreReachability>,
         tables: Vec<SharedReplica>,
     ) -> Self {
         Self {
             config,
             directory,
-            reach,
+            reachability,
             tables,
             table_ages: Family::default(),
             backends: Family::default(),
             config_version: Gauge::default(),
-            store_in_reach: Gauge::default(),
+            store_reachable: Gauge::default(),
             store_era: Gauge::default(),
         }
     }
 
-    /// Registers all gauges.
     pub(crate) fn register(&self, registry: &mut Registry) {
         registry.register("backends", "Backend servers in use", self.backends.clone());
         let version = self.config_version.clone();
         registry.register("config_version", "Configuration version in force", version);
-        let in_reach = self.store_in_reach.clone();
-        registry.register("store_in_reach", "Whether the store is heard of, 0 or 1", in_reach);
+        let reachable = self.store_reachable.clone();
+        registry.register("store_in_reach", "Whether the store is heard of, 0 or 1", reachable);
         let era = self.store_era.clone();
         registry.register("store_era", "How often the store came back from a copy", era);
         let ages = self.table_ages.clone();
@@ -97,21 +95,21 @@
         );
     }
 
-    /// Takes over what is believed now.
+    /// Updates the gauges to the current values.
     pub(crate) fn refresh(&self) {
         let version = self.config.borrow().as_ref().map_or(0, |config| config.version);
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
-        self.store_in_reach.set(i64::from(self.reach.borrow().is_reachable()));
-        let era = self.reach.borrow().era.number();
+        self.store_reachable.set(i64::from(self.reachability.borrow().is_reachable()));
+        let era = self.reachability.borrow().era.number();
         self.store_era.set(i64::try_from(era).unwrap_or(i64::MAX));
         for table in &self.tables {
-            // A table that was never heard of has no age yet.
+            // A table that was never received has no age yet.
             if let Some(age) = table.age() {
                 let labels = TableLabels { table: Name::clone(&table.table) };
                 self.table_ages.get_or_create(&labels).set(age.as_secs_f64());
             }
         }
-        // A part that nobody plays any more must not keep its last count.
+        // A role without backend servers must not keep its last count.
         self.backends.clear();
         let view = Arc::clone(&self.directory.borrow());
         for entry in view.entries.values() {
--- a/crates/dillspool_routerd/src/lib.rs
+++ b/crates/dillspool_routerd/src/lib.rs
@@ -1,11 +1,11 @@
-//! What the daemon of a routing host on a prepared platform plugs into the router.
+//! Connects the router to the protocol of a prepared platform.
 
 use dillspool_io::{HostClock, HttpClient, NetStack};
 use dillspool_leaving::LeavingTracker;
 use dillspool_router::{RouterConfig, SiteProtocol};
 use dillspool_throttle::ThrottleTracker;
 
-/// The prepared platform's protocol over a network.
+/// Builds the protocol that the router uses to reach the prepared platform over `stack`.
 pub fn prepared_platform(
     stack: &NetStack,
     config: &RouterConfig,
@@ -15,8 +15,8 @@
     let throttle = ThrottleTracker::new(clock.clone());
     let leaving = LeavingTracker::new(clock.clone());
     SiteProtocol {
-        extract_metadata: dillspool_site::take_terms,
-        set_request_id: dillspool_site::mark_answer,
+        extract_metadata: dillspool_site::extract_metadata,
+        set_request_id: dillspool_site::set_request_id,
         decode_config: dillspool_site::decode_config,
         decode_backend: dillspool_site::decode_backend,
         drained_domain: dillspool_site::drained_domain,
@@ -27,7 +27,7 @@
         throttle,
         leaving,
         watch: dillspool_site::table_watch(&http, config.store, config.store_timeout),
-        store: dillspool_site::host_table(&http, config.store, config.store_timeout),
+        store: dillspool_site::table_store(&http, config.store, config.store_timeout),
         label: "prepared platform".into(),
     }
 }
--- a/crates/dillspoold/src/main.rs
+++ b/crates/dillspoold/src/main.rs
@@ -9,7 +9,7 @@
 use dillspool_config::load_settings;
 use dillspool_host::{HostDaemon, HostEnvironment};
 use dillspool_io::{HostClock, NetStack, WallClock};
-use dillspool_log::{LineForm, LogSetup, set_up_log};
+use dillspool_log::{LineFormat, LogSetup, set_up_log};
 use dillspool_schema::settings::{HostSettings, LogFormat};
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -71,9 +71,9 @@
     Ok(LogSetup {
         host: std::sync::Arc::clone(&settings.host),
         level: level.parse().map_err(|_none| format!("log.level is `{level}`: {remedy}"))?,
-        form: match log.map(|log| log.format) {
-            None | Some(LogFormat::Text) => LineForm::Text,
-            Some(LogFormat::Json) => LineForm::Json,
+        format: match log.map(|log| log.format) {
+            None | Some(LogFormat::Text) => LineFormat::Text,
+            Some(LogFormat::Json) => LineFormat::Json,
         },
     })
 }
@@ -89,8 +89,13 @@
     // Hosts that start together differ by their names and start times.
     let seed = clock.now().0 ^ u64::from(std::process::id());
     let host_clock = HostClock::boot();
-    let environment =
-        HostEnvironment { stack: NetStack::tcp(), clock, host_clock, seed, desk: None };
+    let environment = HostEnvironment {
+        stack: NetStack::tcp(),
+        clock,
+        host_clock,
+        seed,
+        placement_override: None,
+    };
     let daemon =
         HostDaemon::start(settings, environment).await.map_err(|error| error.to_string())?;
     print_addresses(&daemon)
@@ -114,7 +119,7 @@
     tokio::select! {
         _ = terminate.recv() => {}
         interrupted = tokio::signal::ctrl_c() => interrupted?,
-        () = daemon.drain_asked() => {}
+        () = daemon.drain_requested() => {}
     }
     Ok(())
 }
